--- a/crates/porthoist-fleet/src/client.rs
+++ b/crates/porthoist-fleet/src/client.rs
@@ -17,7 +17,7 @@
     AnswerFrame, LoadReport, OfferOutcome, RefusalReason, RequestOffer, RunVerdict, TeamName, TicketText,
     UnixDeadline,
 };
-use porthoist_policy::limits::keeper::{SettleAsk, SettleTold};
+use porthoist_policy::limits::coordinator::{SettleAsk, SettleTold};
 use porthoist_policy::switch::{LeaderMessage, RankReply};
 use std::cell::Cell;
 use std::fmt;
@@ -192,7 +192,7 @@
         serde_json::from_slice(reply).map_err(FleetError::lost)
     }
 
-    /// Settles teams' limits with their keeper.
+    /// Settles teams' limits with their coordinator.
     pub async fn settle(&self, asks: &[SettleAsk]) -> Result<Vec<SettleTold>, FleetError> {
         let mut request = self.node.settle_request();
         write_asks(request.get().init_asks(asks.len() as u32), asks);
--- a/crates/porthoist-fleet/src/convert.rs
+++ b/crates/porthoist-fleet/src/convert.rs
@@ -9,7 +9,7 @@
     AnswerFrame, AnswerHead, AttemptId, IncarnationId, LoadReport, OfferOutcome, RepeatPolicy, RequestId,
     RequestOffer, RequestPriority, ServiceKind, UnixDeadline, UnixMillis,
 };
-use porthoist_policy::limits::keeper::{SettleAsk, SettleTold};
+use porthoist_policy::limits::coordinator::{SettleAsk, SettleTold};
 use std::str::FromStr;
 
 fn parsed<T: FromStr>(text: capnp::text::Reader<'_>) -> Result<T, Error>
@@ -234,7 +234,7 @@
     })
 }
 
-/// Writes what an entry asks of a keeper.
+/// Writes what an entry asks of a coordinator.
 pub fn write_asks(mut list: struct_list::Builder<'_, settle_ask::Owned>, asks: &[SettleAsk]) {
     for (index, ask) in asks.iter().enumerate() {
         let mut item = list.reborrow().get(index as u32);
@@ -244,7 +244,7 @@
     }
 }
 
-/// Reads what an entry asks of a keeper.
+/// Reads what an entry asks of a coordinator.
 pub fn read_asks(list: struct_list::Reader<'_, settle_ask::Owned>) -> Vec<SettleAsk> {
     let ask = |item: settle_ask::Reader<'_>| SettleAsk {
         team: item.get_team(),
@@ -254,7 +254,7 @@
     list.iter().map(ask).collect()
 }
 
-/// Writes a keeper's answers.
+/// Writes a coordinator's answers.
 pub fn write_told(mut list: struct_list::Builder<'_, settle_told::Owned>, told: &[SettleTold]) {
     for (index, one) in told.iter().enumerate() {
         let mut item = list.reborrow().get(index as u32);
@@ -264,7 +264,7 @@
     }
 }
 
-/// Reads a keeper's answers.
+/// Reads a coordinator's answers.
 pub fn read_told(list: struct_list::Reader<'_, settle_told::Owned>) -> Vec<SettleTold> {
     let told = |item: settle_told::Reader<'_>| SettleTold {
         team: item.get_team(),
--- a/crates/porthoist-fleet/src/rank/branches.rs
+++ b/crates/porthoist-fleet/src/rank/branches.rs
@@ -12,9 +12,9 @@
     AnswerPatience, GroupPatience, GroupReach, GroupReading, HeldLink, OrderAnswer, RankLists, UnreadRank,
 };
 use porthoist_http::CallError;
-use porthoist_policy::forward::{EngineOrder, RankState};
-use porthoist_policy::placement::even::EvenMap;
+use porthoist_policy::placement::equal_shares::EqualShareMap;
 use porthoist_policy::proxy::loads::GroupLoads;
+use porthoist_policy::roll_forward::{EngineOrder, RankState};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use std::net::Ipv4Addr;
@@ -262,7 +262,7 @@
     ///
     /// Of a whole map for 129 ranks, 0.4 s of links of 6 Mbit/s: patience without it gave up on each, which then was sent
     /// whole again.
-    fn map_time(&self, orders: &[(usize, EngineOrder)], map: Option<&EvenMap>) -> Duration {
+    fn map_time(&self, orders: &[(usize, EngineOrder)], map: Option<&EqualShareMap>) -> Duration {
         let version = orders.iter().find_map(|(_rank, order)| match order {
             EngineOrder::Prepare { version, .. } => Some(*version),
             _ => None,
@@ -281,7 +281,7 @@
         &self,
         branch: &RankBranch,
         orders: &[(usize, Ipv4Addr, EngineOrder)],
-        map: Option<&EvenMap>,
+        map: Option<&EqualShareMap>,
         patience: Duration,
     ) -> Option<(Vec<(usize, OrderAnswer)>, Duration)> {
         let call = async |head: &RankPeer, members: &[Ipv4Addr]| {
@@ -300,7 +300,7 @@
     async fn order_all(
         &self,
         orders: &[(usize, EngineOrder)],
-        map: Option<&EvenMap>,
+        map: Option<&EqualShareMap>,
     ) -> Vec<Option<OrderAnswer>> {
         let patience = self.patience.with_orders(orders);
         let allowed = patience.borrow().get() + self.map_time(orders, map);
@@ -361,7 +361,7 @@
     fn order<'a>(
         &'a self,
         orders: &'a [(usize, EngineOrder)],
-        map: Option<&'a EvenMap>,
+        map: Option<&'a EqualShareMap>,
     ) -> LocalBoxFuture<'a, Vec<Option<OrderAnswer>>> {
         Box::pin(self.order_all(orders, map))
     }
--- a/crates/porthoist-fleet/src/rank/convert.rs
+++ b/crates/porthoist-fleet/src/rank/convert.rs
@@ -4,12 +4,12 @@
 use crate::rank_capnp::{branch_map, rank_order, rank_state, rank_view};
 use capnp::{Error, primitive_list};
 use porthoist_group::RankObservation;
-use porthoist_policy::forward::{
-    ArmedMap, EngineOrder, GroupEpoch, OrderSequence, RankPace, RankState, RankView,
-};
-use porthoist_policy::placement::even::ListChange;
+use porthoist_policy::placement::equal_shares::ListChange;
 use porthoist_policy::proxy::loads::{GroupLoads, LoadRevision, RankLoad};
 use porthoist_policy::proxy::pass_time::GroupPass;
+use porthoist_policy::roll_forward::{
+    ArmedMap, EngineOrder, GroupEpoch, OrderSequence, RankPace, RankState, RankView,
+};
 use porthoist_policy::switch::{MapVersion, StepNumber};
 use serde::{Deserialize, Serialize};
 use std::net::Ipv4Addr;
--- a/crates/porthoist-fleet/src/rank/maps.rs
+++ b/crates/porthoist-fleet/src/rank/maps.rs
@@ -1,7 +1,7 @@
 //! The expert maps that a process knows, so that others need send it changes only.
 
 use super::convert::MapChanges;
-use porthoist_policy::placement::even::EvenMap;
+use porthoist_policy::placement::equal_shares::EqualShareMap;
 use porthoist_policy::switch::MapVersion;
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -13,18 +13,18 @@
 /// whole map. With 129 ranks one is 10 KB, and sending it to all took 1.7 s of a small host's link.
 #[derive(Debug, Default)]
 pub struct MapShelf {
-    maps: RefCell<VecDeque<(MapVersion, EvenMap)>>,
+    maps: RefCell<VecDeque<(MapVersion, EqualShareMap)>>,
 }
 
 impl MapShelf {
     /// The map that changes lead to; nothing if their base is not known, or leads to another map than its sender has.
-    pub(super) fn take(&self, received: MapChanges) -> Option<EvenMap> {
+    pub(super) fn take(&self, received: MapChanges) -> Option<EqualShareMap> {
         let MapChanges { version, base, changes, digest } = received;
         let base = match base {
             MapVersion(0) => None,
             version => Some(self.get(version)?),
         };
-        let map = EvenMap::with_changes(base, changes);
+        let map = EqualShareMap::with_changes(base, changes);
         if map.digest() != digest {
             return None;
         }
@@ -37,14 +37,14 @@
         Some(map)
     }
 
-    fn get(&self, version: MapVersion) -> Option<EvenMap> {
+    fn get(&self, version: MapVersion) -> Option<EqualShareMap> {
         let maps = self.maps.borrow();
         maps.iter().find(|(known, _map)| *known == version).map(|(_version, map)| map.clone())
     }
 }
 
 /// A map with its version.
-type VersionedMap = Option<(MapVersion, EvenMap)>;
+type VersionedMap = Option<(MapVersion, EqualShareMap)>;
 
 /// What a peer has of maps.
 #[derive(Debug, Default)]
@@ -57,7 +57,7 @@
 
 impl PeerMaps {
     /// A map as changes to the last one that the peer has, or whole.
-    pub(super) fn changes(&self, version: MapVersion, map: &EvenMap) -> MapChanges {
+    pub(super) fn changes(&self, version: MapVersion, map: &EqualShareMap) -> MapChanges {
         let (sent, answered) = (self.sent.borrow(), self.answered.borrow());
         let base = sent.as_ref().or(answered.as_ref());
         MapChanges {
@@ -69,12 +69,12 @@
     }
 
     /// Takes that a map is on its way.
-    pub(super) fn sending(&self, version: MapVersion, map: &EvenMap) {
+    pub(super) fn sending(&self, version: MapVersion, map: &EqualShareMap) {
         *self.sent.borrow_mut() = Some((version, map.clone()));
     }
 
     /// Takes that the peer has a map now.
-    pub(super) fn answered(&self, version: MapVersion, map: &EvenMap) {
+    pub(super) fn answered(&self, version: MapVersion, map: &EqualShareMap) {
         *self.answered.borrow_mut() = Some((version, map.clone()));
     }
 
--- a/crates/porthoist-fleet/src/rank/peer.rs
+++ b/crates/porthoist-fleet/src/rank/peer.rs
@@ -15,10 +15,10 @@
 use capnp_rpc::rpc_twoparty_capnp::Side;
 use porthoist_group::{HeldLink, OrderAnswer, RankFuture, RankLists, RankObservation};
 use porthoist_http::CallError;
-use porthoist_policy::forward::{EngineOrder, RankState};
-use porthoist_policy::placement::even::EvenMap;
+use porthoist_policy::placement::equal_shares::EqualShareMap;
 use porthoist_policy::placement::map::ExpertId;
 use porthoist_policy::proxy::loads::{GroupLoads, LoadRevision};
+use porthoist_policy::roll_forward::{EngineOrder, RankState};
 use porthoist_policy::switch::MapVersion;
 use porthoist_proxy::NewsAsk;
 use std::cell::{Cell, RefCell};
@@ -286,7 +286,7 @@
         others: &[Ipv4Addr],
         patience: Duration,
         orders: &[MemberOrder],
-        map: Option<&EvenMap>,
+        map: Option<&EqualShareMap>,
     ) -> Result<Vec<Option<OrderAnswer>>, CallError> {
         let version = orders.iter().find_map(|(_member, order)| match order {
             EngineOrder::Prepare { version, .. } => Some(*version),
@@ -300,7 +300,7 @@
     }
 
     /// Bytes that a map takes on its way to the process.
-    pub(super) fn map_bytes(&self, version: MapVersion, map: &EvenMap) -> usize {
+    pub(super) fn map_bytes(&self, version: MapVersion, map: &EqualShareMap) -> usize {
         pack(&self.maps.changes(version, map).changes).len()
     }
 
@@ -308,7 +308,7 @@
     async fn with_map<T>(
         &self,
         version: MapVersion,
-        map: &EvenMap,
+        map: &EqualShareMap,
         send: impl AsyncFn(MapChanges) -> Result<PassedOrders<T>, CallError>,
     ) -> Result<T, CallError> {
         let changes = self.maps.changes(version, map);
@@ -376,7 +376,11 @@
         lists.await.map_err(|error: Error| self.lost(&error))
     }
 
-    async fn order_rank(&self, order: EngineOrder, map: Option<&EvenMap>) -> Result<OrderAnswer, CallError> {
+    async fn order_rank(
+        &self,
+        order: EngineOrder,
+        map: Option<&EqualShareMap>,
+    ) -> Result<OrderAnswer, CallError> {
         let send = async |changes: MapChanges| self.order_with(order, &changes).await;
         let (EngineOrder::Prepare { version, .. }, Some(map)) = (order, map) else {
             return Ok(send(MapChanges::default()).await?.answers);
@@ -412,7 +416,11 @@
         Box::pin(self.rank_lists())
     }
 
-    fn order<'a>(&'a self, order: EngineOrder, map: Option<&'a EvenMap>) -> RankFuture<'a, OrderAnswer> {
+    fn order<'a>(
+        &'a self,
+        order: EngineOrder,
+        map: Option<&'a EqualShareMap>,
+    ) -> RankFuture<'a, OrderAnswer> {
         Box::pin(self.order_rank(order, map))
     }
 
--- a/crates/porthoist-fleet/src/rank/server.rs
+++ b/crates/porthoist-fleet/src/rank/server.rs
@@ -18,12 +18,12 @@
 use futures::future::join_all;
 use porthoist_core::ClockSource;
 use porthoist_group::{GroupReading, HeldLink, RankFuture};
-use porthoist_policy::forward::EngineOrder;
-use porthoist_policy::placement::even::EvenMap;
+use porthoist_policy::placement::equal_shares::EqualShareMap;
 use porthoist_policy::proxy::entries::EntryRoll;
 use porthoist_policy::proxy::loads::LoadRevision;
 use porthoist_policy::proxy::notes::{AgedNote, NoteBoard};
 use porthoist_policy::proxy::turns::EntryPlace;
+use porthoist_policy::roll_forward::EngineOrder;
 use porthoist_proxy::TableReader;
 use std::cell::RefCell;
 use std::fmt;
@@ -310,7 +310,7 @@
     members: &[Rc<dyn HeldLink>],
     member: u16,
     order: EngineOrder,
-    map: Option<&EvenMap>,
+    map: Option<&EqualShareMap>,
     patience: Duration,
 ) -> Option<porthoist_group::OrderAnswer> {
     let link = members.get(usize::from(member))?;
--- a/crates/porthoist-fleet/src/server.rs
+++ b/crates/porthoist-fleet/src/server.rs
@@ -18,7 +18,7 @@
     AnswerFrame, LoadReport, OfferOutcome, RequestOffer, TeamName, TicketText, UnixDeadline,
 };
 use porthoist_http::{SocketPeer, bound_silence};
-use porthoist_policy::limits::keeper::{SettleAsk, SettleTold};
+use porthoist_policy::limits::coordinator::{SettleAsk, SettleTold};
 use porthoist_policy::switch::{LeaderMessage, RankReply};
 use std::fmt;
 use std::rc::Rc;
--- a/crates/porthoist-fleet/tests/branches.rs
+++ b/crates/porthoist-fleet/tests/branches.rs
@@ -10,13 +10,13 @@
     DirectGroup, GroupPatience, GroupReach, HeldLink, OrderAnswer, RankFuture, RankLists, RankObservation,
 };
 use porthoist_http::CallError;
-use porthoist_policy::forward::{
-    ArmedMap, EngineOrder, GroupEpoch, OrderSequence, RankPace, RankState, RankView,
-};
-use porthoist_policy::placement::even::EvenMap;
+use porthoist_policy::placement::equal_shares::EqualShareMap;
 use porthoist_policy::placement::map::ExpertId;
 use porthoist_policy::proxy::loads::{GroupLoads, LoadRevision, RankLoad};
 use porthoist_policy::proxy::pass_time::GroupPass;
+use porthoist_policy::roll_forward::{
+    ArmedMap, EngineOrder, GroupEpoch, OrderSequence, RankPace, RankState, RankView,
+};
 use porthoist_policy::switch::{MapVersion, StepNumber};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -49,7 +49,7 @@
     size: usize,
     silent: Cell<bool>,
     orders: RefCell<Vec<EngineOrder>>,
-    maps: RefCell<Vec<EvenMap>>,
+    maps: RefCell<Vec<EqualShareMap>>,
 }
 
 fn view() -> RankView {
@@ -88,7 +88,11 @@
         async move { Ok(RankLists { version: MapVersion(2), experts }) }.boxed_local()
     }
 
-    fn order<'a>(&'a self, order: EngineOrder, map: Option<&'a EvenMap>) -> RankFuture<'a, OrderAnswer> {
+    fn order<'a>(
+        &'a self,
+        order: EngineOrder,
+        map: Option<&'a EqualShareMap>,
+    ) -> RankFuture<'a, OrderAnswer> {
         if self.silent.get() {
             return futures::future::pending::<Result<OrderAnswer, CallError>>().boxed_local();
         }
@@ -270,12 +274,12 @@
     LocalSet::new().run_until(played).await;
 }
 
-fn map(ranks: usize, changed: usize) -> EvenMap {
+fn map(ranks: usize, changed: usize) -> EqualShareMap {
     let list = |set: usize, rank: usize| {
         let first = if (set, rank) == (3, 7) { rank + changed } else { rank };
         (0..3).map(|place| ExpertId(((first + place * ranks) % EXPERTS) as u16)).collect()
     };
-    EvenMap::new((0..SETS).map(|set| (0..ranks).map(|rank| list(set, rank)).collect()).collect())
+    EqualShareMap::new((0..SETS).map(|set| (0..ranks).map(|rank| list(set, rank)).collect()).collect())
 }
 
 fn prepares(ranks: usize, version: u32) -> Vec<(usize, EngineOrder)> {
--- a/crates/porthoist-fleet/tests/rank.rs
+++ b/crates/porthoist-fleet/tests/rank.rs
@@ -6,11 +6,11 @@
 };
 use porthoist_group::{HeldLink, OrderAnswer, RankFuture, RankLists, RankObservation};
 use porthoist_http::CallError;
-use porthoist_policy::forward::{EngineOrder, GroupEpoch, OrderSequence, RankPace, RankState, RankView};
-use porthoist_policy::placement::even::EvenMap;
+use porthoist_policy::placement::equal_shares::EqualShareMap;
 use porthoist_policy::placement::map::ExpertId;
 use porthoist_policy::proxy::loads::{GroupLoads, LoadRevision, RankLoad};
 use porthoist_policy::proxy::pass_time::GroupPass;
+use porthoist_policy::roll_forward::{EngineOrder, GroupEpoch, OrderSequence, RankPace, RankState, RankView};
 use porthoist_policy::switch::{MapVersion, StepNumber};
 use std::cell::RefCell;
 use std::net::Ipv4Addr;
@@ -22,7 +22,7 @@
 /// An idle engine that remembers the maps it is given.
 #[derive(Debug, Default)]
 struct IdleLink {
-    maps: RefCell<Vec<EvenMap>>,
+    maps: RefCell<Vec<EqualShareMap>>,
 }
 
 const VIEW: RankView = RankView {
@@ -54,7 +54,11 @@
         async { Err(CallError::unknown("not asked")) }.boxed_local()
     }
 
-    fn order<'a>(&'a self, _order: EngineOrder, map: Option<&'a EvenMap>) -> RankFuture<'a, OrderAnswer> {
+    fn order<'a>(
+        &'a self,
+        _order: EngineOrder,
+        map: Option<&'a EqualShareMap>,
+    ) -> RankFuture<'a, OrderAnswer> {
         self.maps.borrow_mut().extend(map.cloned());
         async { Ok(OrderAnswer { taken: true, view: Some(VIEW) }) }.boxed_local()
     }
@@ -133,13 +137,13 @@
 }
 
 /// A map of 64 ranks in 8 sets, five experts a rank, with some lists that depend on `changed`.
-fn large_map(changed: u16) -> EvenMap {
+fn large_map(changed: u16) -> EqualShareMap {
     let expert = |set: u16, rank: u16, place: u16| match (set, rank % 9) {
         (3, 0) => ExpertId((rank + place + changed) % 320),
         _ => ExpertId((rank * 5 + place) % 320),
     };
     let list = |set: u16, rank: u16| (0..5).map(|place| expert(set, rank, place)).collect();
-    EvenMap::new((0..8).map(|set| (0..64).map(|rank| list(set, rank)).collect()).collect())
+    EqualShareMap::new((0..8).map(|set| (0..64).map(|rank| list(set, rank)).collect()).collect())
 }
 
 #[tokio::test]
--- a/crates/porthoist-fleet/tests/zone.rs
+++ b/crates/porthoist-fleet/tests/zone.rs
@@ -7,12 +7,12 @@
 };
 use porthoist_group::{HeldLink, OrderAnswer, RankFuture, RankLists, RankObservation};
 use porthoist_http::CallError;
-use porthoist_policy::forward::EngineOrder;
-use porthoist_policy::placement::even::EvenMap;
+use porthoist_policy::placement::equal_shares::EqualShareMap;
 use porthoist_policy::proxy::entries::EntryId;
 use porthoist_policy::proxy::notes::TargetNote;
 use porthoist_policy::proxy::targets::TargetLife;
 use porthoist_policy::proxy::turns::EntryPlace;
+use porthoist_policy::roll_forward::EngineOrder;
 use porthoist_proxy::{
     ControlTable, NewsAsk, NewsValue, RowSource, RowValue, SourceFuture, Stamped, TableEra, TableNews,
     TableReader, TableRevision, TableRow,
@@ -74,7 +74,11 @@
         async { Err(CallError::unknown("not asked")) }.boxed_local()
     }
 
-    fn order<'a>(&'a self, _order: EngineOrder, _map: Option<&'a EvenMap>) -> RankFuture<'a, OrderAnswer> {
+    fn order<'a>(
+        &'a self,
+        _order: EngineOrder,
+        _map: Option<&'a EqualShareMap>,
+    ) -> RankFuture<'a, OrderAnswer> {
         async { Err(CallError::unknown("not asked")) }.boxed_local()
     }
 }
--- a/crates/porthoist-group/src/engine.rs
+++ b/crates/porthoist-group/src/engine.rs
@@ -5,7 +5,7 @@
 use hyper::{Method, StatusCode};
 use porthoist_http::{CallError, HttpClient};
 use porthoist_policy::placement::map::ExpertId;
-use porthoist_policy::switch::{KeptRank, MapVersion};
+use porthoist_policy::switch::{MapVersion, SavedRank};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
@@ -15,13 +15,13 @@
     /// Orders with a lower number than the highest seen are refused.
     pub fence: u32,
     /// What to hold; the engine takes armed and committed switch from it.
-    pub hold: KeptRank,
+    pub hold: SavedRank,
 }
 
 /// The engine of one rank.
 pub trait GroupEngine: fmt::Debug + Send + Sync {
     /// What it holds, and the last step that it started.
-    fn kept(&self) -> BoxFuture<'_, Result<KeptRank, CallError>>;
+    fn kept(&self) -> BoxFuture<'_, Result<SavedRank, CallError>>;
     /// What it counted since the last window.
     fn window(&self) -> BoxFuture<'_, Result<ExpertWindow, CallError>>;
     /// Loads a rank's experts of a map, without blocking a step; true when they are there.
@@ -56,7 +56,7 @@
 }
 
 impl GroupEngine for HttpGroupEngine {
-    fn kept(&self) -> BoxFuture<'_, Result<KeptRank, CallError>> {
+    fn kept(&self) -> BoxFuture<'_, Result<SavedRank, CallError>> {
         Box::pin(async move {
             let (_status, kept) = self.client.json(Method::GET, &self.url, None::<&()>).await?;
             Ok(kept)
--- a/crates/porthoist-group/src/held.rs
+++ b/crates/porthoist-group/src/held.rs
@@ -4,12 +4,12 @@
 
 use crate::links::{OrderAnswer, RankLists};
 use crate::reach::{GroupReach, GroupReading, UnreadRank};
-use porthoist_policy::forward::{
-    EngineOrder, ForwardDriver, ForwardRules, GroupEpoch, RankPace, RankState, RankView,
-};
 use porthoist_policy::placement::copying::CopyTimes;
-use porthoist_policy::placement::demand::{DemandEstimator, DemandNews};
-use porthoist_policy::placement::even::{EvenBounds, EvenMap, EvenPlan, improve};
+use porthoist_policy::placement::demand::{DemandChange, DemandEstimator};
+use porthoist_policy::placement::equal_shares::{EqualShareBounds, EqualShareMap, EqualSharePlan, improve};
+use porthoist_policy::roll_forward::{
+    EngineOrder, GroupEpoch, RankPace, RankState, RankView, RollForwardDriver, RollForwardRules,
+};
 use porthoist_policy::switch::MapVersion;
 use slog::{Logger, info, warn};
 use tokio::time::Instant;
@@ -27,7 +27,7 @@
     /// Experts in a set.
     pub experts: usize,
     /// Bounds of a plan.
-    pub bounds: EvenBounds,
+    pub bounds: EqualShareBounds,
 }
 
 /// What a round of the planner did; says when the next one should come.
@@ -50,7 +50,7 @@
 struct KnownMap {
     epoch: GroupEpoch,
     version: MapVersion,
-    map: EvenMap,
+    map: EqualShareMap,
 }
 
 /// What a switch under way spends its time on.
@@ -66,7 +66,7 @@
 #[derive(Debug)]
 pub struct HeldPlanner {
     shape: GroupShape,
-    driver: ForwardDriver,
+    driver: RollForwardDriver,
     demand: DemandEstimator,
     known: Option<KnownMap>,
     next: Option<KnownMap>,
@@ -95,7 +95,7 @@
     /// A planner that knows nothing of its group yet.
     pub fn new(shape: GroupShape, logger: Logger) -> Self {
         Self {
-            driver: ForwardDriver::new(ForwardRules::SOUND),
+            driver: RollForwardDriver::new(RollForwardRules::SOUND),
             demand: DemandEstimator::new(shape.sets, shape.experts),
             known: None,
             next: None,
@@ -143,7 +143,7 @@
         let Some(RankState { view, open, .. }) = group.observe_first().await else { return false };
         let same = open && view.epoch == self.views[0].epoch;
         self.views[0] = view;
-        same && !self.driver.switched(&self.views)
+        same && !self.driver.any_rank_switched(&self.views)
     }
 
     /// Reads all ranks, and plans where nothing is under way and all were heard. Returns whether the first one could be
@@ -174,7 +174,7 @@
         }
         let views = self.views.clone();
         self.settle(&views);
-        if self.driver.at_rest(&views) && self.learn_map(group, &views).await {
+        if self.driver.can_begin(&views) && self.learn_map(group, &views).await {
             self.plan(&views, fresh);
         }
         true
@@ -313,7 +313,7 @@
             info!(self.logger, "expert map in force"; "event" => "map_in_force", "version" => next.version.0,
                 "step" => views[0].step.0);
             if let Some(TimedStage::Switching { since }) = self.timed.take() {
-                self.copy_times.switched(millis_since(since));
+                self.copy_times.record_switch(millis_since(since));
             }
             self.known = Some(next);
         }
@@ -334,7 +334,7 @@
         };
         let Some(TimedStage::Copying { copies, since }) = self.timed else { return };
         if views.iter().all(|view| view.prepared == Some(next.version)) {
-            self.copy_times.copied(copies, millis_since(since));
+            self.copy_times.record_copies(copies, millis_since(since));
             self.timed = Some(TimedStage::Switching { since: Instant::now() });
         }
     }
@@ -352,7 +352,7 @@
             return false;
         }
         let of_set = |set: usize| lists.iter().map(|list| list.experts[set].clone()).collect();
-        let map = EvenMap::new((0..self.shape.sets).map(of_set).collect());
+        let map = EqualShareMap::new((0..self.shape.sets).map(of_set).collect());
         self.known = Some(KnownMap { epoch: views[0].epoch, version, map });
         true
     }
@@ -362,9 +362,9 @@
         if self.gathered.iter().sum::<u64>() < MIN_CHOICES * self.shape.sets as u64 {
             return false;
         }
-        let news = self.demand.window(&self.gathered);
+        let news = self.demand.add_window(&self.gathered);
         self.gathered.fill(0);
-        self.shifting = news == DemandNews::Straying;
+        self.shifting = news == DemandChange::PossibleShift;
         true
     }
 
@@ -378,9 +378,11 @@
             return;
         }
         let wanted = self.shape.bounds.new_a_rank;
-        let bounds = EvenBounds { new_a_rank: self.copy_times.copies_a_rank(wanted), ..self.shape.bounds };
+        let bounds =
+            EqualShareBounds { new_a_rank: self.copy_times.copies_per_rank(wanted), ..self.shape.bounds };
         let plan = improve(&known.map, self.demand.demand(), &self.paces, &bounds);
-        let copies = (0..views.len()).map(|rank| plan.map.new_to(&known.map, rank)).max().unwrap_or_default();
+        let copies =
+            (0..views.len()).map(|rank| plan.map.new_experts(&known.map, rank)).max().unwrap_or_default();
         if plan.skew_before - plan.skew_after < MIN_GAIN * plan.skew_before {
             return;
         }
@@ -390,7 +392,7 @@
         self.next = Some(KnownMap { epoch: views[0].epoch, version, map: plan.map });
     }
 
-    fn log_plan(&self, plan: &EvenPlan, version: MapVersion, views: &[RankView]) {
+    fn log_plan(&self, plan: &EqualSharePlan, version: MapVersion, views: &[RankView]) {
         info!(self.logger, "expert map planned"; "event" => "map_planned", "version" => version.0,
             "moves" => plan.moves, "skew_before" => plan.skew_before, "skew_after" => plan.skew_after,
             "epoch" => views[0].epoch.0, "step" => views[0].step.0,
--- a/crates/porthoist-group/src/links.rs
+++ b/crates/porthoist-group/src/links.rs
@@ -4,9 +4,9 @@
 use futures::future::LocalBoxFuture;
 use porthoist_core::BirthMillis;
 use porthoist_http::CallError;
-use porthoist_policy::forward::{EngineOrder, RankState, RankView};
-use porthoist_policy::placement::even::EvenMap;
+use porthoist_policy::placement::equal_shares::EqualShareMap;
 use porthoist_policy::placement::map::ExpertId;
+use porthoist_policy::roll_forward::{EngineOrder, RankState, RankView};
 use porthoist_policy::switch::MapVersion;
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -41,7 +41,7 @@
     /// Its experts.
     fn lists(&self) -> RankFuture<'_, RankLists>;
     /// Gives an order, with the map that a prepare is about; `false` if it was refused.
-    fn order<'a>(&'a self, order: EngineOrder, map: Option<&'a EvenMap>) -> RankFuture<'a, bool>;
+    fn order<'a>(&'a self, order: EngineOrder, map: Option<&'a EqualShareMap>) -> RankFuture<'a, bool>;
 }
 
 /// One observation of a rank.
@@ -69,7 +69,8 @@
     /// The rank's experts.
     fn lists(&self) -> RankFuture<'_, RankLists>;
     /// Passes an order on.
-    fn order<'a>(&'a self, order: EngineOrder, map: Option<&'a EvenMap>) -> RankFuture<'a, OrderAnswer>;
+    fn order<'a>(&'a self, order: EngineOrder, map: Option<&'a EqualShareMap>)
+    -> RankFuture<'a, OrderAnswer>;
     /// Leaves the present connection behind, if there is one: it did not bring a reading in time.
     fn reset(&self) {}
 }
--- a/crates/porthoist-group/src/planner.rs
+++ b/crates/porthoist-group/src/planner.rs
@@ -2,7 +2,9 @@
 
 use porthoist_policy::placement::estimate::GroupEstimator;
 use porthoist_policy::placement::map::ExpertMap;
-use porthoist_policy::placement::{GroupEstimate, PlacementPlan, PlannerSettings, peak, place_anew, plan};
+use porthoist_policy::placement::{
+    GroupEstimate, PlacementPlan, PlannerSettings, peak, place_from_scratch, plan,
+};
 use porthoist_policy::table::PolicyRow;
 use serde::{Deserialize, Serialize};
 
@@ -45,7 +47,7 @@
     /// A planner for a group that uses `map`; without one the first window places all experts.
     pub fn new(first: &ExpertWindow, map: Option<ExpertMap>) -> Self {
         let estimate = first.estimate();
-        let placed = || place_anew(&estimate, first.speeds.len(), first.slots);
+        let placed = || place_from_scratch(&estimate, first.speeds.len(), first.slots);
         let map = map.unwrap_or_else(placed);
         Self { estimator: GroupEstimator::new(&estimate), map }
     }
--- a/crates/porthoist-group/src/rank.rs
+++ b/crates/porthoist-group/src/rank.rs
@@ -48,7 +48,7 @@
         let before = self.engine.kept().await?;
         let mut machine = RankMachine::restored(before);
         let reply = machine.on(message, loaded);
-        let hold = machine.kept();
+        let hold = machine.saved();
         if hold == before {
             return Ok(reply);
         }
--- a/crates/porthoist-group/src/reach.rs
+++ b/crates/porthoist-group/src/reach.rs
@@ -3,8 +3,8 @@
 use crate::links::{HeldLink, OrderAnswer, RankLists};
 use crate::patience::AnswerPatience;
 use futures::future::{LocalBoxFuture, join_all};
-use porthoist_policy::forward::{EngineOrder, RankState};
-use porthoist_policy::placement::even::EvenMap;
+use porthoist_policy::placement::equal_shares::EqualShareMap;
+use porthoist_policy::roll_forward::{EngineOrder, RankState};
 use std::cell::RefCell;
 use std::fmt;
 use std::rc::Rc;
@@ -70,7 +70,7 @@
     fn order<'a>(
         &'a self,
         orders: &'a [(usize, EngineOrder)],
-        map: Option<&'a EvenMap>,
+        map: Option<&'a EqualShareMap>,
     ) -> LocalBoxFuture<'a, Vec<Option<OrderAnswer>>>;
 }
 
@@ -221,7 +221,7 @@
     fn order<'a>(
         &'a self,
         orders: &'a [(usize, EngineOrder)],
-        map: Option<&'a EvenMap>,
+        map: Option<&'a EqualShareMap>,
     ) -> LocalBoxFuture<'a, Vec<Option<OrderAnswer>>> {
         Box::pin(async move {
             let calls = orders.iter().map(|(rank, order)| {
--- a/crates/porthoist-group/tests/held.rs
+++ b/crates/porthoist-group/tests/held.rs
@@ -6,11 +6,11 @@
     RoundOutcome,
 };
 use porthoist_http::CallError;
-use porthoist_policy::forward::{
+use porthoist_policy::placement::equal_shares::{EqualShareBounds, EqualShareMap, skew};
+use porthoist_policy::placement::map::ExpertId;
+use porthoist_policy::roll_forward::{
     ArmedMap, EngineOrder, GroupEpoch, OrderSequence, RankPace, RankState, RankView,
 };
-use porthoist_policy::placement::even::{EvenBounds, EvenMap, skew};
-use porthoist_policy::placement::map::ExpertId;
 use porthoist_policy::switch::{MapVersion, StepNumber};
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg32;
@@ -32,14 +32,14 @@
 struct Engine {
     view: RankView,
     highest: MapVersion,
-    maps: HashMap<MapVersion, EvenMap>,
+    maps: HashMap<MapVersion, EqualShareMap>,
 }
 
 /// A group in memory.
 #[derive(Debug)]
 struct Group {
     engines: Vec<Engine>,
-    late: Vec<(usize, EngineOrder, Option<EvenMap>)>,
+    late: Vec<(usize, EngineOrder, Option<EqualShareMap>)>,
     random: Pcg32,
     /// Part of the orders that get no answer and are carried out late or never.
     trouble: f64,
@@ -59,10 +59,10 @@
     away: Option<usize>,
 }
 
-fn first_map() -> EvenMap {
+fn first_map() -> EqualShareMap {
     let held =
         |rank: usize| (0..PLACES).map(|place| ExpertId(((place * RANKS + rank) % EXPERTS) as u16)).collect();
-    EvenMap::new(vec![(0..RANKS).map(held).collect()])
+    EqualShareMap::new(vec![(0..RANKS).map(held).collect()])
 }
 
 impl Group {
@@ -99,7 +99,7 @@
     }
 
     /// Carries an order out as an engine does; `false` if it is refused.
-    fn carry_out(&mut self, rank: usize, order: EngineOrder, map: Option<&EvenMap>) -> bool {
+    fn carry_out(&mut self, rank: usize, order: EngineOrder, map: Option<&EqualShareMap>) -> bool {
         let Engine { view, highest, maps } = &mut self.engines[rank];
         let (fits, done) = match order {
             EngineOrder::Prepare { epoch, version, sequence } => {
@@ -245,7 +245,11 @@
         async move { Ok(lists) }.boxed_local()
     }
 
-    fn order<'a>(&'a self, order: EngineOrder, map: Option<&'a EvenMap>) -> RankFuture<'a, OrderAnswer> {
+    fn order<'a>(
+        &'a self,
+        order: EngineOrder,
+        map: Option<&'a EqualShareMap>,
+    ) -> RankFuture<'a, OrderAnswer> {
         let mut group = self.group.borrow_mut();
         if group.away == Some(self.rank) {
             return async { Err(CallError::unknown("away")) }.boxed_local();
@@ -282,7 +286,7 @@
 }
 
 fn shape() -> GroupShape {
-    let bounds = EvenBounds { places: PLACES, spare: 2, new_a_rank: 3, move_price: 0.01 };
+    let bounds = EqualShareBounds { places: PLACES, spare: 2, new_a_rank: 3, move_price: 0.01 };
     GroupShape { sets: 1, experts: EXPERTS, bounds }
 }
 
--- a/crates/porthoist-group/tests/silence.rs
+++ b/crates/porthoist-group/tests/silence.rs
@@ -6,8 +6,8 @@
     RoundOutcome,
 };
 use porthoist_http::CallError;
-use porthoist_policy::forward::{EngineOrder, GroupEpoch, OrderSequence, RankPace, RankState, RankView};
-use porthoist_policy::placement::even::{EvenBounds, EvenMap};
+use porthoist_policy::placement::equal_shares::{EqualShareBounds, EqualShareMap};
+use porthoist_policy::roll_forward::{EngineOrder, GroupEpoch, OrderSequence, RankPace, RankState, RankView};
 use porthoist_policy::switch::{MapVersion, StepNumber};
 use slog::{Discard, Logger, o};
 use std::cell::Cell;
@@ -55,7 +55,11 @@
         async { Err(CallError::unknown("not asked")) }.boxed_local()
     }
 
-    fn order<'a>(&'a self, _order: EngineOrder, _map: Option<&'a EvenMap>) -> RankFuture<'a, OrderAnswer> {
+    fn order<'a>(
+        &'a self,
+        _order: EngineOrder,
+        _map: Option<&'a EqualShareMap>,
+    ) -> RankFuture<'a, OrderAnswer> {
         async { Err(CallError::unknown("nothing is planned")) }.boxed_local()
     }
 
@@ -75,7 +79,7 @@
         (0..RANKS).map(|rank| Rc::new(RankWay { rank, ..RankWay::default() })).collect();
     let links = ways.iter().map(|way| -> Rc<dyn HeldLink> { Rc::<RankWay>::clone(way) });
     let links = DirectGroup::new(links.collect());
-    let bounds = EvenBounds { places: 4, spare: 2, new_a_rank: 3, move_price: 0.01 };
+    let bounds = EqualShareBounds { places: 4, spare: 2, new_a_rank: 3, move_price: 0.01 };
     let shape = GroupShape { sets: 1, experts: 12, bounds };
     let mut planner = HeldPlanner::new(shape, Logger::root(Discard, o!()));
     assert_eq!(planner.round_of_loads(&links, MapVersion(1)).await, RoundOutcome::Rest);
--- a/crates/porthoist-lab/src/capacity.rs
+++ b/crates/porthoist-lab/src/capacity.rs
@@ -14,11 +14,11 @@
 use porthoist_policy::adoption::{ConfigChange, ConfigState};
 use porthoist_policy::explain::{DecisionKind, DecisionLog};
 use porthoist_policy::gate::{GateKey, GateMachine, GateOffer};
-use porthoist_policy::limits::keeper::{LimitKeeper, SettleAsk};
+use porthoist_policy::limits::coordinator::{LimitCoordinator, SettleAsk};
 use porthoist_policy::limits::{EntryLimiter, TeamLimit};
-use porthoist_policy::placement::even::{EvenBounds, EvenMap, improve};
+use porthoist_policy::placement::equal_shares::{EqualShareBounds, EqualShareMap, improve};
 use porthoist_policy::placement::map::ExpertId;
-use porthoist_policy::placement::{GroupEstimate, PlannerSettings, place_anew, plan};
+use porthoist_policy::placement::{GroupEstimate, PlannerSettings, place_from_scratch, plan};
 use porthoist_policy::proxy::quarantine::{CrashKey, CrashReport, MOST_MARKS, QuarantineBook};
 use porthoist_policy::router::{PREFIX_CAPACITY, RouteQuery, RouteTarget, Router, RouterSettings};
 use porthoist_policy::table::{RowKey, RowKind, TableRow, TeamRow};
@@ -148,18 +148,18 @@
         black_box(limiter.due(now.plus(round as u64)));
     });
     let buckets = 20 * TEAMS;
-    let (kept_bytes, mut keeper) = bytes_each(buckets, || {
-        let mut keeper = LimitKeeper::new();
+    let (kept_bytes, mut coordinator) = bytes_each(buckets, || {
+        let mut coordinator = LimitCoordinator::new();
         for team in 0..buckets as u64 {
-            keeper.settle(now, SettleAsk { team, debt: 1, wanted: 0 }, limit);
+            coordinator.settle(now, SettleAsk { team, debt: 1, wanted: 0 }, limit);
         }
-        keeper
+        coordinator
     });
     let settle = micros_each(ROUNDS, |round| {
         let team = (round % TEAMS) as u64;
-        black_box(keeper.settle(now, SettleAsk { team, debt: 1, wanted: 1 }, limit));
+        black_box(coordinator.settle(now, SettleAsk { team, debt: 1, wanted: 1 }, limit));
     });
-    std::mem::forget((limiter, keeper));
+    std::mem::forget((limiter, coordinator));
     vec![
         slope("limits: memory of an active team at an entry", "B", team_bytes),
         slope("limits: admit a request", "us", admit),
@@ -324,7 +324,8 @@
     let popularity = popularity.into_iter().map(|weight| weight / sum).collect();
     let estimate = GroupEstimate { popularity, speed: vec![1.0; 64] };
     let settings = PlannerSettings::builder().skew_weight(4.0).move_weight(1.0).build();
-    let map = place_anew(&GroupEstimate { popularity: vec![1.0 / 128.0; 128], ..estimate.clone() }, 64, 3);
+    let map =
+        place_from_scratch(&GroupEstimate { popularity: vec![1.0 / 128.0; 128], ..estimate.clone() }, 64, 3);
     let planned = micros_each(5, |_round| {
         black_box(plan(&map, &estimate, &settings));
     });
@@ -389,9 +390,9 @@
         let held = |rank: usize| {
             (0..places).map(|place| ExpertId(((place * ranks + rank) % SET_EXPERTS) as u16)).collect()
         };
-        let map = EvenMap::new(vec![(0..ranks).map(held).collect(); SETS]);
+        let map = EqualShareMap::new(vec![(0..ranks).map(held).collect(); SETS]);
         let demand: Vec<Vec<f64>> = (0..SETS).map(shifted_demand).collect();
-        let bounds = EvenBounds { places, spare: 2, new_a_rank: 2, move_price: 0.6 / ranks as f64 };
+        let bounds = EqualShareBounds { places, spare: 2, new_a_rank: 2, move_price: 0.6 / ranks as f64 };
         let micros = micros_each(5, |_round| {
             black_box(improve(&map, &demand, &[], &bounds));
         });
--- a/crates/porthoist-lab/src/experts.rs
+++ b/crates/porthoist-lab/src/experts.rs
@@ -11,7 +11,7 @@
 use policy::{GroupPolicy, PolicyKind};
 use porthoist_policy::placement::map::ExpertMap;
 use porthoist_policy::placement::shares::rank_times;
-use porthoist_policy::placement::{GroupEstimate, place_anew};
+use porthoist_policy::placement::{GroupEstimate, place_from_scratch};
 use porthoist_policy::table::PolicyRow;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -140,7 +140,7 @@
 pub fn run(settings: &ExpertsSettings) -> BTreeMap<String, PolicyResult> {
     let mut drift = DriftModel::new(settings);
     let initial = drift.truth();
-    let map = place_anew(&initial, settings.ranks, settings.slots);
+    let map = place_from_scratch(&initial, settings.ranks, settings.slots);
     let mut policies = contestants(settings, &initial, &map);
     let ticks = settings.seconds * 1000 / TICK_MILLIS;
     for tick in 0..ticks {
--- a/crates/porthoist-lab/src/experts/policy.rs
+++ b/crates/porthoist-lab/src/experts/policy.rs
@@ -4,7 +4,7 @@
 use super::{ExpertsSettings, PolicyResult};
 use porthoist_policy::placement::estimate::GroupEstimator;
 use porthoist_policy::placement::map::ExpertMap;
-use porthoist_policy::placement::{GroupEstimate, PlannerSettings, place_anew, plan, reshare};
+use porthoist_policy::placement::{GroupEstimate, PlannerSettings, place_from_scratch, plan, reshare};
 use porthoist_policy::table::PolicyRow;
 
 /// Time between two full re-balances in milliseconds.
@@ -90,7 +90,7 @@
 
     /// Loads what the next map needs; it is used when all is there.
     fn load(&mut self, now: u64, map: ExpertMap) {
-        let loads = map.loads_from(&self.map);
+        let loads = map.replicas_missing_in(&self.map);
         if loads == 0 {
             self.map = map;
             return;
@@ -105,13 +105,13 @@
             return;
         }
         self.next_full = now + FULL_MILLIS;
-        let map = place_anew(&self.estimator.estimate(), self.settings.ranks, self.settings.slots);
+        let map = place_from_scratch(&self.estimator.estimate(), self.settings.ranks, self.settings.slots);
         self.load(now, map);
     }
 
     fn oracle(&mut self, now: u64, truth: &GroupEstimate) {
         if now.is_multiple_of(ORACLE_MILLIS) {
-            self.map = place_anew(truth, self.settings.ranks, self.settings.slots);
+            self.map = place_from_scratch(truth, self.settings.ranks, self.settings.slots);
         }
         self.map = reshare(&self.map, truth);
     }
--- a/crates/porthoist-lab/src/limits.rs
+++ b/crates/porthoist-lab/src/limits.rs
@@ -1,8 +1,8 @@
-//! Limits under skewed entries, a cut and replaced entries, with the daemon's own limiter and keeper.
+//! Limits under skewed entries, a cut and replaced entries, with the daemon's own limiter and coordinator.
 
 use crate::report::{ratio, rounded};
 use porthoist_core::{RequestRate, TeamName, UnixMillis};
-use porthoist_policy::limits::keeper::{LimitKeeper, SettleAsk, SettleTold};
+use porthoist_policy::limits::coordinator::{LimitCoordinator, SettleAsk, SettleTold};
 use porthoist_policy::limits::{EntryLimiter, TeamLimit};
 use porthoist_policy::membership::rendezvous_score;
 use rand::{RngExt, SeedableRng};
@@ -79,7 +79,7 @@
 struct SimEntry {
     name: String,
     limiter: EntryLimiter,
-    keeper: LimitKeeper,
+    coordinator: LimitCoordinator,
 }
 
 struct Reply {
@@ -115,7 +115,7 @@
     SimEntry {
         name: format!("entry-{index}-{life}"),
         limiter: EntryLimiter::new(entries as u32),
-        keeper: LimitKeeper::new(),
+        coordinator: LimitCoordinator::new(),
     }
 }
 
@@ -218,34 +218,35 @@
         if skewed { self.teams[team].home } else { self.random.random_range(0..self.entries.len()) }
     }
 
-    fn keeper_of(&self, team: u64, asking: usize, now: u64) -> Option<usize> {
+    fn coordinator_of(&self, team: u64, asking: usize, now: u64) -> Option<usize> {
         let score = |index: &usize| rendezvous_score(team, &self.entries[*index].name);
-        let keeper = (0..self.entries.len()).max_by_key(score)?;
-        let apart = self.cut(now) && keeper % 2 != asking % 2;
-        (!apart).then_some(keeper)
+        let coordinator = (0..self.entries.len()).max_by_key(score)?;
+        let apart = self.cut(now) && coordinator % 2 != asking % 2;
+        (!apart).then_some(coordinator)
     }
 
     fn settle(&mut self, now: u64) {
         for entry in 0..self.entries.len() {
             let due = self.entries[entry].limiter.due(UnixMillis(now));
-            let mut keepers: Vec<usize> = Vec::new();
+            let mut coordinators: Vec<usize> = Vec::new();
             for (team, ask) in due {
                 let index = self.teams.iter().position(|known| known.name == team).expect("the team exists");
-                let keeper = self.keeper_of(ask.team, entry, now);
+                let coordinator = self.coordinator_of(ask.team, entry, now);
                 let limit = self.teams[index].limit;
-                let told =
-                    keeper.map(|keeper| self.entries[keeper].keeper.settle(UnixMillis(now), ask, limit));
+                let told = coordinator.map(|coordinator| {
+                    self.entries[coordinator].coordinator.settle(UnixMillis(now), ask, limit)
+                });
                 let at = now + 2 * LATENCY_TICKS * TICK_MILLIS;
                 self.replies.push(Reply { at, entry, life: self.lives[entry], team: index, ask, told });
-                if let Some(keeper) = keeper.filter(|keeper| *keeper != entry) {
+                if let Some(coordinator) = coordinator.filter(|coordinator| *coordinator != entry) {
                     self.counts.bytes += 2 * ITEM_BYTES;
-                    if !keepers.contains(&keeper) {
-                        keepers.push(keeper);
+                    if !coordinators.contains(&coordinator) {
+                        coordinators.push(coordinator);
                     }
                 }
             }
-            self.counts.messages += 2 * keepers.len() as u64;
-            self.counts.bytes += 2 * CALL_BYTES * keepers.len() as u64;
+            self.counts.messages += 2 * coordinators.len() as u64;
+            self.counts.bytes += 2 * CALL_BYTES * coordinators.len() as u64;
         }
     }
 
@@ -259,7 +260,7 @@
             let team = &self.teams[reply.team].name;
             match reply.told {
                 Some(told) => limiter.settled(UnixMillis(now), team, reply.ask, told),
-                None => limiter.keeper_silent(UnixMillis(now), team),
+                None => limiter.coordinator_unreachable(UnixMillis(now), team),
             }
         }
     }
--- a/crates/porthoist-policy/src/claim.rs
+++ b/crates/porthoist-policy/src/claim.rs
@@ -77,7 +77,7 @@
     /// The row as read.
     Read(Option<VersionedClaim<T>>),
     /// The table did not answer; a write may still take effect.
-    TableSilent,
+    TableUnavailable,
     /// The target answered in full.
     Answered,
     /// The target refused.
@@ -164,7 +164,7 @@
             }
             (
                 ClaimStep::Writing { expected, row } | ClaimStep::ReadingBack { expected, row },
-                ClaimEvent::TableSilent,
+                ClaimEvent::TableUnavailable,
             ) => Some(self.read_back(expected, row)),
             (ClaimStep::ReadingBack { expected, row }, ClaimEvent::Read(found)) => {
                 Some(self.recognise(expected, row, found))
--- a/crates/porthoist-policy/src/explain.rs
+++ b/crates/porthoist-policy/src/explain.rs
@@ -97,7 +97,7 @@
     }
 
     /// All decisions kept on a request, oldest first.
-    pub fn of_request(&self, request: RequestId) -> Vec<DecisionRecord> {
+    pub fn for_request(&self, request: RequestId) -> Vec<DecisionRecord> {
         self.records.iter().filter(|record| record.request == request).cloned().collect()
     }
 }
--- a/crates/porthoist-policy/src/gate.rs
+++ b/crates/porthoist-policy/src/gate.rs
@@ -201,7 +201,7 @@
     }
 
     /// A queued offer was given up before it ran: its ticket is spent.
-    pub fn gave_up(&mut self, key: GateKey) {
+    pub fn cancelled(&mut self, key: GateKey) {
         self.set_state(key, RecordState::Refused);
     }
 
--- a/crates/porthoist-policy/src/limits.rs
+++ b/crates/porthoist-policy/src/limits.rs
@@ -1,21 +1,21 @@
 //! Limits of teams: a rate and a concurrency for each team in a zone.
 //!
-//! An entry admits on borrowed tokens or a small credit and settles with the team's keeper, found by rendezvous among
-//! the zone's live entries. The keeper's one bucket bounds the zone; an entry that can't hear it uses its fair share.
+//! An entry admits on borrowed tokens or a small credit and settles with the team's coordinator, found by rendezvous among
+//! the zone's live entries. The coordinator's one bucket bounds the zone; an entry that can't hear it uses its fair share.
 
 use porthoist_core::{RefusalReason, RequestRate, TeamName, UnixMillis};
 use std::collections::HashMap;
 
 pub mod bucket;
-pub mod keeper;
+pub mod coordinator;
 
 use bucket::TokenBucket;
-use keeper::{SettleAsk, SettleTold};
+use coordinator::{SettleAsk, SettleTold};
 
 /// Seconds of a team's rate that may be used in one burst.
 pub const BURST_SECONDS: f64 = 0.25;
-/// The same for a keeper's bucket, which must hold what comes between two settlements.
-pub const KEEPER_BURST_SECONDS: f64 = 1.5;
+/// The same for a coordinator's bucket, which must hold what comes between two settlements.
+pub const COORDINATOR_BURST_SECONDS: f64 = 1.5;
 /// An entry keeps no state of a team that was silent for so long, in milliseconds.
 pub const IDLE_MILLIS: u64 = 60_000;
 /// A busy team is settled so often, in milliseconds.
@@ -24,7 +24,7 @@
 pub const LAZY_SETTLE_MILLIS: u64 = 120_000;
 /// An entry's credit is at least so many requests of a team that has a rate at all.
 pub const MIN_CREDIT: u32 = 4;
-/// After the keeper was not heard an entry uses its fair share for so long, in milliseconds.
+/// After the coordinator was not heard an entry uses its fair share for so long, in milliseconds.
 pub const FALLBACK_MILLIS: u64 = 2000;
 /// Time over which demand is averaged, in milliseconds.
 const DEMAND_MILLIS: f64 = 5000.0;
@@ -118,18 +118,18 @@
         }
     }
 
-    /// Teams to settle now, each with its keeper.
+    /// Teams to settle now, each with its coordinator.
     pub fn due(&mut self, now: UnixMillis) -> Vec<(TeamName, SettleAsk)> {
         let mut asks = Vec::new();
         for (team, team_use) in &mut self.teams {
             if let Some((debt, wanted)) = team_use.due(now) {
-                asks.push((team.clone(), SettleAsk { team: keeper::team_key(team), debt, wanted }));
+                asks.push((team.clone(), SettleAsk { team: coordinator::team_key(team), debt, wanted }));
             }
         }
         asks
     }
 
-    /// The keeper's answer.
+    /// The coordinator's answer.
     pub fn settled(&mut self, now: UnixMillis, team: &TeamName, ask: SettleAsk, told: SettleTold) {
         let Some(team_use) = self.teams.get_mut(team) else { return };
         team_use.waiting = false;
@@ -139,8 +139,8 @@
         team_use.fallback_until = UnixMillis(0);
     }
 
-    /// The keeper could not be heard: the fair share holds for a while.
-    pub fn keeper_silent(&mut self, now: UnixMillis, team: &TeamName) {
+    /// The coordinator could not be heard: the fair share holds for a while.
+    pub fn coordinator_unreachable(&mut self, now: UnixMillis, team: &TeamName) {
         let entries = self.entries;
         let Some(team_use) = self.teams.get_mut(team) else { return };
         team_use.waiting = false;
--- a/crates/porthoist-policy/src/limits/keeper.rs
+++ b/crates/porthoist-policy/src/limits/coordinator.rs
@@ -1,8 +1,8 @@
-//! The keeper of a team's limit: one bucket for the whole zone, lent out in batches.
+//! The coordinator of a team's limit: one bucket for the whole zone, lent out in batches.
 //!
-//! A new keeper begins with little in its bucket, so that a change of keepers admits hardly more than the rate.
+//! A new coordinator begins with little in its bucket, so that a change of coordinators admits hardly more than the rate.
 
-use super::{KEEPER_BURST_SECONDS, TeamLimit};
+use super::{COORDINATOR_BURST_SECONDS, TeamLimit};
 use porthoist_core::{TeamName, UnixMillis};
 use std::collections::HashMap;
 
@@ -11,7 +11,7 @@
     xxhash_rust::xxh3::xxh3_64(team.as_str().as_bytes())
 }
 
-/// What an entry asks of a keeper.
+/// What an entry asks of a coordinator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SettleAsk {
     /// The team.
@@ -22,7 +22,7 @@
     pub wanted: u32,
 }
 
-/// What a keeper answers.
+/// What a coordinator answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SettleTold {
     /// The team.
@@ -33,7 +33,7 @@
     pub wait_millis: u32,
 }
 
-/// Seconds of the rate that a new keeper begins with.
+/// Seconds of the rate that a new coordinator begins with.
 const FRESH_SECONDS: f64 = 0.3;
 
 #[derive(Debug)]
@@ -45,12 +45,12 @@
 
 /// The buckets of the teams that one entry keeps.
 #[derive(Debug, Default)]
-pub struct LimitKeeper {
+pub struct LimitCoordinator {
     buckets: HashMap<u64, KeptBucket>,
 }
 
-impl LimitKeeper {
-    /// A keeper without buckets.
+impl LimitCoordinator {
+    /// A coordinator without buckets.
     pub fn new() -> Self {
         Self::default()
     }
@@ -72,7 +72,7 @@
         let fresh = KeptBucket { tokens: rate * FRESH_SECONDS, filled_at: now, used_at: now };
         let kept = self.buckets.entry(ask.team).or_insert(fresh);
         let elapsed = now.since(kept.filled_at) as f64 / 1000.0;
-        kept.tokens = (kept.tokens + elapsed * rate).min((rate * KEEPER_BURST_SECONDS).max(1.0));
+        kept.tokens = (kept.tokens + elapsed * rate).min((rate * COORDINATOR_BURST_SECONDS).max(1.0));
         kept.filled_at = now;
         kept.used_at = now;
         kept.tokens -= f64::from(ask.debt);
--- a/crates/porthoist-policy/src/placement.rs
+++ b/crates/porthoist-policy/src/placement.rs
@@ -5,8 +5,8 @@
 
 pub mod copying;
 pub mod demand;
+pub mod equal_shares;
 pub mod estimate;
-pub mod even;
 pub mod map;
 pub mod shares;
 
@@ -158,7 +158,7 @@
 
 /// Places all experts anew: replicas for the hottest, then longest first onto the least loaded rank. This is the
 /// baseline that moves whatever it likes.
-pub fn place_anew(estimate: &GroupEstimate, ranks: usize, slots: usize) -> ExpertMap {
+pub fn place_from_scratch(estimate: &GroupEstimate, ranks: usize, slots: usize) -> ExpertMap {
     let experts = estimate.popularity.len();
     let mut replicas = vec![1_usize; experts];
     for _ in experts..ranks * slots {
--- a/crates/porthoist-policy/src/placement/copying.rs
+++ b/crates/porthoist-policy/src/placement/copying.rs
@@ -42,14 +42,14 @@
 
 impl CopyTimes {
     /// Takes that the rank with most new experts had so many of them after so many milliseconds.
-    pub fn copied(&mut self, copies: usize, millis: f64) {
+    pub fn record_copies(&mut self, copies: usize, millis: f64) {
         if copies > 0 {
             self.copy.add(millis / copies as f64);
         }
     }
 
     /// Takes the milliseconds from the last copy to the map in force.
-    pub fn switched(&mut self, millis: f64) {
+    pub fn record_switch(&mut self, millis: f64) {
         self.switch.add(millis);
     }
 
@@ -63,7 +63,7 @@
     /// `wanted` copies in plans of n take wanted / n switches; a copy serves on the average from the middle of its own
     /// plan on. The sum of both delays is least at the root of wanted x switch / copy. On links where a copy takes 0.4 s
     /// this is one, and days gain 0.1 of their worth over plans of four; where it takes 0.1 s it is three.
-    pub fn copies_a_rank(&self, wanted: usize) -> usize {
+    pub fn copies_per_rank(&self, wanted: usize) -> usize {
         let Some(copy) = self.copy.get() else { return 1 };
         let switch = self.switch.get().unwrap_or(FIRST_SWITCH_MILLIS);
         let best = (wanted as f64 * switch / copy.max(1.0)).sqrt();
--- a/crates/porthoist-policy/src/placement/demand.rs
+++ b/crates/porthoist-policy/src/placement/demand.rs
@@ -21,11 +21,11 @@
 
 /// What a window of counts shows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum DemandNews {
+pub enum DemandChange {
     /// The demand that was known.
     Steady,
     /// A shift may have begun; the next window shows all of it. The estimate is still the old one.
-    Straying,
+    PossibleShift,
     /// A shift; the estimate is this window.
     Shifted,
 }
@@ -55,29 +55,29 @@
     }
 
     /// Takes the counts of a window, set after set.
-    pub fn window(&mut self, counts: &[u64]) -> DemandNews {
+    pub fn add_window(&mut self, counts: &[u64]) -> DemandChange {
         let window: Vec<Vec<f64>> = counts.chunks(self.experts.max(1)).map(shares).collect();
         let total = counts.iter().sum::<u64>() as f64 / self.demand.len().max(1) as f64;
         if total <= 0.0 || window.len() != self.demand.len() {
-            return DemandNews::Steady;
+            return DemandChange::Steady;
         }
         if self.weight <= 0.0 {
             self.adopt(window, total);
-            return DemandNews::Shifted;
+            return DemandChange::Shifted;
         }
         let strayed = self.distance(&window) / (1.0 / total + 1.0 / self.weight).sqrt();
         let surprising = self.usual().is_some_and(|usual| strayed > SHIFT_FACTOR * usual);
         match (surprising, std::mem::replace(&mut self.straying, surprising)) {
-            (true, false) => DemandNews::Straying,
+            (true, false) => DemandChange::PossibleShift,
             (true, true) => {
                 self.straying = false;
                 self.adopt(window, total);
-                DemandNews::Shifted
+                DemandChange::Shifted
             }
             (false, _) => {
                 self.remember(strayed);
                 self.absorb(&window, total);
-                DemandNews::Steady
+                DemandChange::Steady
             }
         }
     }
--- a/crates/porthoist-policy/src/placement/even.rs
+++ b/crates/porthoist-policy/src/placement/equal_shares.rs
@@ -5,7 +5,7 @@
 //! none.
 
 use super::map::ExpertId;
-use crate::forward::RankPace;
+use crate::roll_forward::RankPace;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
@@ -22,11 +22,11 @@
 /// Which experts each rank holds, by set and rank. Clones share the lists: a process keeps one for each peer that it sent
 /// the map to, and those of 129 ranks are 100 KB.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct EvenMap {
+pub struct EqualShareMap {
     sets: Arc<Vec<Vec<Vec<ExpertId>>>>,
 }
 
-impl EvenMap {
+impl EqualShareMap {
     /// A map from its lists, by set and rank.
     pub fn new(sets: Vec<Vec<Vec<ExpertId>>>) -> Self {
         Self { sets: Arc::new(sets) }
@@ -85,7 +85,7 @@
     }
 
     /// Experts that are new to a rank beside an earlier map.
-    pub fn new_to(&self, earlier: &Self, rank: usize) -> usize {
+    pub fn new_experts(&self, earlier: &Self, rank: usize) -> usize {
         let sets = self.sets.iter().zip(earlier.sets.iter());
         sets.map(|(new, old)| new[rank].iter().filter(|expert| !old[rank].contains(expert)).count()).sum()
     }
@@ -104,7 +104,7 @@
 
 /// Bounds of one plan.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct EvenBounds {
+pub struct EqualShareBounds {
     /// Experts of a set that a rank holds at most.
     pub places: usize,
     /// Experts of a set that may be new to a rank.
@@ -117,9 +117,9 @@
 
 /// A better map.
 #[derive(Debug, Clone, PartialEq)]
-pub struct EvenPlan {
+pub struct EqualSharePlan {
     /// The map.
-    pub map: EvenMap,
+    pub map: EqualShareMap,
     /// Replicas to copy.
     pub moves: usize,
     /// Mean over the sets of the most loaded rank's load by the mean load, before.
@@ -139,7 +139,7 @@
 }
 
 /// Mean over the sets of the most loaded rank's load by the mean load.
-pub fn skew(map: &EvenMap, demand: &[Vec<f64>]) -> f64 {
+pub fn skew(map: &EqualShareMap, demand: &[Vec<f64>]) -> f64 {
     let peaks = map.sets.iter().zip(demand).map(|(ranks, demand)| peak(&rank_loads(ranks, demand)));
     peaks.sum::<f64>() / map.sets.len().max(1) as f64
 }
@@ -240,7 +240,7 @@
     }
 
     /// The best move for the most loaded rank; `room` says whether a rank may take something new.
-    fn best_move(&self, bounds: &EvenBounds, room: &[bool]) -> Option<ReplicaMove> {
+    fn best_move(&self, bounds: &EqualShareBounds, room: &[bool]) -> Option<ReplicaMove> {
         let hottest =
             (0..self.loads.len()).max_by(|left, right| self.loads[*left].total_cmp(&self.loads[*right]))?;
         let mut hot = self.ranks[hottest].clone();
@@ -279,7 +279,7 @@
         drops.max_by(|left, right| left.gain.total_cmp(&right.gain)).filter(|drop| drop.gain > DROP_GAIN)
     }
 
-    fn takes(&self, rank: usize, expert: ExpertId, bounds: &EvenBounds, room: &[bool]) -> bool {
+    fn takes(&self, rank: usize, expert: ExpertId, bounds: &EqualShareBounds, room: &[bool]) -> bool {
         if self.ranks[rank].contains(&expert) {
             return false;
         }
@@ -288,7 +288,7 @@
     }
 
     /// What may go to make room: replicas of experts that are elsewhere too, the least loaded first.
-    fn evictions(&self, rank: usize, expert: ExpertId, bounds: &EvenBounds) -> Vec<Option<ExpertId>> {
+    fn evictions(&self, rank: usize, expert: ExpertId, bounds: &EqualShareBounds) -> Vec<Option<ExpertId>> {
         if self.ranks[rank].len() < bounds.places {
             return vec![None];
         }
@@ -382,14 +382,19 @@
 }
 
 /// Mean over the sets of the most loaded rank's load, slow ranks' counted as long as they take, by the mean load.
-fn paced_skew(map: &EvenMap, demand: &[Vec<f64>], paces: &[f64]) -> f64 {
+fn paced_skew(map: &EqualShareMap, demand: &[Vec<f64>], paces: &[f64]) -> f64 {
     let most = |loads: Vec<f64>| loads.into_iter().fold(0.0, f64::max) * paces.len() as f64;
     let peaks = map.sets.iter().zip(demand).map(|(ranks, demand)| most(paced_loads(ranks, demand, paces)));
     peaks.sum::<f64>() / map.sets.len().max(1) as f64
 }
 
 /// Improves a map for a demand by set; each set's demand sums to 1. Ranks whose pace is not given are healthy.
-pub fn improve(map: &EvenMap, demand: &[Vec<f64>], paces: &[RankPace], bounds: &EvenBounds) -> EvenPlan {
+pub fn improve(
+    map: &EqualShareMap,
+    demand: &[Vec<f64>],
+    paces: &[RankPace],
+    bounds: &EqualShareBounds,
+) -> EqualSharePlan {
     let ranks = map.sets.first().map_or(0, Vec::len);
     let factor = |rank: usize| paces.get(rank).copied().unwrap_or_default().factor();
     let paces: Vec<f64> = (0..ranks).map(factor).collect();
@@ -410,9 +415,9 @@
         candidates = plans.iter().map(|plan| plan.best_move(bounds, &room)).collect();
     }
     let moves = plans.iter().flat_map(|plan| &plan.new).sum();
-    let better = EvenMap::new(plans.into_iter().map(|plan| plan.ranks).collect());
+    let better = EqualShareMap::new(plans.into_iter().map(|plan| plan.ranks).collect());
     let (skew_before, skew_after) = (paced_skew(map, demand, &paces), paced_skew(&better, demand, &paces));
-    EvenPlan { moves, skew_before, skew_after, map: better }
+    EqualSharePlan { moves, skew_before, skew_after, map: better }
 }
 
 fn best_candidate(candidates: &[Option<ReplicaMove>], price: f64) -> Option<(usize, ReplicaMove)> {
--- a/crates/porthoist-policy/src/placement/map.rs
+++ b/crates/porthoist-policy/src/placement/map.rs
@@ -116,7 +116,7 @@
     }
 
     /// Replicas of `self` that `other` does not have: what must be loaded to come from `other` to `self`.
-    pub fn loads_from(&self, other: &Self) -> usize {
+    pub fn replicas_missing_in(&self, other: &Self) -> usize {
         let missing = |rank: usize| {
             let id = RankId(rank as u16);
             self.held(id).iter().filter(|expert| !other.holds(id, **expert)).count()
--- a/crates/porthoist-policy/src/proxy/loads.rs
+++ b/crates/porthoist-policy/src/proxy/loads.rs
@@ -4,7 +4,7 @@
 //! reported less its own share at that moment.
 
 use super::pass_time::GroupPass;
-use crate::forward::RankPace;
+use crate::roll_forward::RankPace;
 use porthoist_core::{UnixDeadline, UnixMillis};
 use std::net::Ipv4Addr;
 
--- a/crates/porthoist-policy/src/proxy/pass_time.rs
+++ b/crates/porthoist-policy/src/proxy/pass_time.rs
@@ -3,7 +3,7 @@
 //! All ranks of a group run each pass together, so that one rank which is slow, held or cut off delays all of them. The
 //! time of a pass tells this at once and whatever the cause.
 
-use crate::forward::{GroupEpoch, RankPace};
+use crate::roll_forward::{GroupEpoch, RankPace};
 use crate::switch::StepNumber;
 use porthoist_core::UnixMillis;
 use serde::{Deserialize, Serialize};
--- a/crates/porthoist-policy/src/forward.rs
+++ b/crates/porthoist-policy/src/roll_forward.rs
@@ -98,7 +98,7 @@
 /// Rules that the model checker breaks one at a time.
 #[expect(clippy::struct_excessive_bools, reason = "each flag is one rule that the checker breaks alone")]
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ForwardRules {
+pub struct RollForwardRules {
     /// A prepare names the number of orders begun.
     pub prepare_precondition: bool,
     /// Ranks are armed only when the hold was read back.
@@ -115,7 +115,7 @@
     pub wait_out_old_holds: bool,
 }
 
-impl ForwardRules {
+impl RollForwardRules {
     /// The rules in force.
     pub const SOUND: Self = Self {
         prepare_precondition: true,
@@ -138,8 +138,8 @@
 
 /// Drives the switches of one group from the reports of all its ranks, the first rank's read before the others'.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ForwardDriver {
-    rules: ForwardRules,
+pub struct RollForwardDriver {
+    rules: RollForwardRules,
     epoch: Option<GroupEpoch>,
     first_step: StepNumber,
     phase: SwitchPhase,
@@ -149,9 +149,9 @@
 /// Orders with the index of the rank that gets each.
 pub type RankOrders = Vec<(usize, EngineOrder)>;
 
-impl ForwardDriver {
+impl RollForwardDriver {
     /// A driver that knows nothing yet.
-    pub fn new(rules: ForwardRules) -> Self {
+    pub fn new(rules: RollForwardRules) -> Self {
         Self {
             rules,
             epoch: None,
@@ -162,7 +162,7 @@
     }
 
     /// Whether a new map may be prepared: the ranks are alike, and nothing of an earlier switch is left.
-    pub fn at_rest(&mut self, views: &[RankView]) -> bool {
+    pub fn can_begin(&mut self, views: &[RankView]) -> bool {
         let Some(epoch) = common_epoch(views) else { return false };
         self.enter(epoch, views[0].step);
         let waited = views[0].step.0 >= self.first_step.0 + LEAD_STEPS || !self.rules.wait_out_old_holds;
@@ -212,7 +212,7 @@
     }
 
     /// Whether a rank already uses the map that is switched to: then views of all are worth reading.
-    pub fn switched(&self, views: &[RankView]) -> bool {
+    pub fn any_rank_switched(&self, views: &[RankView]) -> bool {
         self.target().is_some_and(|version| views.iter().any(|view| view.map == version))
     }
 
--- a/crates/porthoist-policy/src/switch.rs
+++ b/crates/porthoist-policy/src/switch.rs
@@ -94,7 +94,7 @@
 
 /// What an engine holds of its rank; it outlives the process beside it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeptRank {
+pub struct SavedRank {
     /// The promised ballot: the highest fencing number that the engine has seen.
     pub promised: LeaderBallot,
     /// The switch that it holds for.
@@ -125,15 +125,15 @@
     }
 
     /// A rank as its engine holds it, for a process that starts beside it.
-    pub fn restored(kept: KeptRank) -> Self {
-        let KeptRank { promised, armed, committed, map, started } = kept;
+    pub fn restored(kept: SavedRank) -> Self {
+        let SavedRank { promised, armed, committed, map, started } = kept;
         Self { rules: SwitchRules::SOUND, promised, armed, committed, map, started }
     }
 
     /// What the engine must hold of this rank.
-    pub fn kept(&self) -> KeptRank {
+    pub fn saved(&self) -> SavedRank {
         let Self { promised, armed, committed, map, started, .. } = *self;
-        KeptRank { promised, armed, committed, map, started }
+        SavedRank { promised, armed, committed, map, started }
     }
 
     /// The engine has started this step.
--- a/crates/porthoist-policy/tests/policy/copying.rs
+++ b/crates/porthoist-policy/tests/policy/copying.rs
@@ -6,8 +6,8 @@
 fn times(copy_millis: f64, switch_millis: f64) -> CopyTimes {
     let mut times = CopyTimes::default();
     for copies in 1..=5 {
-        times.copied(copies, copy_millis * copies as f64);
-        times.switched(switch_millis);
+        times.record_copies(copies, copy_millis * copies as f64);
+        times.record_switch(switch_millis);
     }
     times
 }
@@ -16,17 +16,17 @@
 #[test_case(100.0, 200.0, 3; "a link four times faster")]
 #[test_case(10.0, 200.0, 4; "copies that take next to nothing")]
 fn a_plan_gives_a_rank_as_many_copies_as_pay(copy_millis: f64, switch_millis: f64, expected: usize) {
-    assert_eq!(times(copy_millis, switch_millis).copies_a_rank(4), expected);
+    assert_eq!(times(copy_millis, switch_millis).copies_per_rank(4), expected);
 }
 
 #[test]
 fn the_first_plan_is_the_shortest() {
-    assert_eq!(CopyTimes::default().copies_a_rank(4), 1);
+    assert_eq!(CopyTimes::default().copies_per_rank(4), 1);
 }
 
 #[test]
 fn a_copy_that_waited_for_a_lost_order_does_not_count() {
     let mut times = times(400.0, 150.0);
-    times.copied(1, 6_000.0);
+    times.record_copies(1, 6_000.0);
     assert_eq!(times.copy_millis(), Some(400.0));
 }
--- a/crates/porthoist-policy/tests/policy/demand.rs
+++ b/crates/porthoist-policy/tests/policy/demand.rs
@@ -1,6 +1,6 @@
 //! Shifts of demand told from the noise of windows that hold few requests.
 
-use porthoist_policy::placement::demand::{DemandEstimator, DemandNews};
+use porthoist_policy::placement::demand::{DemandChange, DemandEstimator};
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
@@ -47,7 +47,7 @@
     let mut estimator = DemandEstimator::new(SETS, EXPERTS);
     let mut news: BTreeMap<String, usize> = BTreeMap::new();
     for _window in 0..1_000 {
-        *news.entry(format!("{:?}", estimator.window(&window(&mut random, 0)))).or_default() += 1;
+        *news.entry(format!("{:?}", estimator.add_window(&window(&mut random, 0)))).or_default() += 1;
     }
     // The first window is all that is known.
     assert_eq!(news, BTreeMap::from([("Shifted".to_owned(), 1), ("Steady".to_owned(), 999)]));
@@ -59,10 +59,14 @@
     let mut estimator = DemandEstimator::new(SETS, EXPERTS);
     for shift in 1..20 {
         for _window in 0..20 {
-            estimator.window(&window(&mut random, shift * 30));
+            estimator.add_window(&window(&mut random, shift * 30));
         }
-        let news = [0, 1, 2].map(|_window| estimator.window(&window(&mut random, (shift + 1) * 30)));
-        assert_eq!(news, [DemandNews::Straying, DemandNews::Shifted, DemandNews::Steady], "shift {shift}");
+        let news = [0, 1, 2].map(|_window| estimator.add_window(&window(&mut random, (shift + 1) * 30)));
+        assert_eq!(
+            news,
+            [DemandChange::PossibleShift, DemandChange::Shifted, DemandChange::Steady],
+            "shift {shift}"
+        );
     }
 }
 
@@ -71,11 +75,11 @@
     let mut random = Pcg64Mcg::seed_from_u64(3);
     let mut estimator = DemandEstimator::new(SETS, EXPERTS);
     for _window in 0..20 {
-        estimator.window(&window(&mut random, 0));
+        estimator.add_window(&window(&mut random, 0));
     }
     let mut errors = Vec::new();
     for _window in 0..10 {
-        estimator.window(&window(&mut random, 48));
+        estimator.add_window(&window(&mut random, 48));
         errors.push(distance(estimator.demand(), 48));
     }
     // The first window is not believed; from the second on, the error falls with the root of their number.
@@ -88,8 +92,8 @@
 fn counts_of_another_shape_change_nothing() {
     let mut estimator = DemandEstimator::new(SETS, EXPERTS);
     let before = estimator.demand().to_vec();
-    assert_eq!(estimator.window(&[5; EXPERTS]), DemandNews::Steady);
-    assert_eq!(estimator.window(&[0; SETS * EXPERTS]), DemandNews::Steady);
+    assert_eq!(estimator.add_window(&[5; EXPERTS]), DemandChange::Steady);
+    assert_eq!(estimator.add_window(&[0; SETS * EXPERTS]), DemandChange::Steady);
     assert_eq!(estimator.demand(), before);
 }
 
@@ -99,13 +103,13 @@
     let mut random = Pcg64Mcg::seed_from_u64(4);
     let mut estimator = DemandEstimator::new(SETS, EXPERTS);
     for centre in [0, 30, 30, 30] {
-        estimator.window(&window(&mut random, centre));
+        estimator.add_window(&window(&mut random, centre));
     }
     let mut seen = 0;
     for shift in 2..8 {
         for _window in 0..12 {
-            let news = estimator.window(&window(&mut random, shift * 30));
-            seen += u32::from(news == DemandNews::Shifted);
+            let news = estimator.add_window(&window(&mut random, shift * 30));
+            seen += u32::from(news == DemandChange::Shifted);
         }
     }
     assert_eq!(seen, 6);
--- a/crates/porthoist-policy/tests/policy/even.rs
+++ b/crates/porthoist-policy/tests/policy/even.rs
@@ -1,8 +1,8 @@
 //! Expert maps whose replicas share evenly.
 
-use porthoist_policy::forward::RankPace;
-use porthoist_policy::placement::even::{EvenBounds, EvenMap, improve, rank_loads, skew};
+use porthoist_policy::placement::equal_shares::{EqualShareBounds, EqualShareMap, improve, rank_loads, skew};
 use porthoist_policy::placement::map::ExpertId;
+use porthoist_policy::roll_forward::RankPace;
 use proptest::prelude::*;
 
 const RANKS: usize = 6;
@@ -10,14 +10,14 @@
 const PLACES: usize = 4;
 
 /// Experts in turn; each rank lists its first expert a second time in its last place.
-fn first_map(sets: usize) -> EvenMap {
+fn first_map(sets: usize) -> EqualShareMap {
     let held =
         |rank: usize| (0..PLACES).map(|place| ExpertId(((place * RANKS + rank) % EXPERTS) as u16)).collect();
-    EvenMap::new(vec![(0..RANKS).map(held).collect(); sets])
+    EqualShareMap::new(vec![(0..RANKS).map(held).collect(); sets])
 }
 
-fn bounds(spare: usize, new_a_rank: usize) -> EvenBounds {
-    EvenBounds { places: PLACES, spare, new_a_rank, move_price: 0.005 }
+fn bounds(spare: usize, new_a_rank: usize) -> EqualShareBounds {
+    EqualShareBounds { places: PLACES, spare, new_a_rank, move_price: 0.005 }
 }
 
 /// A demand in which some experts are liked far more.
@@ -48,7 +48,7 @@
 #[test]
 fn an_even_demand_moves_nothing() {
     let demand = vec![vec![1.0 / EXPERTS as f64; EXPERTS]];
-    let even = EvenMap::new(vec![
+    let even = EqualShareMap::new(vec![
         (0..RANKS)
             .map(|rank| (0..3).map(|place| ExpertId((place * RANKS + rank) as u16)).collect())
             .collect(),
@@ -64,8 +64,8 @@
     assert_ne!(next, first);
     let changes = next.changes_from(Some(&first));
     assert!(changes.len() < 2 * RANKS, "only the lists that differ");
-    assert_eq!(EvenMap::with_changes(Some(first), changes), next);
-    assert_eq!(EvenMap::with_changes(None, next.changes_from(None)), next);
+    assert_eq!(EqualShareMap::with_changes(Some(first), changes), next);
+    assert_eq!(EqualShareMap::with_changes(None, next.changes_from(None)), next);
 }
 
 proptest! {
@@ -90,7 +90,7 @@
             }
         }
         for rank in 0..RANKS {
-            prop_assert!(plan.map.new_to(&first, rank) <= new_a_rank);
+            prop_assert!(plan.map.new_experts(&first, rank) <= new_a_rank);
         }
     }
 }
@@ -102,7 +102,7 @@
     let ranks = first_map(2).sets()[0].len();
     let slow: Vec<RankPace> =
         (0..ranks).map(|rank| if rank == 1 { RankPace(12_000) } else { RankPace::USUAL }).collect();
-    let settled = |mut map: EvenMap, paces: &[RankPace]| {
+    let settled = |mut map: EqualShareMap, paces: &[RankPace]| {
         for _plan in 0..12 {
             map = improve(&map, &demand, paces, &bounds(2, 1)).map;
         }
--- a/crates/porthoist-policy/tests/policy/forward.rs
+++ b/crates/porthoist-policy/tests/policy/forward.rs
@@ -1,7 +1,7 @@
 //! The switch that only rolls forward, order by order.
 
-use porthoist_policy::forward::{
-    ArmedMap, EngineOrder, ForwardDriver, ForwardRules, GroupEpoch, OrderSequence, RankView,
+use porthoist_policy::roll_forward::{
+    ArmedMap, EngineOrder, GroupEpoch, OrderSequence, RankView, RollForwardDriver, RollForwardRules,
 };
 use porthoist_policy::switch::{MapVersion, StepNumber};
 
@@ -21,11 +21,11 @@
 }
 
 /// A driver that has waited long enough, and the reports it saw last.
-fn rested() -> (ForwardDriver, Vec<RankView>) {
-    let mut driver = ForwardDriver::new(ForwardRules::SOUND);
-    assert!(!driver.at_rest(&[view(5), view(5)]), "an old hold may still come into force");
+fn rested() -> (RollForwardDriver, Vec<RankView>) {
+    let mut driver = RollForwardDriver::new(RollForwardRules::SOUND);
+    assert!(!driver.can_begin(&[view(5), view(5)]), "an old hold may still come into force");
     let views = vec![view(7), view(7)];
-    assert!(driver.at_rest(&views));
+    assert!(driver.can_begin(&views));
     (driver, views)
 }
 
@@ -55,7 +55,7 @@
         *rank = RankView { map: version, armed: None, prepared: None, ..view(9) };
     }
     assert_eq!(driver.next(&views), []);
-    assert!(driver.at_rest(&views) && !driver.holding());
+    assert!(driver.can_begin(&views) && !driver.holding());
 }
 
 #[test]
@@ -81,8 +81,8 @@
     }
     views[0].held = Some(armed.step);
     views[2].armed = Some(armed);
-    let mut driver = ForwardDriver::new(ForwardRules::SOUND);
-    assert!(!driver.at_rest(&views));
+    let mut driver = RollForwardDriver::new(RollForwardRules::SOUND);
+    assert!(!driver.can_begin(&views));
     let arm = EngineOrder::Arm { epoch: EPOCH, armed };
     assert_eq!(driver.next(&views), [(0, arm), (1, arm)]);
 }
--- a/crates/porthoist-policy/tests/policy/limits.rs
+++ b/crates/porthoist-policy/tests/policy/limits.rs
@@ -1,7 +1,7 @@
 //! Limits of teams.
 
 use porthoist_core::{RefusalReason, RequestRate, TeamName, UnixMillis};
-use porthoist_policy::limits::keeper::LimitKeeper;
+use porthoist_policy::limits::coordinator::LimitCoordinator;
 use porthoist_policy::limits::{EntryLimiter, IDLE_MILLIS, LAZY_SETTLE_MILLIS, TeamLimit};
 
 fn team() -> TeamName {
@@ -13,10 +13,10 @@
 }
 
 /// Asks for more than the limit for some seconds through two entries, the second with a tenth of the requests.
-fn admitted_through_two(keeper_heard: bool, seconds: u64) -> u64 {
+fn admitted_through_two(coordinator_heard: bool, seconds: u64) -> u64 {
     let limit = limit(100.0, 1000);
     let mut entries = [EntryLimiter::new(2), EntryLimiter::new(2)];
-    let mut keeper = LimitKeeper::new();
+    let mut coordinator = LimitCoordinator::new();
     let mut admitted = 0;
     for now in 0..seconds * 1000 {
         let now = UnixMillis(10_000 + now);
@@ -27,11 +27,11 @@
         }
         for limiter in &mut entries {
             for (name, ask) in limiter.due(now) {
-                if keeper_heard {
-                    let told = keeper.settle(now, ask, limit);
+                if coordinator_heard {
+                    let told = coordinator.settle(now, ask, limit);
                     limiter.settled(now, &name, ask, told);
                 } else {
-                    limiter.keeper_silent(now, &name);
+                    limiter.coordinator_unreachable(now, &name);
                 }
             }
         }
@@ -79,7 +79,7 @@
     let due = entry.due(settled_at);
     assert_eq!(due.len(), 1, "the debt is settled before the team is forgotten");
     for (name, ask) in due {
-        let told = LimitKeeper::new().settle(settled_at, ask, limit(10.0, 3));
+        let told = LimitCoordinator::new().settle(settled_at, ask, limit(10.0, 3));
         entry.settled(settled_at, &name, ask, told);
     }
     entry.forget_idle(settled_at.plus(IDLE_MILLIS));
--- a/crates/porthoist-policy/tests/policy/loads.rs
+++ b/crates/porthoist-policy/tests/policy/loads.rs
@@ -1,7 +1,6 @@
 //! Placement by the loads that a group's engines report.
 
 use porthoist_core::{BirthMillis, ServiceName, TargetName, UnixMillis};
-use porthoist_policy::forward::RankPace;
 use porthoist_policy::proxy::cold::ColdWord;
 use porthoist_policy::proxy::loads::{GroupLoads, LoadRevision, REPORT_MILLIS, RankLoad, weighed_requests};
 use porthoist_policy::proxy::pass_time::GroupPass;
@@ -9,6 +8,7 @@
     BoardSettings, LoadBoard, ReportedRequests, RequestWork, SendOutcome,
 };
 use porthoist_policy::proxy::targets::{TargetBook, TargetLife, TargetRecord, TargetState};
+use porthoist_policy::roll_forward::RankPace;
 use std::net::Ipv4Addr;
 use test_case::test_case;
 
--- a/crates/porthoist-policy/tests/policy/pass_time.rs
+++ b/crates/porthoist-policy/tests/policy/pass_time.rs
@@ -1,8 +1,8 @@
 //! Pass times measured from the numbers of passes begun.
 
 use porthoist_core::UnixMillis;
-use porthoist_policy::forward::{GroupEpoch, RankPace};
 use porthoist_policy::proxy::pass_time::{GroupPass, PassTimer, SeenGroup};
+use porthoist_policy::roll_forward::{GroupEpoch, RankPace};
 use porthoist_policy::switch::StepNumber;
 
 fn seen(epoch: u32, step: u32, working: bool) -> SeenGroup {
--- a/crates/porthoist-policy/tests/policy/placement.rs
+++ b/crates/porthoist-policy/tests/policy/placement.rs
@@ -1,7 +1,7 @@
 //! Expert placement.
 
 use porthoist_policy::placement::map::{ExpertId, RankId};
-use porthoist_policy::placement::{GroupEstimate, PlannerSettings, peak, place_anew, plan, reshare};
+use porthoist_policy::placement::{GroupEstimate, PlannerSettings, peak, place_from_scratch, plan, reshare};
 
 fn zipf(experts: usize, hottest: usize) -> Vec<f64> {
     let weight = |expert: usize| 1.0 / ((expert + experts - hottest) % experts + 1) as f64;
@@ -16,7 +16,7 @@
 
 #[test]
 fn every_expert_has_a_place_and_shares_sum_to_one() {
-    let map = place_anew(&estimate(0), 8, 5);
+    let map = place_from_scratch(&estimate(0), 8, 5);
     for expert in 0..32 {
         let total: f64 = map.replicas(ExpertId(expert)).iter().map(|replica| replica.share).sum();
         assert!((total - 1.0).abs() < 1e-9, "expert {expert}: {total}");
@@ -28,29 +28,29 @@
 
 #[test]
 fn shares_alone_help_a_group_with_a_straggler() {
-    let map = place_anew(&estimate(0), 8, 5);
+    let map = place_from_scratch(&estimate(0), 8, 5);
     let mut slow = estimate(0);
     slow.speed[2] = 0.6;
     let before = peak(&map, &slow);
     let shared = reshare(&map, &slow);
     assert!(peak(&shared, &slow) < before);
-    assert_eq!(shared.loads_from(&map), 0, "no expert moves");
+    assert_eq!(shared.replicas_missing_in(&map), 0, "no expert moves");
 }
 
 #[test]
 fn a_jump_is_answered_by_few_moves() {
-    let map = place_anew(&estimate(0), 8, 5);
+    let map = place_from_scratch(&estimate(0), 8, 5);
     let jumped = estimate(17);
     let settings = PlannerSettings::builder().skew_weight(4.0).move_weight(1.0).build();
     let plan = plan(&map, &jumped, &settings);
     assert!(plan.peak_after < plan.peak_before);
-    assert_eq!(plan.map.loads_from(&map), plan.moves.len());
+    assert_eq!(plan.map.replicas_missing_in(&map), plan.moves.len());
     assert!(plan.moves.len() <= settings.max_moves);
 }
 
 #[test]
 fn a_high_price_of_moves_keeps_the_map() {
-    let map = place_anew(&estimate(0), 8, 5);
+    let map = place_from_scratch(&estimate(0), 8, 5);
     let settings = PlannerSettings::builder().skew_weight(1.0).move_weight(1_000_000.0).build();
     assert_eq!(plan(&map, &estimate(17), &settings).moves, []);
 }
--- a/crates/porthoist-scenario/src/world/ports.rs
+++ b/crates/porthoist-scenario/src/world/ports.rs
@@ -279,9 +279,9 @@
     ) -> BoxFuture<'_, ClaimEvent<TicketText>> {
         Box::pin(async move {
             self.0.awake().await;
-            let Ok(value) = serde_json::to_value(row) else { return ClaimEvent::TableSilent };
+            let Ok(value) = serde_json::to_value(row) else { return ClaimEvent::TableUnavailable };
             if !self.0.network.hears(&self.0.zone, PLATFORM) {
-                return ClaimEvent::TableSilent;
+                return ClaimEvent::TableUnavailable;
             }
             let key = format!("{CLAIM_PREFIX}{key}");
             let write = TableWrite { key, if_version: expected, unconditional: false, value: Some(value) };
@@ -294,7 +294,7 @@
                         version.zip(row).map(|(version, row)| VersionedClaim { version, row }),
                     )
                 }
-                None => ClaimEvent::TableSilent,
+                None => ClaimEvent::TableUnavailable,
             }
         })
     }
@@ -303,14 +303,14 @@
         Box::pin(async move {
             self.0.awake().await;
             if !self.0.network.hears(&self.0.zone, PLATFORM) {
-                return ClaimEvent::TableSilent;
+                return ClaimEvent::TableUnavailable;
             }
             match self.0.platform.item(format!("{CLAIM_PREFIX}{key}")).await {
                 Ok(item) => ClaimEvent::Read(item.and_then(|item| {
                     let row = serde_json::from_value(item.value?).ok()?;
                     Some(VersionedClaim { version: item.version, row })
                 })),
-                Err(_silent) => ClaimEvent::TableSilent,
+                Err(_silent) => ClaimEvent::TableUnavailable,
             }
         })
     }
--- a/crates/porthoist-spec/src/models.rs
+++ b/crates/porthoist-spec/src/models.rs
@@ -9,9 +9,9 @@
 use crate::search::{SearchReport, search};
 use porthoist_policy::adoption::AdoptRules;
 use porthoist_policy::claim::ClaimRules;
-use porthoist_policy::forward::ForwardRules;
 use porthoist_policy::gate::GateRules;
 use porthoist_policy::retry::RetryRules;
+use porthoist_policy::roll_forward::RollForwardRules;
 use porthoist_policy::switch::SwitchRules;
 
 /// A model with one rule broken.
@@ -200,7 +200,7 @@
 fn forward_bounds(large: bool) -> forward::ForwardModel {
     let ranks = if large { 3 } else { 2 };
     forward::ForwardModel {
-        rules: ForwardRules::SOUND,
+        rules: RollForwardRules::SOUND,
         epochs_checked: true,
         ranks,
         steps: 5,
@@ -218,7 +218,7 @@
             search(&forward::ForwardModel { rules, ..forward_bounds(large) }, limit)
         })
     };
-    let sound = ForwardRules::SOUND;
+    let sound = RollForwardRules::SOUND;
     CheckedModel {
         name: "one expert map per pass, rolled forward by orders",
         bounds: "2 ranks (3 in the large run), 5 passes, 2 maps, 1 restart of the driver, orders lost, doubled and late \
@@ -227,13 +227,16 @@
         mutants: vec![
             mutant(
                 "ranks are armed before the hold is read back",
-                ForwardRules { read_back_hold: false, ..sound },
+                RollForwardRules { read_back_hold: false, ..sound },
             ),
             mutant(
                 "released with one rank not read back as armed",
-                ForwardRules { read_back_armed: false, ..sound },
+                RollForwardRules { read_back_armed: false, ..sound },
+            ),
+            mutant(
+                "released because no rank was seen armed",
+                RollForwardRules { never_give_up: false, ..sound },
             ),
-            mutant("released because no rank was seen armed", ForwardRules { never_give_up: false, ..sound }),
         ],
     }
 }
@@ -245,7 +248,7 @@
             forward::search_held(&forward::ForwardModel { rules, ..bounds }, limit)
         })
     };
-    let sound = ForwardRules::SOUND;
+    let sound = RollForwardRules::SOUND;
     CheckedModel {
         name: "a held group goes on, whatever is late",
         bounds: "2 ranks, 5 passes, 2 maps, 2 restarts of the driver, orders lost, doubled and late without bound",
@@ -253,16 +256,16 @@
         mutants: vec![
             mutant(
                 "a prepare names no number of orders",
-                ForwardRules { prepare_precondition: false, ..sound },
+                RollForwardRules { prepare_precondition: false, ..sound },
             ),
-            mutant("a hold that is found is left", ForwardRules { take_over_hold: false, ..sound }),
+            mutant("a hold that is found is left", RollForwardRules { take_over_hold: false, ..sound }),
             mutant(
                 "held again for a map that is in use",
-                ForwardRules { one_switched_is_all: false, ..sound },
+                RollForwardRules { one_switched_is_all: false, ..sound },
             ),
             // With single reports there are more states than fit; the shortest way to the fault needs none.
             Mutant::new("prepared before old holds have ended", move |limit| {
-                let rules = ForwardRules { wait_out_old_holds: false, ..sound };
+                let rules = RollForwardRules { wait_out_old_holds: false, ..sound };
                 forward::search_held(&forward::ForwardModel { rules, single_reads: false, ..bounds }, limit)
             }),
         ],
--- a/crates/porthoist-spec/src/models/forward.rs
+++ b/crates/porthoist-spec/src/models/forward.rs
@@ -8,8 +8,8 @@
 //! may begin anew at any moment. Orders on their way are lost, doubled, delayed and reordered there as anywhere.
 
 use crate::search::{EventVisitor, ProtocolModel, SearchReport};
-use porthoist_policy::forward::{
-    ArmedMap, EngineOrder, ForwardDriver, ForwardRules, GroupEpoch, OrderSequence, RankView,
+use porthoist_policy::roll_forward::{
+    ArmedMap, EngineOrder, GroupEpoch, OrderSequence, RankView, RollForwardDriver, RollForwardRules,
 };
 use porthoist_policy::switch::{MapVersion, StepNumber};
 use std::collections::{BTreeSet, HashMap, HashSet};
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct ForwardModel {
     /// The driver's rules.
-    pub rules: ForwardRules,
+    pub rules: RollForwardRules,
     /// Whether engines look at the epoch of an order.
     pub epochs_checked: bool,
     /// Ranks in the group.
@@ -116,7 +116,7 @@
     ranks: Vec<EngineRank>,
     epoch: GroupEpoch,
     step: StepNumber,
-    driver: ForwardDriver,
+    driver: RollForwardDriver,
     heard: Vec<RankView>,
     /// The last report of each rank while the driver switches; else none.
     kept: Vec<RankView>,
@@ -195,7 +195,7 @@
         } else {
             let mut next = state.clone();
             let views = std::mem::take(&mut next.heard);
-            let rest = next.driver.at_rest(&views);
+            let rest = next.driver.can_begin(&views);
             if rest && next.plans < self.plans {
                 let mut planning = next.clone();
                 planning.plans += 1;
@@ -226,7 +226,7 @@
         if state.restarts < self.restarts {
             let mut next = state.clone();
             next.restarts += 1;
-            next.driver = ForwardDriver::new(self.rules);
+            next.driver = RollForwardDriver::new(self.rules);
             next.heard.clear();
             next.kept.clear();
             next.relayed.clear();
@@ -358,7 +358,7 @@
             ranks: vec![EngineRank::new(); self.ranks],
             epoch: GroupEpoch(1),
             step: StepNumber(0),
-            driver: ForwardDriver::new(self.rules),
+            driver: RollForwardDriver::new(self.rules),
             heard: Vec::new(),
             kept: Vec::new(),
             relayed: Vec::new(),
--- a/crates/porthoist-spec/src/models/once.rs
+++ b/crates/porthoist-spec/src/models/once.rs
@@ -121,7 +121,7 @@
                     let mut next = state.clone();
                     next.lost_writes += 1;
                     let label = format_args!("entry {entry} reads in vain");
-                    visit(label, told(&next, entry, ClaimEvent::TableSilent));
+                    visit(label, told(&next, entry, ClaimEvent::TableUnavailable));
                 }
             }
             ClaimAction::Offer(ticket) => self.offer(state, entry, ticket, visit),
@@ -199,12 +199,12 @@
         }
         applied.lost_writes += 1;
         let label = format_args!("entry {entry} writes {:?}, the answer is lost", row.state);
-        visit(label, told(&applied, entry, ClaimEvent::TableSilent));
+        visit(label, told(&applied, entry, ClaimEvent::TableUnavailable));
         let mut late = state.clone();
         late.lost_writes += 1;
         late.late_writes.push(LateWrite { expected, row: row.clone() });
         let label = format_args!("entry {entry} writes {:?}, which may come late or never", row.state);
-        visit(label, told(&late, entry, ClaimEvent::TableSilent));
+        visit(label, told(&late, entry, ClaimEvent::TableUnavailable));
     }
 }
 
--- a/crates/porthoist-standin/src/group.rs
+++ b/crates/porthoist-standin/src/group.rs
@@ -7,7 +7,7 @@
 use porthoist_group::engine::MapLoad;
 use porthoist_group::{ExpertWindow, RankOrder};
 use porthoist_http::{HttpResponse, json_response};
-use porthoist_policy::switch::{KeptRank, LeaderBallot, MapVersion, RankMachine, StepNumber};
+use porthoist_policy::switch::{LeaderBallot, MapVersion, RankMachine, SavedRank, StepNumber};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 
 #[derive(Debug, Default)]
 struct GroupState {
-    kept: KeptRank,
+    kept: SavedRank,
     used: Vec<MapVersion>,
     held: u64,
     window: ExpertWindow,
@@ -35,7 +35,7 @@
         match machine.start_step() {
             Some((_step, map)) if self.used.len() < MAX_STEPS => {
                 self.used.push(map);
-                self.kept = machine.kept();
+                self.kept = machine.saved();
             }
             Some(_full) => {}
             None => self.held += 1,
--- a/crates/porthoist-target/src/offers.rs
+++ b/crates/porthoist-target/src/offers.rs
@@ -234,7 +234,7 @@
             return;
         };
         if let Some(key) = record.key {
-            self.gate.gave_up(key);
+            self.gate.cancelled(key);
             self.kept.remove(&key);
         }
         record.log.finish(LogEnd::Refused { reason, verdict: RunVerdict::NotRun, retry_at });
@@ -263,7 +263,7 @@
 
     fn keep(&mut self, key: GateKey, log: &AnswerLog) {
         if let Some(LogEnd::Refused { verdict: RunVerdict::NotRun, .. }) = log.end() {
-            self.gate.gave_up(key);
+            self.gate.cancelled(key);
             self.kept.remove(&key);
             return;
         }
--- a/porthoistd/src/duty/claims.rs
+++ b/porthoistd/src/duty/claims.rs
@@ -49,9 +49,9 @@
         let (reply, answer) = oneshot::channel();
         let sent = self.0.lock().try_send(make(reply));
         if sent.is_err() {
-            return ClaimEvent::TableSilent;
+            return ClaimEvent::TableUnavailable;
         }
-        answer.await.unwrap_or(ClaimEvent::TableSilent)
+        answer.await.unwrap_or(ClaimEvent::TableUnavailable)
     }
 }
 
@@ -64,7 +64,7 @@
     ) -> BoxFuture<'_, ClaimEvent<TicketText>> {
         Box::pin(async move {
             let Ok(value) = serde_json::to_value(row) else {
-                return ClaimEvent::TableSilent;
+                return ClaimEvent::TableUnavailable;
             };
             let key = format!("{CLAIM_PREFIX}{key}");
             let write = TableWrite { key, if_version: expected, unconditional: false, value: Some(value) };
@@ -107,7 +107,7 @@
             tokio::task::spawn_local(async move {
                 let event = match platform.item(key).await {
                     Ok(item) => ClaimEvent::Read(item.and_then(read_claim)),
-                    Err(_silent) => ClaimEvent::TableSilent,
+                    Err(_silent) => ClaimEvent::TableUnavailable,
                 };
                 // A caller that is gone needs no answer.
                 drop(reply.send(event));
@@ -122,7 +122,7 @@
     let mut results = answered.map(|answer| answer.results.into_iter()).ok();
     for pending in batch {
         let result = results.as_mut().and_then(Iterator::next);
-        let event = result.map_or(ClaimEvent::TableSilent, write_event);
+        let event = result.map_or(ClaimEvent::TableUnavailable, write_event);
         drop(pending.reply.send(event));
     }
 }
--- a/porthoistd/src/duty/entry_fleet/gossip.rs
+++ b/porthoistd/src/duty/entry_fleet/gossip.rs
@@ -2,13 +2,13 @@
 
 use super::EntryFleet;
 use super::targets::{MAX_RECONNECT_TIME, MIN_RECONNECT_TIME, SILENCE_TIME, spaced};
-use crate::duty::routing::KeeperMessage;
+use crate::duty::routing::CoordinatorMessage;
 use porthoist_core::offer::TargetHello;
 use porthoist_core::{LoadReport, RequestOffer, TeamName, TicketText, UnixDeadline};
 use porthoist_core::{OfferOutcome, RefusalReason, RunVerdict, TargetName};
 use porthoist_fleet::{FleetDigest, FleetError, FleetHandler, FleetPeer, FrameOutlet, HandlerFuture};
 use porthoist_policy::adoption::AdoptOutcome;
-use porthoist_policy::limits::keeper::{SettleAsk, SettleTold};
+use porthoist_policy::limits::coordinator::{SettleAsk, SettleTold};
 use porthoist_policy::switch::{LeaderMessage, RankReply};
 use porthoist_table::HostEntry;
 use slog::info;
@@ -122,7 +122,7 @@
 
     fn settle(&self, asks: Vec<SettleAsk>) -> HandlerFuture<Vec<SettleTold>> {
         let routing = self.shared.routing.clone();
-        Box::pin(async move { routing.ask(KeeperMessage(asks)).await.unwrap_or_default() })
+        Box::pin(async move { routing.ask(CoordinatorMessage(asks)).await.unwrap_or_default() })
     }
 
     fn hello(&self) -> HandlerFuture<Option<TargetHello>> {
--- a/porthoistd/src/duty/group.rs
+++ b/porthoistd/src/duty/group.rs
@@ -13,7 +13,7 @@
     GroupEngine as _, GroupPlanner, HttpGroupEngine, MapSource, RankLink, SwitchOutcome, switch_group,
 };
 use porthoist_policy::placement::map::ExpertMap;
-use porthoist_policy::switch::{KeptRank, LeaderBallot, LeaderMessage, MapVersion, RankReply};
+use porthoist_policy::switch::{LeaderBallot, LeaderMessage, MapVersion, RankReply, SavedRank};
 use porthoist_policy::table::{PolicyRow, RowKey, RowKind, TableRow};
 use porthoist_table::{CallError, HttpPlatform, PlatformClient as _};
 use slog::{Logger, info, warn};
@@ -90,7 +90,7 @@
 }
 
 /// The map that a rank which holds is to go on with: the one it is armed with.
-fn planned_map(kept: &KeptRank) -> MapVersion {
+fn planned_map(kept: &SavedRank) -> MapVersion {
     kept.armed.map_or(kept.map, |switch| switch.map)
 }
 
@@ -207,7 +207,7 @@
     }
 
     /// Leads a switch to a map; returns whether the group switches to this one.
-    async fn lead(&self, links: &[Box<dyn RankLink>], kept: KeptRank, wanted: MapVersion) -> bool {
+    async fn lead(&self, links: &[Box<dyn RankLink>], kept: SavedRank, wanted: MapVersion) -> bool {
         let ballot = LeaderBallot(kept.promised.0 + 1);
         match switch_group(links, ballot, wanted).await {
             Ok(SwitchOutcome::Committed(map)) => {
--- a/porthoistd/src/duty/operator.rs
+++ b/porthoistd/src/duty/operator.rs
@@ -61,7 +61,7 @@
     }
 
     fn decisions(&self, request: RequestId) -> Vec<DecisionRecord> {
-        self.decisions.lock().map(|log| log.of_request(request)).unwrap_or_default()
+        self.decisions.lock().map(|log| log.for_request(request)).unwrap_or_default()
     }
 }
 
--- a/porthoistd/src/duty/rank.rs
+++ b/porthoistd/src/duty/rank.rs
@@ -8,10 +8,10 @@
     RankFuture, RankLists, RankObservation, RoundOutcome,
 };
 use porthoist_http::CallError;
-use porthoist_policy::forward::{EngineOrder, GroupEpoch, RankState};
-use porthoist_policy::placement::even::{EvenBounds, EvenMap};
+use porthoist_policy::placement::equal_shares::{EqualShareBounds, EqualShareMap};
 use porthoist_policy::proxy::loads::GroupLoads;
 use porthoist_policy::proxy::pass_time::PassTimer;
+use porthoist_policy::roll_forward::{EngineOrder, GroupEpoch, RankState};
 use porthoist_policy::switch::MapVersion;
 use porthoist_proxy::{ControlState, ControlWatch};
 use slog::{Logger, info, warn};
@@ -105,7 +105,11 @@
         Box::pin(read_in_time(self.engine.lists()))
     }
 
-    fn order<'a>(&'a self, order: EngineOrder, map: Option<&'a EvenMap>) -> RankFuture<'a, OrderAnswer> {
+    fn order<'a>(
+        &'a self,
+        order: EngineOrder,
+        map: Option<&'a EqualShareMap>,
+    ) -> RankFuture<'a, OrderAnswer> {
         Box::pin(async move {
             let answer = self.engine.order(order, map);
             let answered = tokio::time::timeout(Duration::from_millis(ENGINE_MILLIS), answer).await;
@@ -359,7 +363,7 @@
         let state = self.state.borrow();
         let service = self.own_service(&state)?;
         let engine = state.routes.as_ref()?.services.get(&service)?.engine.as_ref()?;
-        let bounds = EvenBounds {
+        let bounds = EqualShareBounds {
             places: engine.places,
             spare: engine.spare,
             new_a_rank: self.settings.new_a_rank,
--- a/porthoistd/src/duty/rank/telling.rs
+++ b/porthoistd/src/duty/rank/telling.rs
@@ -2,9 +2,9 @@
 
 use super::{LOADS_MILLIS, RankDuty};
 use porthoist_core::UnixDeadline;
-use porthoist_policy::forward::{RankState, RankView};
 use porthoist_policy::proxy::loads::{GroupLoads, LoadRevision, RankLoad, weighed_requests};
 use porthoist_policy::proxy::pass_time::{GroupPass, PassTimer, SeenGroup};
+use porthoist_policy::roll_forward::{RankState, RankView};
 
 impl RankDuty {
     /// Measures the group's passes by the own rank, which runs each of them with all others.
--- a/porthoistd/src/duty/routing.rs
+++ b/porthoistd/src/duty/routing.rs
@@ -11,7 +11,7 @@
 use porthoist_core::{
     AttemptId, ClockSource, LoadReport, RefusalReason, RunVerdict, TargetName, TeamName, UnixMillis,
 };
-use porthoist_policy::limits::keeper::{LimitKeeper, SettleAsk, SettleTold, team_key};
+use porthoist_policy::limits::coordinator::{LimitCoordinator, SettleAsk, SettleTold, team_key};
 use porthoist_policy::limits::{EntryLimiter, TeamLimit};
 use porthoist_policy::retry::RetryBudget;
 use porthoist_policy::retry::hedge::HedgePolicy;
@@ -31,7 +31,7 @@
 pub struct RoutingActor {
     router: Router,
     limiter: EntryLimiter,
-    keeper: LimitKeeper,
+    coordinator: LimitCoordinator,
     kept_limits: HashMap<u64, TeamLimit>,
     kept_revision: u64,
     budget: RetryBudget,
@@ -82,7 +82,7 @@
 #[derive(Debug)]
 pub struct ReleaseMessage(pub TeamName);
 
-/// Asks which teams are to be settled with their keepers now.
+/// Asks which teams are to be settled with their coordinators now.
 #[derive(Debug, Clone, Copy)]
 pub struct DueMessage;
 
@@ -94,7 +94,7 @@
     }
 }
 
-/// What a keeper answered, or nothing where it could not be heard.
+/// What a coordinator answered, or nothing where it could not be heard.
 #[derive(Debug)]
 pub struct SettledMessage(pub Vec<(TeamName, SettleAsk, Option<SettleTold>)>);
 
@@ -106,7 +106,7 @@
         for (team, ask, told) in msg.0 {
             match told {
                 Some(told) => self.limiter.settled(now, &team, ask, told),
-                None => self.limiter.keeper_silent(now, &team),
+                None => self.limiter.coordinator_unreachable(now, &team),
             }
         }
     }
@@ -114,17 +114,21 @@
 
 /// Another entry settles teams that this one keeps.
 #[derive(Debug)]
-pub struct KeeperMessage(pub Vec<SettleAsk>);
+pub struct CoordinatorMessage(pub Vec<SettleAsk>);
 
-impl Message<KeeperMessage> for RoutingActor {
+impl Message<CoordinatorMessage> for RoutingActor {
     type Reply = Vec<SettleTold>;
 
-    async fn handle(&mut self, msg: KeeperMessage, _ctx: &mut Context<Self, Self::Reply>) -> Self::Reply {
+    async fn handle(
+        &mut self,
+        msg: CoordinatorMessage,
+        _ctx: &mut Context<Self, Self::Reply>,
+    ) -> Self::Reply {
         let now = self.clock.now();
         let mut told = Vec::with_capacity(msg.0.len());
         for ask in msg.0 {
             if let Some(limit) = self.limit_of(ask.team) {
-                told.push(self.keeper.settle(now, ask, limit));
+                told.push(self.coordinator.settle(now, ask, limit));
             }
         }
         told
@@ -163,7 +167,7 @@
         let actor = Self {
             router: Router::new(settings),
             limiter: EntryLimiter::new(1),
-            keeper: LimitKeeper::new(),
+            coordinator: LimitCoordinator::new(),
             kept_limits: HashMap::new(),
             kept_revision: 0,
             budget: RetryBudget::new(RETRY_SHARE, RETRY_BURST),
@@ -289,7 +293,7 @@
         self.limiter.set_entries(msg.zone);
         self.router.set_entries(msg.all);
         self.limiter.forget_idle(self.clock.now());
-        self.keeper.forget_idle(self.clock.now());
+        self.coordinator.forget_idle(self.clock.now());
     }
 }
 
--- a/porthoistd/src/duty/target_fleet.rs
+++ b/porthoistd/src/duty/target_fleet.rs
@@ -12,7 +12,7 @@
 use porthoist_fleet::{FleetDigest, FleetHandler, FrameOutlet, HandlerFuture};
 use porthoist_group::RankDriver;
 use porthoist_metrics::MetricsHub;
-use porthoist_policy::limits::keeper::{SettleAsk, SettleTold};
+use porthoist_policy::limits::coordinator::{SettleAsk, SettleTold};
 use porthoist_policy::switch::{LeaderMessage, RankReply};
 use porthoist_target::log::LogNews;
 use porthoist_target::offers::{MintTickets, OfferAbandoned, OfferRefusal, OfferRequest};
--- a/porthoistd/tests/loads.rs
+++ b/porthoistd/tests/loads.rs
@@ -3,12 +3,12 @@
 use porthoist_core::{BirthMillis, ServiceName};
 use porthoist_fleet::{ControlTraffic, LoadsOutlet, PeerPool, RankServing, serve_ranks};
 use porthoist_group::{HeldLink, OrderAnswer, RankFuture, RankLists, RankObservation};
-use porthoist_policy::forward::EngineOrder;
-use porthoist_policy::placement::even::EvenMap;
+use porthoist_policy::placement::equal_shares::EqualShareMap;
 use porthoist_policy::proxy::cold::ColdWord;
 use porthoist_policy::proxy::loads::{GroupLoads, LoadRevision, RankLoad};
 use porthoist_policy::proxy::routes::{CallerLimits, ConfigVersion, EngineModel, RouteTable, ServiceSpec};
 use porthoist_policy::proxy::targets::{TargetRecord, TargetState};
+use porthoist_policy::roll_forward::EngineOrder;
 use porthoist_proxy::ControlState;
 use porthoistd::duty::loads::LoadsDuty;
 use slog::{Discard, Logger, o};
@@ -40,7 +40,11 @@
         Box::pin(futures::future::pending())
     }
 
-    fn order<'a>(&'a self, _order: EngineOrder, _map: Option<&'a EvenMap>) -> RankFuture<'a, OrderAnswer> {
+    fn order<'a>(
+        &'a self,
+        _order: EngineOrder,
+        _map: Option<&'a EqualShareMap>,
+    ) -> RankFuture<'a, OrderAnswer> {
         Box::pin(futures::future::pending())
     }
 }
--- a/porthoistd/tests/rank.rs
+++ b/porthoistd/tests/rank.rs
@@ -6,11 +6,11 @@
 use porthoist_group::{ChoiceCounts, HeldEngine, HeldLink as _, RankFuture, RankLists};
 use porthoist_http::CallError;
 use porthoist_metrics::MetricsHub;
-use porthoist_policy::forward::{EngineOrder, GroupEpoch, OrderSequence, RankPace, RankState, RankView};
-use porthoist_policy::placement::even::EvenMap;
+use porthoist_policy::placement::equal_shares::EqualShareMap;
 use porthoist_policy::proxy::cold::ColdWord;
 use porthoist_policy::proxy::routes::{CallerLimits, ConfigVersion, EngineModel, RouteTable, ServiceSpec};
 use porthoist_policy::proxy::targets::{TargetChange, TargetRecord, TargetState};
+use porthoist_policy::roll_forward::{EngineOrder, GroupEpoch, OrderSequence, RankPace, RankState, RankView};
 use porthoist_policy::switch::{MapVersion, StepNumber};
 use porthoist_proxy::{ControlSource, OperatorNews, SourceFuture, TableRevision};
 use porthoist_proxy::{ControlState, ControlWatch};
@@ -55,7 +55,7 @@
         silent()
     }
 
-    fn order<'a>(&'a self, _order: EngineOrder, _map: Option<&'a EvenMap>) -> RankFuture<'a, bool> {
+    fn order<'a>(&'a self, _order: EngineOrder, _map: Option<&'a EqualShareMap>) -> RankFuture<'a, bool> {
         silent()
     }
 }
@@ -145,7 +145,7 @@
         silent()
     }
 
-    fn order<'a>(&'a self, _order: EngineOrder, _map: Option<&'a EvenMap>) -> RankFuture<'a, bool> {
+    fn order<'a>(&'a self, _order: EngineOrder, _map: Option<&'a EqualShareMap>) -> RankFuture<'a, bool> {
         silent()
     }
 }
