--- a/crates/porthoist-caller/src/course.rs
+++ b/crates/porthoist-caller/src/handler.rs
@@ -2,7 +2,7 @@
 
 use crate::attempt::{AttemptNews, OpenAttempt};
 use crate::delivery::{AnswerDelivery, CallerGone};
-use crate::ports::{CallerPorts, CallerRefusal, OfferFailure, RouteAsk, RouteTold};
+use crate::ports::{CallerPorts, CallerRefusal, OfferFailure, RouteReply, RouteRequest};
 use crate::request::{CallerKey, CallerRequest};
 use bytes::Bytes;
 use porthoist_core::offer::AnswerDigest;
@@ -46,7 +46,7 @@
 
 /// One request on its way.
 #[derive(Debug)]
-pub struct RequestCourse {
+pub struct RequestHandler {
     pub(crate) ports: CallerPorts,
     pub(crate) entry: IncarnationId,
     pub(crate) id: RequestId,
@@ -59,7 +59,7 @@
     worst: RunVerdict,
 }
 
-impl RequestCourse {
+impl RequestHandler {
     /// A course at its beginning.
     pub fn new(
         ports: CallerPorts,
@@ -222,8 +222,8 @@
         &mut self,
         exclude: &[TargetName],
         retry: bool,
-    ) -> Result<RouteTold, CallerRefusal> {
-        let ask = RouteAsk {
+    ) -> Result<RouteReply, CallerRefusal> {
+        let ask = RouteRequest {
             attempt: self.next_attempt(),
             team: self.request.team.clone(),
             service: self.request.service.clone(),
@@ -270,7 +270,7 @@
         OpenAttempt::open(self.ports.offers.as_ref(), target, offer)
     }
 
-    fn open_routed(&mut self, told: &RouteTold) -> OpenAttempt {
+    fn open_routed(&mut self, told: &RouteReply) -> OpenAttempt {
         let choice = &told.choice;
         let decision = DecisionKind::Offered {
             attempt: self.attempts,
@@ -283,7 +283,7 @@
         self.open(choice.target.clone(), None)
     }
 
-    async fn offer_routed(&mut self, told: RouteTold, exclude: &mut Vec<TargetName>) -> AttemptEnd {
+    async fn offer_routed(&mut self, told: RouteReply, exclude: &mut Vec<TargetName>) -> AttemptEnd {
         let primary = self.open_routed(&told);
         let hedge_at = told.hedge_at.filter(|_at| self.request.repeat == RepeatPolicy::Safe);
         let Some(hedge_at) = hedge_at else {
--- a/crates/porthoist-caller/src/keyed.rs
+++ b/crates/porthoist-caller/src/keyed.rs
@@ -1,6 +1,6 @@
 //! Requests with an idempotency key: a ticket, or a key of the caller's own that is claimed in the table.
 
-use crate::course::{AttemptEnd, CourseEnd, RequestCourse};
+use crate::handler::{AttemptEnd, CourseEnd, RequestHandler};
 use crate::ports::{CallerRefusal, OfferFailure};
 use porthoist_core::offer::AnswerDigest;
 use porthoist_core::{RefusalReason, RetryReason, RunVerdict, TicketText, UnixDeadline};
@@ -14,7 +14,7 @@
 /// A ticket minted for a claimed key is remembered so long after the request's deadline, in milliseconds.
 const CLAIM_TICKET_MILLIS: u64 = 60 * 60 * 1000;
 
-impl RequestCourse {
+impl RequestHandler {
     /// Runs under a ticket: offered only to the incarnation that minted it, as often as answers are lost.
     pub(crate) async fn with_ticket(&mut self, ticket: TicketText) -> CourseEnd {
         if let Err(refusal) = self.admitted_for_key().await {
--- a/crates/porthoist-caller/src/lib.rs
+++ b/crates/porthoist-caller/src/lib.rs
@@ -4,8 +4,8 @@
 //! [`ports`].
 
 pub mod attempt;
-pub mod course;
 pub mod delivery;
+pub mod handler;
 pub mod keyed;
 pub mod ports;
 pub mod problem;
@@ -13,6 +13,6 @@
 pub mod server;
 
 pub use ports::{
-    CallerPorts, CallerRefusal, ClaimPort, ConfigPort, OfferFailure, OfferPort, RouteAsk, RoutingPort,
+    CallerPorts, CallerRefusal, ClaimPort, ConfigPort, OfferFailure, OfferPort, RouteRequest, RoutingPort,
 };
 pub use server::{CallerServer, CallerSettings};
--- a/crates/porthoist-caller/src/ports.rs
+++ b/crates/porthoist-caller/src/ports.rs
@@ -45,7 +45,7 @@
 
 /// What a target is asked for.
 #[derive(Debug, Clone)]
-pub struct RouteAsk {
+pub struct RouteRequest {
     /// The attempt that will be made.
     pub attempt: AttemptId,
     /// Who pays.
@@ -70,7 +70,7 @@
 
 /// A target, and when a second attempt beside this one makes sense.
 #[derive(Debug, Clone, PartialEq)]
-pub struct RouteTold {
+pub struct RouteReply {
     /// The choice.
     pub choice: RouteChoice,
     /// Time of the hedge, if hedging is on.
@@ -80,7 +80,7 @@
 /// Limits, routing and the retry budget.
 pub trait RoutingPort: fmt::Debug + Send + Sync {
     /// Admits and routes an attempt.
-    fn route(&self, ask: RouteAsk) -> BoxFuture<'_, Result<RouteTold, CallerRefusal>>;
+    fn route(&self, ask: RouteRequest) -> BoxFuture<'_, Result<RouteReply, CallerRefusal>>;
     /// An admitted request is over.
     fn release(&self, team: TeamName);
     /// The first frame of an attempt came back.
--- a/crates/porthoist-caller/src/server.rs
+++ b/crates/porthoist-caller/src/server.rs
@@ -1,8 +1,8 @@
 //! The callers' listener.
 
-use crate::course::RequestCourse;
 use crate::delivery::{AnswerDelivery, AnswerStart};
-use crate::ports::{CallerPorts, CallerRefusal, RouteAsk};
+use crate::handler::RequestHandler;
+use crate::ports::{CallerPorts, CallerRefusal, RouteRequest};
 use crate::problem::{REQUEST_HEADER, problem_response};
 use crate::request::{RequestDefaults, authorized_team, read_request};
 use bytes::Bytes;
@@ -141,11 +141,11 @@
         let entry = self.shared.settings.entry;
         let first = AttemptId { entry, request: id, attempt: 0 };
         let delivery = AnswerDelivery::new(first, parsed.resume_after, sender);
-        let course = RequestCourse::new(ports.clone(), entry, id, parsed, delivery);
+        let handler = RequestHandler::new(ports.clone(), entry, id, parsed, delivery);
         self.shared.in_flight.fetch_add(1, Ordering::Relaxed);
         let shared = Arc::clone(&self.shared);
         tokio::spawn(async move {
-            course.run().await;
+            handler.run().await;
             shared.in_flight.fetch_sub(1, Ordering::Relaxed);
         });
         match start.await {
@@ -199,7 +199,7 @@
         })?;
         let now = ports.clock.now();
         let deadline = wanted.deadline.unwrap_or(UnixDeadline::after(now, TICKET_MILLIS));
-        let ask = RouteAsk {
+        let ask = RouteRequest {
             attempt: AttemptId { entry: self.shared.settings.entry, request: id, attempt: 0 },
             team: team.clone(),
             service: wanted.service,
--- a/crates/porthoist-core/src/lib.rs
+++ b/crates/porthoist-core/src/lib.rs
@@ -21,7 +21,7 @@
     AnswerFrame, AnswerHead, LoadReport, OfferOutcome, RepeatPolicy, RequestOffer, RequestPriority,
     ServiceKind,
 };
-pub use quantity::{BirthMillis, ByteSize, LinkRate, RequestRate, TokenCount};
+pub use quantity::{ByteSize, LinkRate, RequestRate, StartMillis, TokenCount};
 pub use reason::{RefusalReason, RetryReason};
 pub use ring::{RingReceiver, RingSender, bounded_ring};
 pub use ticket::{TicketKey, TicketText};
--- a/crates/porthoist-core/src/quantity.rs
+++ b/crates/porthoist-core/src/quantity.rs
@@ -57,7 +57,7 @@
 
 count_type!(
     /// When one life of a target began, in Unix milliseconds by its own clock.
-    BirthMillis,
+    StartMillis,
     "start in Unix milliseconds",
     "ms"
 );
--- a/crates/porthoist-fleet/src/rank/branches.rs
+++ b/crates/porthoist-fleet/src/rank/branches.rs
@@ -9,7 +9,8 @@
 use futures::future::{LocalBoxFuture, join_all};
 use porthoist_core::{LinkRate, ZoneName};
 use porthoist_group::{
-    AnswerPatience, GroupPatience, GroupReach, GroupReading, HeldLink, OrderAnswer, RankLists, UnreadRank,
+    AdaptiveTimeout, ExpertLists, GroupControl, GroupObservation, GroupTimeouts, OrderAnswer, RankControl,
+    UnreachableRank,
 };
 use porthoist_http::CallError;
 use porthoist_policy::forward::{EngineOrder, RankState};
@@ -111,7 +112,7 @@
     /// Asks all branches at once, and learns from it how long that takes.
     async fn through_heads<T>(
         &self,
-        patience: &RefCell<AnswerPatience>,
+        patience: &RefCell<AdaptiveTimeout>,
         call: impl AsyncFn(&RankPeer, &[Ipv4Addr], Duration) -> Result<T, CallError>,
     ) -> Vec<HeadAnswer<T>> {
         let allowed = patience.borrow().get();
@@ -131,12 +132,12 @@
     pub async fn sweep(
         &self,
         counts: bool,
-        patience: &RefCell<AnswerPatience>,
-    ) -> (Vec<(Ipv4Addr, RankState)>, GroupReading) {
+        patience: &RefCell<AdaptiveTimeout>,
+    ) -> (Vec<(Ipv4Addr, RankState)>, GroupObservation) {
         let call = async |head: &RankPeer, others: &[Ipv4Addr], members: Duration| {
             head.sweep(others, counts, members).await
         };
-        let (mut states, mut sum) = (Vec::new(), GroupReading::default());
+        let (mut states, mut sum) = (Vec::new(), GroupObservation::default());
         for HeadAnswer { members, answer, .. } in self.through_heads(patience, call).await {
             let BranchReading { states: read, counts } = answer;
             sum.add_counts(&counts);
@@ -147,7 +148,7 @@
     }
 
     /// Has all tell the newest loads, without waiting for it.
-    pub fn tell(&self, loads: &GroupLoads) {
+    pub fn publish_loads(&self, loads: &GroupLoads) {
         for branch in &self.branches {
             let members = branch.members();
             let (head, loads) = (self.peers.get(members[0]), loads.clone());
@@ -163,12 +164,12 @@
 /// A group of which this process stands beside the first rank.
 #[derive(Debug)]
 pub struct BranchedGroup {
-    own: Rc<dyn HeldLink>,
+    own: Rc<dyn RankControl>,
     /// The hosts of the ranks, by rank, as far as they are known; the first is this process's.
     hosts: Vec<Option<Ipv4Addr>>,
     /// All but the first.
     branches: RankBranches,
-    patience: Rc<GroupPatience>,
+    patience: Rc<GroupTimeouts>,
     /// What the link of a host beside a rank carries.
     link: LinkRate,
 }
@@ -177,10 +178,10 @@
     /// The group of the rank beside this process and those on `hosts`, by rank. What was learnt of answers goes on in
     /// `patience`.
     pub fn new(
-        own: Rc<dyn HeldLink>,
+        own: Rc<dyn RankControl>,
         hosts: Vec<Option<Ipv4Addr>>,
         branches: RankBranches,
-        patience: Rc<GroupPatience>,
+        patience: Rc<GroupTimeouts>,
         link: LinkRate,
     ) -> Self {
         Self { own, hosts, branches, patience, link }
@@ -198,19 +199,19 @@
 
     async fn own_in_time<T>(
         &self,
-        patience: &RefCell<AnswerPatience>,
+        patience: &RefCell<AdaptiveTimeout>,
         call: porthoist_group::RankFuture<'_, T>,
-    ) -> Result<T, UnreadRank> {
+    ) -> Result<T, UnreachableRank> {
         let allowed = patience.borrow().get();
-        let unread = |error: String| UnreadRank { rank: 0, error };
+        let unread = |error: String| UnreachableRank { rank: 0, error };
         match tokio::time::timeout(allowed, call).await {
             Ok(answer) => answer.map_err(|error| unread(error.to_string())),
             Err(_elapsed) => Err(unread("no answer in time".to_owned())),
         }
     }
 
-    async fn read_all(&self, counts: bool) -> GroupReading {
-        let mut reading = GroupReading::empty(self.hosts.len());
+    async fn read_all(&self, counts: bool) -> GroupObservation {
+        let mut reading = GroupObservation::empty(self.hosts.len());
         let patience = self.patience.with_states(counts);
         match self.own_in_time(patience, self.own.observe(counts)).await {
             Ok(observed) => {
@@ -234,12 +235,12 @@
         if let Some(rank) = reading.states.iter().position(Option::is_none) {
             let host = self.hosts[rank]
                 .map_or_else(|| "its host is not known".to_owned(), |host| format!("no answer of {host}"));
-            reading.unread = Some(UnreadRank { rank, error: host });
+            reading.unread = Some(UnreachableRank { rank, error: host });
         }
         reading
     }
 
-    async fn gather_lists(&self) -> Vec<Option<RankLists>> {
+    async fn gather_lists(&self) -> Vec<Option<ExpertLists>> {
         let mut lists = vec![None; self.hosts.len()];
         lists[0] = self.own_in_time(&self.patience.lists, self.own.lists()).await.ok();
         let call = async |head: &RankPeer, others: &[Ipv4Addr], members: Duration| {
@@ -338,7 +339,7 @@
     }
 }
 
-impl GroupReach for BranchedGroup {
+impl GroupControl for BranchedGroup {
     fn ranks(&self) -> usize {
         self.hosts.len()
     }
@@ -350,11 +351,11 @@
         })
     }
 
-    fn observe(&self, counts: bool) -> LocalBoxFuture<'_, GroupReading> {
+    fn observe(&self, counts: bool) -> LocalBoxFuture<'_, GroupObservation> {
         Box::pin(self.read_all(counts))
     }
 
-    fn lists(&self) -> LocalBoxFuture<'_, Vec<Option<RankLists>>> {
+    fn lists(&self) -> LocalBoxFuture<'_, Vec<Option<ExpertLists>>> {
         Box::pin(self.gather_lists())
     }
 
--- a/crates/porthoist-fleet/src/rank/convert.rs
+++ b/crates/porthoist-fleet/src/rank/convert.rs
@@ -303,13 +303,13 @@
     /// The loads, from the process that plans or from one that it told them.
     Loads(GroupLoads),
     /// It has not heard of any; the process on this host, if one is known, asked it for its rank's state.
-    Elsewhere(Option<Ipv4Addr>),
+    Redirect(Option<Ipv4Addr>),
 }
 
 /// Writes an answer to one who knows the hosts of `known`.
 pub(crate) fn write_loads(mut builder: loads_results::Builder<'_>, answer: &LoadsAnswer, known: u64) {
     match answer {
-        LoadsAnswer::Elsewhere(host) => builder.set_planner(host.map_or(0, Ipv4Addr::to_bits)),
+        LoadsAnswer::Redirect(host) => builder.set_planner(host.map_or(0, Ipv4Addr::to_bits)),
         LoadsAnswer::Loads(loads) => {
             builder.set_knows(true);
             builder.set_revision(loads.revision.0);
@@ -335,7 +335,7 @@
 ) -> Result<LoadsAnswer, Error> {
     if !reader.get_knows() {
         let host = (reader.get_planner() != 0).then(|| Ipv4Addr::from_bits(reader.get_planner()));
-        return Ok(LoadsAnswer::Elsewhere(host));
+        return Ok(LoadsAnswer::Redirect(host));
     }
     let hosts = read_hosts(reader.get_hosts()?);
     if !hosts.is_empty() {
--- a/crates/porthoist-fleet/src/rank/news.rs
+++ b/crates/porthoist-fleet/src/rank/news.rs
@@ -25,7 +25,7 @@
 
 /// What an entry tells with its question.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ZoneWord {
+pub struct EntryReport {
     /// The entry.
     pub entry: EntryId,
     /// What it has heard of targets in need.
@@ -34,11 +34,11 @@
 
 /// What a process knows of a table, and what it tells the entries of its zone besides.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ZoneNews {
+pub struct ZoneTableUpdate {
     /// What it knows of the table.
-    pub news: TableNews,
+    pub update: TableNews,
     /// Which place the entry that asked has among those that ask; nothing while it is not known.
-    pub place: Option<EntryPlace>,
+    pub position: Option<EntryPlace>,
     /// What entries have heard of targets in need.
     pub notes: Vec<AgedNote>,
 }
@@ -58,11 +58,11 @@
 }
 
 pub(super) fn read_zone(reader: table_news::Reader<'_>, pieces: &mut RowPieces) -> Result<NewsAnswer, Error> {
-    let Some(news) = read_news(reader, pieces)? else { return Ok(NewsAnswer::More) };
+    let Some(update) = read_news(reader, pieces)? else { return Ok(NewsAnswer::More) };
     let (index, entries) = (reader.get_entries_before(), reader.get_entries());
-    Ok(NewsAnswer::Whole(ZoneNews {
-        news,
-        place: (index < entries).then_some(EntryPlace { index, entries }),
+    Ok(NewsAnswer::Whole(ZoneTableUpdate {
+        update,
+        position: (index < entries).then_some(EntryPlace { index, entries }),
         notes: read_notes(reader.get_notes()?)?,
     }))
 }
@@ -72,13 +72,13 @@
 }
 
 /// The entry that asks, if one does, and what it tells.
-pub(super) fn read_word(reader: news_ask::Reader<'_>) -> Result<Option<ZoneWord>, Error> {
+pub(super) fn read_word(reader: news_ask::Reader<'_>) -> Result<Option<EntryReport>, Error> {
     let entry = EntryId(reader.get_entry());
     let notes = read_notes(reader.get_notes()?)?;
-    Ok((entry != EntryId(0)).then_some(ZoneWord { entry, notes }))
+    Ok((entry != EntryId(0)).then_some(EntryReport { entry, notes }))
 }
 
-pub(super) fn write_ask(mut builder: news_ask::Builder<'_>, ask: &NewsAsk, word: &ZoneWord) {
+pub(super) fn write_ask(mut builder: news_ask::Builder<'_>, ask: &NewsAsk, word: &EntryReport) {
     builder.set_entry(word.entry.0);
     if !word.notes.is_empty() {
         builder.set_notes(&pack(&word.notes));
@@ -153,7 +153,7 @@
 /// An answer to a question about a table.
 pub(super) enum NewsAnswer {
     /// All that there is.
-    Whole(ZoneNews),
+    Whole(ZoneTableUpdate),
     /// More pieces are to be asked for.
     More,
 }
--- a/crates/porthoist-fleet/src/rank/outlet.rs
+++ b/crates/porthoist-fleet/src/rank/outlet.rs
@@ -21,7 +21,7 @@
 
 /// What the processes of a group tell of its loads. Clones share one state.
 #[derive(Debug, Clone)]
-pub struct LoadsOutlet {
+pub struct LoadsPublisher {
     /// The loads while this process plans for the group.
     loads: watch::Receiver<Option<GroupLoads>>,
     /// The loads as the process that plans told them, perhaps through others.
@@ -30,7 +30,7 @@
     asker: Rc<Cell<Option<Ipv4Addr>>>,
 }
 
-impl LoadsOutlet {
+impl LoadsPublisher {
     /// An outlet of the loads that this process publishes.
     pub fn new(loads: watch::Receiver<Option<GroupLoads>>) -> Self {
         Self { loads, told: watch::Sender::new(None), asker: Rc::default() }
@@ -54,7 +54,7 @@
             let heard = heard.filter(|told| Instant::now() < told.until);
             let until = heard.as_ref().map(|told| told.until);
             match own.or(heard.map(|told| told.loads)) {
-                None => return LoadsAnswer::Elsewhere(self.asker.get()),
+                None => return LoadsAnswer::Redirect(self.asker.get()),
                 Some(loads) if loads.revision > after => return LoadsAnswer::Loads(loads),
                 Some(_known) => {}
             }
@@ -66,7 +66,7 @@
             };
             tokio::select! {
                 changed = self.loads.changed() => if changed.is_err() {
-                    return LoadsAnswer::Elsewhere(None);
+                    return LoadsAnswer::Redirect(None);
                 },
                 _changed = told.changed() => {}
                 () = outdated => {}
--- a/crates/porthoist-fleet/src/rank/peer.rs
+++ b/crates/porthoist-fleet/src/rank/peer.rs
@@ -6,14 +6,14 @@
     write_order,
 };
 use super::maps::PeerMaps;
-use super::news::{NewsAnswer, RowPieces, ZoneNews, ZoneWord, read_zone, write_ask};
+use super::news::{EntryReport, NewsAnswer, RowPieces, ZoneTableUpdate, read_zone, write_ask};
 use super::traffic::ControlTraffic;
 use crate::rank_capnp::rank_process;
 use crate::server::vat_network;
 use capnp::Error;
 use capnp_rpc::RpcSystem;
 use capnp_rpc::rpc_twoparty_capnp::Side;
-use porthoist_group::{HeldLink, OrderAnswer, RankFuture, RankLists, RankObservation};
+use porthoist_group::{ExpertLists, OrderAnswer, RankControl, RankFuture, RankObservation};
 use porthoist_http::CallError;
 use porthoist_policy::forward::{EngineOrder, RankState};
 use porthoist_policy::placement::even::EvenMap;
@@ -163,16 +163,16 @@
 
     /// What the process knows of a table, asked by an entry. Rows may come in pieces, of which the first must be there in the
     /// time that the question is held and `patience`.
-    pub async fn news(
+    pub async fn query(
         &self,
         ask: NewsAsk,
-        word: &ZoneWord,
+        word: &EntryReport,
         patience: Duration,
-    ) -> Result<ZoneNews, CallError> {
+    ) -> Result<ZoneTableUpdate, CallError> {
         let mut pieces = RowPieces::default();
         let mut time = ask.hold + patience;
         for _piece in 0..MOST_PIECES {
-            let asked = tokio::time::timeout(time, self.news_piece(&ask, word, &mut pieces)).await;
+            let asked = tokio::time::timeout(time, self.query_piece(&ask, word, &mut pieces)).await;
             match asked.map_err(|_elapsed| CallError::unknown("no news in time"))?? {
                 NewsAnswer::Whole(news) => return Ok(news),
                 NewsAnswer::More => time = PIECE_PATIENCE,
@@ -181,10 +181,10 @@
         Err(CallError::unknown("the rows changed all the time"))
     }
 
-    async fn news_piece(
+    async fn query_piece(
         &self,
         ask: &NewsAsk,
-        word: &ZoneWord,
+        word: &EntryReport,
         pieces: &mut RowPieces,
     ) -> Result<NewsAnswer, CallError> {
         let connection = self.connected().await?;
@@ -267,7 +267,7 @@
         &self,
         others: &[Ipv4Addr],
         patience: Duration,
-    ) -> Result<Vec<(usize, RankLists)>, CallError> {
+    ) -> Result<Vec<(usize, ExpertLists)>, CallError> {
         let connection = self.connected().await?;
         let mut request = connection.client.gather_request();
         let mut call = request.get();
@@ -361,7 +361,7 @@
         observed.await.map_err(|error: Error| self.lost(&error))
     }
 
-    async fn rank_lists(&self) -> Result<RankLists, CallError> {
+    async fn rank_lists(&self) -> Result<ExpertLists, CallError> {
         let connection = self.connected().await?;
         let request = connection.client.lists_request();
         let lists = async {
@@ -371,7 +371,7 @@
             for list in results.get_experts()? {
                 experts.push(list?.iter().map(ExpertId).collect());
             }
-            Ok(RankLists { version: MapVersion(results.get_version()), experts })
+            Ok(ExpertLists { version: MapVersion(results.get_version()), experts })
         };
         lists.await.map_err(|error: Error| self.lost(&error))
     }
@@ -403,12 +403,12 @@
     }
 }
 
-impl HeldLink for RankPeer {
+impl RankControl for RankPeer {
     fn observe(&self, counts: bool) -> RankFuture<'_, RankObservation> {
         Box::pin(self.observe_rank(counts))
     }
 
-    fn lists(&self) -> RankFuture<'_, RankLists> {
+    fn lists(&self) -> RankFuture<'_, ExpertLists> {
         Box::pin(self.rank_lists())
     }
 
--- a/crates/porthoist-fleet/src/rank/server.rs
+++ b/crates/porthoist-fleet/src/rank/server.rs
@@ -5,8 +5,8 @@
     read_hosts, read_order, unpack, write_loads, write_state, write_view,
 };
 use super::maps::MapShelf;
-use super::news::{PackedRows, ZoneWord, read_ask, read_piece_ask, read_word, write_news, write_zone};
-use super::outlet::LoadsOutlet;
+use super::news::{EntryReport, PackedRows, read_ask, read_piece_ask, read_word, write_news, write_zone};
+use super::outlet::LoadsPublisher;
 use super::peer::{MemberOrder, PeerPool};
 use super::traffic::ControlTraffic;
 use crate::rank_capnp::rank_process;
@@ -17,7 +17,7 @@
 use capnp_rpc::{RpcSystem, new_client};
 use futures::future::join_all;
 use porthoist_core::ClockSource;
-use porthoist_group::{GroupReading, HeldLink, RankFuture};
+use porthoist_group::{GroupObservation, RankControl, RankFuture};
 use porthoist_policy::forward::EngineOrder;
 use porthoist_policy::placement::even::EvenMap;
 use porthoist_policy::proxy::entries::EntryRoll;
@@ -35,11 +35,11 @@
 
 /// What all connections of one process share.
 #[derive(Debug, bon::Builder)]
-pub struct RankServing {
+pub struct RankService {
     /// The rank beside this process.
-    link: Rc<dyn HeldLink>,
+    link: Rc<dyn RankControl>,
     /// What it tells of its group's loads.
-    outlet: LoadsOutlet,
+    publisher: LoadsPublisher,
     /// The processes that it calls when it stands for a branch.
     peers: Rc<PeerPool>,
     /// Counts the bytes of the connections that it accepts.
@@ -66,9 +66,9 @@
     clock: Option<Arc<dyn ClockSource>>,
 }
 
-impl RankServing {
+impl RankService {
     /// Takes what an entry tells; returns its place among those that ask.
-    fn take_word(&self, word: ZoneWord) -> Option<EntryPlace> {
+    fn take_word(&self, word: EntryReport) -> Option<EntryPlace> {
         let now = self.clock.as_ref()?.now();
         let mut notes = self.notes.borrow_mut();
         for note in word.notes {
@@ -84,16 +84,16 @@
     }
 
     /// The members of a branch that this process stands for, itself first.
-    fn branch(&self, others: &[Ipv4Addr]) -> Vec<Rc<dyn HeldLink>> {
-        let own: Rc<dyn HeldLink> = Rc::clone(&self.link);
-        let others = others.iter().map(|host| -> Rc<dyn HeldLink> { self.peers.get(*host) });
+    fn branch(&self, others: &[Ipv4Addr]) -> Vec<Rc<dyn RankControl>> {
+        let own: Rc<dyn RankControl> = Rc::clone(&self.link);
+        let others = others.iter().map(|host| -> Rc<dyn RankControl> { self.peers.get(*host) });
         std::iter::once(own).chain(others).collect()
     }
 }
 
 /// One connection.
 struct RankServer {
-    serving: Rc<RankServing>,
+    serving: Rc<RankService>,
     /// Where it comes from.
     caller: IpAddr,
 }
@@ -101,7 +101,7 @@
 impl RankServer {
     fn note_asker(&self) {
         if let IpAddr::V4(host) = self.caller {
-            self.serving.outlet.asked_by(host);
+            self.serving.publisher.asked_by(host);
         }
     }
 }
@@ -113,7 +113,7 @@
 }
 
 /// What a member answers within the caller's patience; the connection of one that does not is left.
-async fn in_time<T>(link: &Rc<dyn HeldLink>, patience: Duration, call: RankFuture<'_, T>) -> Option<T> {
+async fn in_time<T>(link: &Rc<dyn RankControl>, patience: Duration, call: RankFuture<'_, T>) -> Option<T> {
     // Why a member says nothing matters only to the caller, who sees that it is missing.
     match tokio::time::timeout(patience, call).await {
         Ok(answer) => answer.ok(),
@@ -189,7 +189,7 @@
         mut results: rank_process::LoadsResults,
     ) -> Result<(), Error> {
         let params = params.get()?;
-        let answer = self.serving.outlet.clone().newer_than(LoadRevision(params.get_after())).await;
+        let answer = self.serving.publisher.clone().newer_than(LoadRevision(params.get_after())).await;
         write_loads(results.get(), &answer, params.get_layout());
         Ok(())
     }
@@ -205,7 +205,7 @@
         let members = self.serving.branch(&read_hosts(params.get_others()?));
         let asked = members.iter().map(|member| in_time(member, patience, member.observe(counts)));
         let answers = join_all(asked).await;
-        let mut sum = GroupReading::default();
+        let mut sum = GroupObservation::default();
         let mut states = Vec::with_capacity(answers.len());
         for (member, observed) in answers.into_iter().enumerate() {
             let Some(observed) = observed else { continue };
@@ -283,7 +283,7 @@
             let (peer, loads) = (self.serving.peers.get(host), loads.clone());
             tokio::task::spawn_local(async move { peer.tell(&loads, &[]).await });
         }
-        self.serving.outlet.take_told(loads);
+        self.serving.publisher.take_told(loads);
         Ok(())
     }
 
@@ -307,7 +307,7 @@
 
 /// Gives an order to a member, if there is such a one.
 async fn give(
-    members: &[Rc<dyn HeldLink>],
+    members: &[Rc<dyn RankControl>],
     member: u16,
     order: EngineOrder,
     map: Option<&EvenMap>,
@@ -320,7 +320,7 @@
 }
 
 /// Accepts the processes of other ranks on the present `LocalSet` until the future is dropped.
-pub async fn serve_ranks(listener: TcpListener, serving: Rc<RankServing>) {
+pub async fn serve_ranks(listener: TcpListener, serving: Rc<RankService>) {
     loop {
         let Ok((stream, address)) = listener.accept().await else {
             tokio::time::sleep(Duration::from_millis(10)).await;
--- a/crates/porthoist-fleet/src/server.rs
+++ b/crates/porthoist-fleet/src/server.rs
@@ -17,7 +17,7 @@
 use porthoist_core::{
     AnswerFrame, LoadReport, OfferOutcome, RequestOffer, TeamName, TicketText, UnixDeadline,
 };
-use porthoist_http::{SocketPeer, bound_silence};
+use porthoist_http::{SocketPeer, configure_socket};
 use porthoist_policy::limits::keeper::{SettleAsk, SettleTold};
 use porthoist_policy::switch::{LeaderMessage, RankReply};
 use std::fmt;
@@ -30,15 +30,15 @@
 
 /// Where the frames of a streamed answer go.
 #[derive(Clone)]
-pub struct FrameOutlet(frame_sink::Client);
+pub struct FrameSender(frame_sink::Client);
 
-impl fmt::Debug for FrameOutlet {
+impl fmt::Debug for FrameSender {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("FrameOutlet")
+        f.write_str("FrameSender")
     }
 }
 
-impl FrameOutlet {
+impl FrameSender {
     /// Sends frames and waits until the peer has taken them.
     pub async fn send(&self, frames: &[AnswerFrame]) -> Result<(), Error> {
         let mut request = self.0.frames_request();
@@ -51,7 +51,7 @@
 /// What a process does for its peers.
 pub trait FleetHandler {
     /// Runs an offer to its end; dropping the future means that the peer gave it up.
-    fn offer(&self, offer: RequestOffer, outlet: FrameOutlet) -> HandlerFuture<(OfferOutcome, LoadReport)>;
+    fn offer(&self, offer: RequestOffer, sender: FrameSender) -> HandlerFuture<(OfferOutcome, LoadReport)>;
     /// Mints tickets, perhaps fewer than asked for.
     fn mint(&self, team: TeamName, count: u32, deadline: UnixDeadline) -> HandlerFuture<Vec<TicketText>>;
     /// Introduces the process.
@@ -96,8 +96,8 @@
     ) -> Result<(), Error> {
         let reader = params.get()?;
         let offer = read_offer(reader.get_offer()?)?;
-        let outlet = FrameOutlet(reader.get_sink()?);
-        let (outcome, load) = self.handler.offer(offer, outlet).await;
+        let sender = FrameSender(reader.get_sink()?);
+        let (outcome, load) = self.handler.offer(offer, sender).await;
         write_outcome(results.get().init_outcome(), &outcome, &load);
         Ok(())
     }
@@ -191,7 +191,7 @@
     side: Side,
 ) -> VatNetwork<impl futures::AsyncRead + Unpin + use<>> {
     // An error here only costs latency, and time until a silent peer is noticed.
-    drop(bound_silence(&stream, SocketPeer::Control));
+    drop(configure_socket(&stream, SocketPeer::Control));
     let (reader, writer) = stream.into_split();
     let reader = futures::io::BufReader::new(traffic.counted(reader).compat());
     let writer = futures::io::BufWriter::new(traffic.counted(writer).compat_write());
--- a/crates/porthoist-fleet/tests/branches.rs
+++ b/crates/porthoist-fleet/tests/branches.rs
@@ -3,11 +3,12 @@
 use futures::FutureExt as _;
 use porthoist_core::LinkRate;
 use porthoist_fleet::{
-    BranchedGroup, ControlTraffic, LoadsAnswer, LoadsOutlet, PeerPool, RankBranches, RankPeer, RankServing,
-    serve_ranks,
+    BranchedGroup, ControlTraffic, LoadsAnswer, LoadsPublisher, PeerPool, RankBranches, RankPeer,
+    RankService, serve_ranks,
 };
 use porthoist_group::{
-    DirectGroup, GroupPatience, GroupReach, HeldLink, OrderAnswer, RankFuture, RankLists, RankObservation,
+    DirectGroup, ExpertLists, GroupControl, GroupTimeouts, OrderAnswer, RankControl, RankFuture,
+    RankObservation,
 };
 use porthoist_http::CallError;
 use porthoist_policy::forward::{
@@ -38,8 +39,8 @@
 /// of them share a thread: with the least times in use, 150 ms and 30, answers came late beside a load of three a core.
 const PATIENCE: Duration = Duration::from_secs(4);
 
-fn patience() -> GroupPatience {
-    GroupPatience::at_least(PATIENCE, PATIENCE)
+fn patience() -> GroupTimeouts {
+    GroupTimeouts::at_least(PATIENCE, PATIENCE)
 }
 
 /// An engine that counts, remembers its orders and may fall silent.
@@ -65,7 +66,7 @@
     }
 }
 
-impl HeldLink for Engine {
+impl RankControl for Engine {
     fn observe(&self, counts: bool) -> RankFuture<'_, RankObservation> {
         if self.silent.get() {
             return futures::future::pending::<Result<RankObservation, CallError>>().boxed_local();
@@ -83,9 +84,9 @@
         async move { Ok(RankObservation { state, counts }) }.boxed_local()
     }
 
-    fn lists(&self) -> RankFuture<'_, RankLists> {
+    fn lists(&self) -> RankFuture<'_, ExpertLists> {
         let experts = vec![vec![ExpertId(self.rank as u16)]; SETS];
-        async move { Ok(RankLists { version: MapVersion(2), experts }) }.boxed_local()
+        async move { Ok(ExpertLists { version: MapVersion(2), experts }) }.boxed_local()
     }
 
     fn order<'a>(&'a self, order: EngineOrder, map: Option<&'a EvenMap>) -> RankFuture<'a, OrderAnswer> {
@@ -139,12 +140,12 @@
             tokio::task::yield_now().await;
         }
         let listener = TcpListener::bind((host(network, rank), port)).await.expect("a free port");
-        let link: Rc<dyn HeldLink> = Rc::<Engine>::clone(&process.engine);
-        let outlet = LoadsOutlet::new(watch::Sender::new(None).subscribe());
+        let link: Rc<dyn RankControl> = Rc::<Engine>::clone(&process.engine);
+        let publisher = LoadsPublisher::new(watch::Sender::new(None).subscribe());
         let peers = Rc::new(PeerPool::new(port, process.traffic.clone()));
-        let serving = RankServing::builder()
+        let serving = RankService::builder()
             .link(link)
-            .outlet(outlet)
+            .publisher(publisher)
             .peers(peers)
             .traffic(process.traffic.clone())
             .build();
@@ -179,15 +180,15 @@
         let others: BTreeMap<_, _> = (1..ranks).map(|rank| (host(self.network, rank), zone(rank))).collect();
         let hosts = (0..ranks).map(|rank| Some(host(self.network, rank))).collect();
         let branches = RankBranches::new(&others, self.peers());
-        let own: Rc<dyn HeldLink> = Rc::<Engine>::clone(&self.processes[0].engine);
+        let own: Rc<dyn RankControl> = Rc::<Engine>::clone(&self.processes[0].engine);
         BranchedGroup::new(own, hosts, branches, Rc::new(patience()), LinkRate(6.0))
     }
 
     /// The same group with each rank asked straight.
     fn direct(&self) -> DirectGroup {
         let peers = self.peers();
-        let own: Rc<dyn HeldLink> = Rc::<Engine>::clone(&self.processes[0].engine);
-        let other = |rank: usize| -> Rc<dyn HeldLink> { peers.get(host(self.network, rank)) };
+        let own: Rc<dyn RankControl> = Rc::<Engine>::clone(&self.processes[0].engine);
+        let other = |rank: usize| -> Rc<dyn RankControl> { peers.get(host(self.network, rank)) };
         DirectGroup::new(std::iter::once(own).chain((1..self.processes.len()).map(other)).collect())
             .with_patience(patience())
     }
@@ -199,7 +200,7 @@
 }
 
 /// Bytes of the planning process and of the busiest other one in a round with counts, once all are connected.
-async fn bytes_of_a_round(group: &Group, reach: &dyn GroupReach) -> (u64, u64) {
+async fn bytes_of_a_round(group: &Group, reach: &dyn GroupControl) -> (u64, u64) {
     let first = reach.observe(true).await;
     assert!(first.states.iter().all(Option::is_some), "all ranks are read");
     let before = group.bytes();
@@ -249,7 +250,7 @@
         let direct = group.direct().observe(false).await;
         assert_eq!(reading.states, direct.states);
         let lists = reach.lists().await;
-        let own = |rank: usize| RankLists {
+        let own = |rank: usize| ExpertLists {
             version: MapVersion(2),
             experts: vec![vec![ExpertId(rank as u16)]; SETS],
         };
@@ -380,18 +381,18 @@
             GroupLoads { revision: LoadRevision(revision), pass: GroupPass::Broken, ranks: ranks.collect() }
         };
         let asked = RankPeer::new((host(39, 17), group.port).into());
-        assert_eq!(asked.loads(LoadRevision(0)).await.expect("an answer"), LoadsAnswer::Elsewhere(None));
+        assert_eq!(asked.loads(LoadRevision(0)).await.expect("an answer"), LoadsAnswer::Redirect(None));
         for revision in [5, 6] {
             // One report at a time is on its way.
             while asked.loads(LoadRevision(0)).await.expect("an answer")
                 != LoadsAnswer::Loads(loads(revision))
             {
-                reach.branches().tell(&loads(revision));
+                reach.branches().publish_loads(&loads(revision));
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         }
         let outdated = tokio::time::timeout(Duration::from_secs(5), asked.loads(LoadRevision(6))).await;
-        assert!(matches!(outdated, Ok(Ok(LoadsAnswer::Elsewhere(_planner)))), "{outdated:?}");
+        assert!(matches!(outdated, Ok(Ok(LoadsAnswer::Redirect(_planner)))), "{outdated:?}");
     };
     LocalSet::new().run_until(played).await;
 }
--- a/crates/porthoist-fleet/tests/rank.rs
+++ b/crates/porthoist-fleet/tests/rank.rs
@@ -2,9 +2,9 @@
 
 use futures::FutureExt as _;
 use porthoist_fleet::{
-    ControlTraffic, LoadsAnswer, LoadsOutlet, PeerPool, RankPeer, RankServing, serve_ranks,
+    ControlTraffic, LoadsAnswer, LoadsPublisher, PeerPool, RankPeer, RankService, serve_ranks,
 };
-use porthoist_group::{HeldLink, OrderAnswer, RankFuture, RankLists, RankObservation};
+use porthoist_group::{ExpertLists, OrderAnswer, RankControl, RankFuture, RankObservation};
 use porthoist_http::CallError;
 use porthoist_policy::forward::{EngineOrder, GroupEpoch, OrderSequence, RankPace, RankState, RankView};
 use porthoist_policy::placement::even::EvenMap;
@@ -36,7 +36,7 @@
     busy: false,
 };
 
-impl HeldLink for IdleLink {
+impl RankControl for IdleLink {
     fn observe(&self, _counts: bool) -> RankFuture<'_, RankObservation> {
         let state = RankState {
             view: VIEW,
@@ -50,7 +50,7 @@
         async move { Ok(RankObservation { state, counts: Vec::new() }) }.boxed_local()
     }
 
-    fn lists(&self) -> RankFuture<'_, RankLists> {
+    fn lists(&self) -> RankFuture<'_, ExpertLists> {
         async { Err(CallError::unknown("not asked")) }.boxed_local()
     }
 
@@ -77,9 +77,9 @@
 async fn start_beside(link: Rc<IdleLink>, published: &watch::Sender<Option<GroupLoads>>) -> RankPeer {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("a bound address");
-    let outlet = LoadsOutlet::new(published.subscribe());
+    let loads_publisher = LoadsPublisher::new(published.subscribe());
     let peers = Rc::new(PeerPool::new(address.port(), ControlTraffic::default()));
-    let serving = RankServing::builder().link(link).outlet(outlet).peers(peers).build();
+    let serving = RankService::builder().link(link).publisher(loads_publisher).peers(peers).build();
     tokio::task::spawn_local(serve_ranks(listener, Rc::new(serving)));
     RankPeer::new(address)
 }
@@ -90,11 +90,11 @@
     let asked = async {
         let peer = start(&published).await;
         let unknown = peer.loads(LoadRevision(0)).await.expect("an answer");
-        assert_eq!(unknown, LoadsAnswer::Elsewhere(None));
+        assert_eq!(unknown, LoadsAnswer::Redirect(None));
         let observed = peer.observe(false).await.expect("an answer");
         assert_eq!((observed.state.view, observed.state.requests), (VIEW, 5));
         let known = peer.loads(LoadRevision(0)).await.expect("an answer");
-        assert_eq!(known, LoadsAnswer::Elsewhere(Some(Ipv4Addr::LOCALHOST)), "who observed it plans");
+        assert_eq!(known, LoadsAnswer::Redirect(Some(Ipv4Addr::LOCALHOST)), "who observed it plans");
     };
     LocalSet::new().run_until(asked).await;
 }
@@ -115,7 +115,7 @@
         assert_eq!(second.expect("an answer"), LoadsAnswer::Loads(loads(2)));
         published.send_replace(None);
         let ended = peer.loads(LoadRevision(2)).await.expect("an answer");
-        assert_eq!(ended, LoadsAnswer::Elsewhere(None));
+        assert_eq!(ended, LoadsAnswer::Redirect(None));
     };
     LocalSet::new().run_until(asked).await;
 }
--- a/crates/porthoist-fleet/tests/zone.rs
+++ b/crates/porthoist-fleet/tests/zone.rs
@@ -1,11 +1,12 @@
 //! A process that follows the tables for a zone counts the entries that ask, and passes on what they heard of targets.
 
 use futures::FutureExt as _;
-use porthoist_core::{BirthMillis, ClockSource, RequestRate, UnixMillis};
+use porthoist_core::{ClockSource, RequestRate, StartMillis, UnixMillis};
 use porthoist_fleet::{
-    ControlTraffic, LoadsOutlet, PeerPool, RankPeer, RankServing, ZoneNews, ZoneWord, serve_ranks,
+    ControlTraffic, EntryReport, LoadsPublisher, PeerPool, RankPeer, RankService, ZoneTableUpdate,
+    serve_ranks,
 };
-use porthoist_group::{HeldLink, OrderAnswer, RankFuture, RankLists, RankObservation};
+use porthoist_group::{ExpertLists, OrderAnswer, RankControl, RankFuture, RankObservation};
 use porthoist_http::CallError;
 use porthoist_policy::forward::EngineOrder;
 use porthoist_policy::placement::even::EvenMap;
@@ -65,12 +66,12 @@
 #[derive(Debug)]
 struct NoEngine;
 
-impl HeldLink for NoEngine {
+impl RankControl for NoEngine {
     fn observe(&self, _counts: bool) -> RankFuture<'_, RankObservation> {
         async { Err(CallError::unknown("not asked")) }.boxed_local()
     }
 
-    fn lists(&self) -> RankFuture<'_, RankLists> {
+    fn lists(&self) -> RankFuture<'_, ExpertLists> {
         async { Err(CallError::unknown("not asked")) }.boxed_local()
     }
 
@@ -88,9 +89,9 @@
     let address = listener.local_addr().unwrap();
     let shared: Arc<dyn ClockSource> = Arc::<HandClock>::clone(clock);
     let logger = Logger::root(Discard, o!());
-    let serving = RankServing::builder()
+    let serving = RankService::builder()
         .link(Rc::new(NoEngine))
-        .outlet(LoadsOutlet::new(watch::Sender::new(None).subscribe()))
+        .publisher(LoadsPublisher::new(watch::Sender::new(None).subscribe()))
         .peers(Rc::new(PeerPool::new(address.port(), ControlTraffic::default())))
         .reader(TableReader::new(Rc::new(table), Arc::clone(&shared), logger))
         .clock(shared)
@@ -99,7 +100,7 @@
     RankPeer::new(address)
 }
 
-async fn ask(peer: &RankPeer, entry: u64, notes: &[TargetNote], now: u64) -> ZoneNews {
+async fn ask(peer: &RankPeer, entry: u64, notes: &[TargetNote], now: u64) -> ZoneTableUpdate {
     let ask = NewsAsk {
         table: ControlTable::Targets,
         after: TableRevision::default(),
@@ -108,7 +109,7 @@
         wait: Duration::from_secs(1),
     };
     let notes = notes.iter().map(|note| note.aged(UnixMillis(now))).collect();
-    peer.news(ask, &ZoneWord { entry: EntryId(entry), notes }, PATIENCE).await.unwrap()
+    peer.query(ask, &EntryReport { entry: EntryId(entry), notes }, PATIENCE).await.unwrap()
 }
 
 #[tokio::test]
@@ -116,16 +117,16 @@
     let clock = Arc::new(HandClock(AtomicU64::new(100_000)));
     let asked = async {
         let peer = start(&clock).await;
-        assert_eq!(ask(&peer, 7, &[], 0).await.place, None, "others may not have asked yet");
-        assert_eq!(ask(&peer, 3, &[], 0).await.place, None);
+        assert_eq!(ask(&peer, 7, &[], 0).await.position, None, "others may not have asked yet");
+        assert_eq!(ask(&peer, 3, &[], 0).await.position, None);
         clock.0.store(104_000, Ordering::Relaxed);
         // The entry's own clock shows another time of day.
-        let life = TargetLife { id: "t".parse().unwrap(), born: BirthMillis(5) };
+        let life = TargetLife { id: "t".parse().unwrap(), born: StartMillis(5) };
         let heard = TargetNote { life, limit: Some(RequestRate(1.5)), as_of: UnixMillis(9_000) };
         let first = ask(&peer, 3, std::slice::from_ref(&heard), 9_300).await;
         let second = ask(&peer, 7, &[], 0).await;
-        assert_eq!(first.place, Some(EntryPlace { index: 0, entries: 2 }));
-        assert_eq!(second.place, Some(EntryPlace { index: 1, entries: 2 }));
+        assert_eq!(first.position, Some(EntryPlace { index: 0, entries: 2 }));
+        assert_eq!(second.position, Some(EntryPlace { index: 1, entries: 2 }));
         let told: Vec<TargetNote> =
             second.notes.into_iter().map(|note| note.placed(UnixMillis(55_000))).collect();
         assert_eq!(told, [TargetNote { as_of: UnixMillis(54_700), ..heard }]);
@@ -141,8 +142,8 @@
         ask(&peer, 3, &[], 0).await;
         ask(&peer, 0, &[], 0).await;
         clock.0.store(104_000, Ordering::Relaxed);
-        assert_eq!(ask(&peer, 0, &[], 0).await.place, None);
-        assert_eq!(ask(&peer, 3, &[], 0).await.place, Some(EntryPlace { index: 0, entries: 1 }));
+        assert_eq!(ask(&peer, 0, &[], 0).await.position, None);
+        assert_eq!(ask(&peer, 3, &[], 0).await.position, Some(EntryPlace { index: 0, entries: 1 }));
     };
     LocalSet::new().run_until(asked).await;
 }
@@ -167,7 +168,7 @@
     let asked = async {
         let row = noisy_row(bytes);
         let peer = start_with(&clock, FixedTable(vec![row.clone()])).await;
-        match ask(&peer, 3, &[], 0).await.news {
+        match ask(&peer, 3, &[], 0).await.update {
             TableNews::Newer { rows, .. } => {
                 assert!(told);
                 assert_eq!(rows.revision, TableRevision::new(TABLE_ERA, 1));
--- a/crates/porthoist-group/src/held.rs
+++ b/crates/porthoist-group/src/controller.rs
@@ -2,8 +2,8 @@
 //!
 //! The process beside the first rank plans and switches; the others observe their own engine and pass orders on to it.
 
-use crate::links::{OrderAnswer, RankLists};
-use crate::reach::{GroupReach, GroupReading, UnreadRank};
+use crate::group_control::{GroupControl, GroupObservation, UnreachableRank};
+use crate::rank_control::{ExpertLists, OrderAnswer};
 use porthoist_policy::forward::{
     EngineOrder, ForwardDriver, ForwardRules, GroupEpoch, RankPace, RankState, RankView,
 };
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RoundOutcome {
     /// Nothing is under way.
-    Rest,
+    Idle,
     /// The demand began to shift; the next window shows all of it.
     Shifting,
     /// Experts are being copied.
@@ -42,7 +42,7 @@
     /// The group is held or about to be.
     Holding,
     /// The first rank could not be heard, or the group does not run.
-    Blind,
+    Unreachable,
 }
 
 /// The map in force with the epoch that it belongs to.
@@ -64,7 +64,7 @@
 
 /// Plans and switches the expert map of one group.
 #[derive(Debug)]
-pub struct HeldPlanner {
+pub struct ExpertMapController {
     shape: GroupShape,
     driver: ForwardDriver,
     demand: DemandEstimator,
@@ -77,7 +77,7 @@
     shifting: bool,
     requests: Vec<u32>,
     /// How often all ranks were read.
-    readings: u64,
+    full_reads: u64,
     /// How slow each rank is, as the last round saw it.
     paces: Vec<RankPace>,
     /// The last view of each rank in this formation; none before all were heard once.
@@ -91,7 +91,7 @@
     logger: Logger,
 }
 
-impl HeldPlanner {
+impl ExpertMapController {
     /// A planner that knows nothing of its group yet.
     pub fn new(shape: GroupShape, logger: Logger) -> Self {
         Self {
@@ -104,7 +104,7 @@
             gathered: vec![0; shape.sets * shape.experts],
             shifting: false,
             requests: Vec::new(),
-            readings: 0,
+            full_reads: 0,
             paces: Vec::new(),
             views: Vec::new(),
             unheard: Vec::new(),
@@ -117,18 +117,23 @@
 
     /// One round: observes the ranks, the first before the others, and gives the orders that follow. `fresh` is a
     /// version that no other life of this process uses.
-    pub async fn round(&mut self, group: &dyn GroupReach, fresh: MapVersion) -> RoundOutcome {
+    pub async fn run_round(&mut self, group: &dyn GroupControl, fresh: MapVersion) -> RoundOutcome {
         self.round_of(group, fresh, true).await
     }
 
     /// A round that reads no counts, for the loads alone; a switch that is under way goes on.
-    pub async fn round_of_loads(&mut self, group: &dyn GroupReach, fresh: MapVersion) -> RoundOutcome {
+    pub async fn run_load_round(&mut self, group: &dyn GroupControl, fresh: MapVersion) -> RoundOutcome {
         self.round_of(group, fresh, false).await
     }
 
-    async fn round_of(&mut self, group: &dyn GroupReach, fresh: MapVersion, counting: bool) -> RoundOutcome {
+    async fn round_of(
+        &mut self,
+        group: &dyn GroupControl,
+        fresh: MapVersion,
+        counting: bool,
+    ) -> RoundOutcome {
         if !self.observe_first(group).await && !self.observe(group, fresh, counting).await {
-            return RoundOutcome::Blind;
+            return RoundOutcome::Unreachable;
         }
         let sent = self.drive(group).await;
         self.pace(sent)
@@ -136,7 +141,7 @@
 
     /// While a switch holds the group, reads the first rank alone: the others' views come with their answers to
     /// orders. Returns whether that is enough.
-    async fn observe_first(&mut self, group: &dyn GroupReach) -> bool {
+    async fn observe_first(&mut self, group: &dyn GroupControl) -> bool {
         if !self.driver.holding() || self.views.len() != group.ranks() {
             return false;
         }
@@ -151,7 +156,7 @@
     ///
     /// A rank that is missing costs its own counts and load: with hundreds of ranks one nearly always is. Only a switch
     /// needs them all.
-    async fn observe(&mut self, group: &dyn GroupReach, fresh: MapVersion, counting: bool) -> bool {
+    async fn observe(&mut self, group: &dyn GroupControl, fresh: MapVersion, counting: bool) -> bool {
         let counting = counting && !self.driver.holding();
         let mut reading = group.observe(counting).await;
         let Some(first) = reading.states.first().cloned().flatten() else {
@@ -181,8 +186,8 @@
     }
 
     /// Takes the ranks' states; those of another formation than the first one's count as unheard.
-    fn take_states(&mut self, first: &RankState, reading: &mut GroupReading) {
-        self.readings += 1;
+    fn take_states(&mut self, first: &RankState, reading: &mut GroupObservation) {
+        self.full_reads += 1;
         let ranks = reading.states.len();
         self.requests.resize(ranks, 0);
         self.paces.resize(ranks, RankPace::USUAL);
@@ -215,7 +220,7 @@
         }
     }
 
-    fn note_unread(&mut self, unread: Option<&UnreadRank>) {
+    fn note_unread(&mut self, unread: Option<&UnreachableRank>) {
         if std::mem::replace(&mut self.seeing, false) {
             warn!(self.logger, "a rank can't be read"; "event" => "dependency_lost", "dependency" => "rank",
                 "rank" => unread.map(|unread| unread.rank),
@@ -224,7 +229,7 @@
     }
 
     /// Says which ranks were not heard, and once for which one a switch waits.
-    fn note_unheard(&mut self, unread: Option<&UnreadRank>) {
+    fn note_unheard(&mut self, unread: Option<&UnreachableRank>) {
         let Some(rank) = self.unheard.iter().position(Option::is_some) else {
             if !std::mem::replace(&mut self.seeing, true) {
                 info!(self.logger, "all ranks are read again"; "event" => "dependency_regained",
@@ -234,7 +239,7 @@
             return;
         };
         let known = unread.cloned();
-        let other = || UnreadRank { rank, error: "it is in another formation".to_owned() };
+        let other = || UnreachableRank { rank, error: "it is in another formation".to_owned() };
         self.note_unread(Some(&known.unwrap_or_else(other)));
         let since = self.unheard[rank];
         if self.driver.target().is_some() && !std::mem::replace(&mut self.waiting, true) {
@@ -244,13 +249,15 @@
     }
 
     /// Gives orders, and those that follow from the answers, until nothing new follows. Returns how many were given.
-    async fn drive(&mut self, group: &dyn GroupReach) -> usize {
+    async fn drive(&mut self, group: &dyn GroupControl) -> usize {
         let mut given = 0;
         let mut last = Vec::new();
         loop {
             let mut orders = self.driver.next(&self.views);
             // The number of orders that an unheard rank has begun is not known, which a prepare must name.
-            orders.retain(|(rank, order)| self.hears(*rank) || !matches!(order, EngineOrder::Prepare { .. }));
+            orders.retain(|(rank, order)| {
+                self.is_reachable(*rank) || !matches!(order, EngineOrder::Prepare { .. })
+            });
             if orders.is_empty() || orders == last {
                 return given;
             }
@@ -265,12 +272,12 @@
     }
 
     /// Since when a rank is not heard, of all the one that is not for longest.
-    pub fn unheard_since(&self) -> Option<Instant> {
+    pub fn unreachable_since(&self) -> Option<Instant> {
         self.unheard.iter().flatten().min().copied()
     }
 
     /// Whether the last round heard a rank.
-    pub fn hears(&self, rank: usize) -> bool {
+    pub fn is_reachable(&self, rank: usize) -> bool {
         self.unheard.get(rank).is_none_or(Option::is_none)
     }
 
@@ -285,8 +292,8 @@
     }
 
     /// How often all ranks were read: while a switch holds the group, only the first is.
-    pub fn readings(&self) -> u64 {
-        self.readings
+    pub fn full_reads(&self) -> u64 {
+        self.full_reads
     }
 
     /// How slow each rank is, as the last round saw it.
@@ -301,7 +308,7 @@
         if self.driver.target().is_some() || sent > 0 {
             return RoundOutcome::Copying;
         }
-        if self.shifting { RoundOutcome::Shifting } else { RoundOutcome::Rest }
+        if self.shifting { RoundOutcome::Shifting } else { RoundOutcome::Idle }
     }
 
     /// Takes a map that came into force.
@@ -340,12 +347,12 @@
     }
 
     /// Reads the map in force from all ranks unless it is known.
-    async fn learn_map(&mut self, group: &dyn GroupReach, views: &[RankView]) -> bool {
+    async fn learn_map(&mut self, group: &dyn GroupControl, views: &[RankView]) -> bool {
         if self.known.is_some() {
             return true;
         }
         let asked = group.lists().await;
-        let Some(lists) = asked.into_iter().collect::<Option<Vec<RankLists>>>() else { return false };
+        let Some(lists) = asked.into_iter().collect::<Option<Vec<ExpertLists>>>() else { return false };
         let version = views[0].map;
         let alike = lists.iter().all(|list| list.version == version && list.experts.len() == self.shape.sets);
         if !alike {
@@ -398,7 +405,7 @@
     }
 
     /// Sends orders and takes the views that come with the answers.
-    async fn send(&mut self, group: &dyn GroupReach, orders: &[(usize, EngineOrder)]) {
+    async fn send(&mut self, group: &dyn GroupControl, orders: &[(usize, EngineOrder)]) {
         let map = self.next.as_ref().map(|next| &next.map);
         let answers = group.order(orders, map).await;
         let mut refused = false;
--- a/crates/porthoist-group/src/reach.rs
+++ b/crates/porthoist-group/src/group_control.rs
@@ -1,7 +1,7 @@
 //! All ranks of a group as one party: what reads and orders them all, whatever the way to each.
 
-use crate::links::{HeldLink, OrderAnswer, RankLists};
-use crate::patience::AnswerPatience;
+use crate::rank_control::{ExpertLists, OrderAnswer, RankControl};
+use crate::timeout::AdaptiveTimeout;
 use futures::future::{LocalBoxFuture, join_all};
 use porthoist_policy::forward::{EngineOrder, RankState};
 use porthoist_policy::placement::even::EvenMap;
@@ -21,7 +21,7 @@
 
 /// A rank whose process did not tell its state.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct UnreadRank {
+pub struct UnreachableRank {
     /// The rank.
     pub rank: usize,
     /// Why.
@@ -30,16 +30,16 @@
 
 /// What one round of questions brought.
 #[derive(Debug, Clone, Default)]
-pub struct GroupReading {
+pub struct GroupObservation {
     /// The state of each rank that answered, by rank.
     pub states: Vec<Option<RankState>>,
     /// What the requests of all that answered chose since the last such question, by set and expert.
     pub counts: Vec<u32>,
     /// A rank that did not answer, if any.
-    pub unread: Option<UnreadRank>,
+    pub unread: Option<UnreachableRank>,
 }
 
-impl GroupReading {
+impl GroupObservation {
     /// Nothing read of so many ranks.
     pub fn empty(ranks: usize) -> Self {
         Self { states: vec![None; ranks], ..Self::default() }
@@ -57,15 +57,15 @@
 }
 
 /// Reads and orders all ranks of one group.
-pub trait GroupReach: fmt::Debug {
+pub trait GroupControl: fmt::Debug {
     /// Ranks in the group.
     fn ranks(&self) -> usize;
     /// The first rank's state alone.
     fn observe_first(&self) -> LocalBoxFuture<'_, Option<RankState>>;
     /// The states of all, the first rank's read before the others', with counts if asked for.
-    fn observe(&self, counts: bool) -> LocalBoxFuture<'_, GroupReading>;
+    fn observe(&self, counts: bool) -> LocalBoxFuture<'_, GroupObservation>;
     /// The experts of all, by rank.
-    fn lists(&self) -> LocalBoxFuture<'_, Vec<Option<RankLists>>>;
+    fn lists(&self) -> LocalBoxFuture<'_, Vec<Option<ExpertLists>>>;
     /// Gives orders, with the map that prepares are about; the answers in the order of the orders.
     fn order<'a>(
         &'a self,
@@ -76,47 +76,47 @@
 
 /// Patience with each kind of question.
 #[derive(Debug, Clone)]
-pub struct GroupPatience {
+pub struct GroupTimeouts {
     /// States alone.
-    pub states: RefCell<AnswerPatience>,
+    pub states: RefCell<AdaptiveTimeout>,
     /// States and counts.
-    pub counts: RefCell<AnswerPatience>,
+    pub counts: RefCell<AdaptiveTimeout>,
     /// Lists of experts.
-    pub lists: RefCell<AnswerPatience>,
+    pub lists: RefCell<AdaptiveTimeout>,
     /// Orders that copy experts; they carry a map.
-    pub prepares: RefCell<AnswerPatience>,
+    pub prepares: RefCell<AdaptiveTimeout>,
     /// Other orders.
-    pub orders: RefCell<AnswerPatience>,
+    pub orders: RefCell<AdaptiveTimeout>,
     order_floor: Duration,
 }
 
-impl Default for GroupPatience {
+impl Default for GroupTimeouts {
     fn default() -> Self {
         Self::at_least(READING_FLOOR, ORDER_FLOOR)
     }
 }
 
-impl GroupPatience {
+impl GroupTimeouts {
     /// Patience of at least so long with readings, and with orders that move no experts.
     pub fn at_least(reading_floor: Duration, order_floor: Duration) -> Self {
-        let reading = || RefCell::new(AnswerPatience::new(reading_floor));
+        let reading = || RefCell::new(AdaptiveTimeout::new(reading_floor));
         Self {
             states: reading(),
             counts: reading(),
             lists: reading(),
             prepares: reading(),
-            orders: RefCell::new(AnswerPatience::without_doubling(order_floor)),
+            orders: RefCell::new(AdaptiveTimeout::without_doubling(order_floor)),
             order_floor,
         }
     }
 
     /// That with a question about states.
-    pub fn with_states(&self, counts: bool) -> &RefCell<AnswerPatience> {
+    pub fn with_states(&self, counts: bool) -> &RefCell<AdaptiveTimeout> {
         if counts { &self.counts } else { &self.states }
     }
 
     /// That with orders.
-    pub fn with_orders(&self, orders: &[(usize, EngineOrder)]) -> &RefCell<AnswerPatience> {
+    pub fn with_orders(&self, orders: &[(usize, EngineOrder)]) -> &RefCell<AdaptiveTimeout> {
         let copies = orders.iter().any(|(_rank, order)| matches!(order, EngineOrder::Prepare { .. }));
         if copies {
             return &self.prepares;
@@ -132,41 +132,41 @@
 /// A group each of whose ranks is asked straight: for groups in memory, and to compare other ways with.
 #[derive(Debug, Default)]
 pub struct DirectGroup {
-    links: Vec<Rc<dyn HeldLink>>,
-    patience: GroupPatience,
+    links: Vec<Rc<dyn RankControl>>,
+    patience: GroupTimeouts,
 }
 
 impl DirectGroup {
     /// The group of these ranks, the first one first.
-    pub fn new(links: Vec<Rc<dyn HeldLink>>) -> Self {
-        Self { links, patience: GroupPatience::default() }
+    pub fn new(links: Vec<Rc<dyn RankControl>>) -> Self {
+        Self { links, patience: GroupTimeouts::default() }
     }
 
     /// The same with another patience.
     #[must_use]
-    pub fn with_patience(self, patience: GroupPatience) -> Self {
+    pub fn with_patience(self, patience: GroupTimeouts) -> Self {
         Self { patience, ..self }
     }
 
     /// Waits for the answers of some ranks; of those that do not come in time the connection is left.
     async fn ask<T>(
         &self,
-        patience: &RefCell<AnswerPatience>,
-        calls: impl Iterator<Item = (usize, crate::links::RankFuture<'_, T>)>,
+        patience: &RefCell<AdaptiveTimeout>,
+        calls: impl Iterator<Item = (usize, crate::rank_control::RankFuture<'_, T>)>,
         leave_silent: bool,
-    ) -> Vec<Result<T, UnreadRank>> {
+    ) -> Vec<Result<T, UnreachableRank>> {
         let allowed = patience.borrow().get();
         let began = Instant::now();
         let pending = calls.map(|(rank, call)| async move {
             match tokio::time::timeout(allowed, call).await {
                 Ok(Ok(answer)) => Ok((answer, began.elapsed())),
-                Ok(Err(error)) => Err(UnreadRank { rank, error: error.to_string() }),
+                Ok(Err(error)) => Err(UnreachableRank { rank, error: error.to_string() }),
                 Err(_elapsed) => {
                     if leave_silent {
                         // It may be silent for good. Only this rank's: the others keep the map sent over theirs.
                         self.links[rank].reset();
                     }
-                    Err(UnreadRank { rank, error: "no answer in time".to_owned() })
+                    Err(UnreachableRank { rank, error: "no answer in time".to_owned() })
                 }
             }
         });
@@ -177,7 +177,7 @@
     }
 }
 
-impl GroupReach for DirectGroup {
+impl GroupControl for DirectGroup {
     fn ranks(&self) -> usize {
         self.links.len()
     }
@@ -190,9 +190,9 @@
         })
     }
 
-    fn observe(&self, counts: bool) -> LocalBoxFuture<'_, GroupReading> {
+    fn observe(&self, counts: bool) -> LocalBoxFuture<'_, GroupObservation> {
         Box::pin(async move {
-            let mut reading = GroupReading::empty(self.links.len());
+            let mut reading = GroupObservation::empty(self.links.len());
             let patience = self.patience.with_states(counts);
             for ranks in [0..1.min(self.links.len()), 1.min(self.links.len())..self.links.len()] {
                 let calls = ranks.clone().map(|rank| (rank, self.links[rank].observe(counts)));
@@ -211,7 +211,7 @@
         })
     }
 
-    fn lists(&self) -> LocalBoxFuture<'_, Vec<Option<RankLists>>> {
+    fn lists(&self) -> LocalBoxFuture<'_, Vec<Option<ExpertLists>>> {
         Box::pin(async {
             let calls = self.links.iter().enumerate().map(|(rank, link)| (rank, link.lists()));
             self.ask(&self.patience.lists, calls, false).await.into_iter().map(Result::ok).collect()
--- a/crates/porthoist-group/src/lib.rs
+++ b/crates/porthoist-group/src/lib.rs
@@ -2,20 +2,22 @@
 //!
 //! The decisions are those of `porthoist_policy::switch`; here they meet the engine's orders and the fleet's calls.
 
+pub mod controller;
 pub mod engine;
-pub mod held;
+pub mod group_control;
 pub mod leader;
-pub mod links;
-pub mod patience;
 pub mod planner;
 pub mod rank;
-pub mod reach;
+pub mod rank_control;
+pub mod timeout;
 
+pub use controller::{ExpertMapController, GroupShape, RoundOutcome};
 pub use engine::{GroupEngine, HttpGroupEngine, RankOrder};
-pub use held::{GroupShape, HeldPlanner, RoundOutcome};
+pub use group_control::{DirectGroup, GroupControl, GroupObservation, GroupTimeouts, UnreachableRank};
 pub use leader::{RankLink, SwitchError, SwitchOutcome, switch_group};
-pub use links::{ChoiceCounts, HeldEngine, HeldLink, OrderAnswer, RankFuture, RankLists, RankObservation};
-pub use patience::AnswerPatience;
 pub use planner::{ExpertWindow, GroupPlanner};
 pub use rank::{MapSource, RankDriver};
-pub use reach::{DirectGroup, GroupPatience, GroupReach, GroupReading, UnreadRank};
+pub use rank_control::{
+    ExpertCounts, ExpertLists, LocalEngine, OrderAnswer, RankControl, RankFuture, RankObservation,
+};
+pub use timeout::AdaptiveTimeout;
--- a/crates/porthoist-group/src/planner.rs
+++ b/crates/porthoist-group/src/planner.rs
@@ -56,7 +56,7 @@
     }
 
     /// Takes a window and plans; nothing where neither moves nor new shares are worth a switch.
-    pub fn window(&mut self, window: &ExpertWindow, row: &PolicyRow) -> Option<PlacementPlan> {
+    pub fn plan_window(&mut self, window: &ExpertWindow, row: &PolicyRow) -> Option<PlacementPlan> {
         self.estimator.counts(&window.tokens);
         self.estimator.speeds(&window.speeds);
         let estimate = self.estimator.estimate();
@@ -66,7 +66,7 @@
     }
 
     /// The group has switched to a map.
-    pub fn switched(&mut self, map: ExpertMap) {
+    pub fn set_map(&mut self, map: ExpertMap) {
         self.map = map;
     }
 }
--- a/crates/porthoist-group/src/links.rs
+++ b/crates/porthoist-group/src/rank_control.rs
@@ -2,7 +2,7 @@
 //! beside the others.
 
 use futures::future::LocalBoxFuture;
-use porthoist_core::BirthMillis;
+use porthoist_core::StartMillis;
 use porthoist_http::CallError;
 use porthoist_policy::forward::{EngineOrder, RankState, RankView};
 use porthoist_policy::placement::even::EvenMap;
@@ -13,16 +13,16 @@
 
 /// What an engine's own requests chose since it started, by set and expert.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct ChoiceCounts {
+pub struct ExpertCounts {
     /// When this life of the engine began.
-    pub born: BirthMillis,
+    pub born: StartMillis,
     /// Counts, set after set.
     pub counts: Vec<u64>,
 }
 
 /// The map in use and one rank's experts by set.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RankLists {
+pub struct ExpertLists {
     /// The map's version.
     pub version: MapVersion,
     /// Experts by set.
@@ -33,13 +33,13 @@
 pub type RankFuture<'a, T> = LocalBoxFuture<'a, Result<T, CallError>>;
 
 /// The engine beside this process.
-pub trait HeldEngine: fmt::Debug {
+pub trait LocalEngine: fmt::Debug {
     /// What it reports of itself.
     fn state(&self) -> RankFuture<'_, RankState>;
     /// What its requests chose since it started.
-    fn counts(&self) -> RankFuture<'_, ChoiceCounts>;
+    fn counts(&self) -> RankFuture<'_, ExpertCounts>;
     /// Its experts.
-    fn lists(&self) -> RankFuture<'_, RankLists>;
+    fn lists(&self) -> RankFuture<'_, ExpertLists>;
     /// Gives an order, with the map that a prepare is about; `false` if it was refused.
     fn order<'a>(&'a self, order: EngineOrder, map: Option<&'a EvenMap>) -> RankFuture<'a, bool>;
 }
@@ -63,11 +63,11 @@
 }
 
 /// The way to the process beside a rank.
-pub trait HeldLink: fmt::Debug {
+pub trait RankControl: fmt::Debug {
     /// Observes the rank.
     fn observe(&self, counts: bool) -> RankFuture<'_, RankObservation>;
     /// The rank's experts.
-    fn lists(&self) -> RankFuture<'_, RankLists>;
+    fn lists(&self) -> RankFuture<'_, ExpertLists>;
     /// Passes an order on.
     fn order<'a>(&'a self, order: EngineOrder, map: Option<&'a EvenMap>) -> RankFuture<'a, OrderAnswer>;
     /// Leaves the present connection behind, if there is one: it did not bring a reading in time.
--- a/crates/porthoist-group/src/patience.rs
+++ b/crates/porthoist-group/src/timeout.rs
@@ -18,14 +18,14 @@
 /// A fixed time a rank held for groups of up to 63 ranks; at 129 behind links of 6 Mbit/s, whole maps took longer, were
 /// given up and sent anew, and a map was in force 3.9 s after it was planned instead of 0.7.
 #[derive(Debug, Clone)]
-pub struct AnswerPatience {
+pub struct AdaptiveTimeout {
     floor: Duration,
     usual: RecentMedian,
     doublings: u32,
     most_doublings: u32,
 }
 
-impl AnswerPatience {
+impl AdaptiveTimeout {
     /// A patience of at least `floor`, which is also the first one. It doubles while most do not answer.
     pub fn new(floor: Duration) -> Self {
         Self { floor, usual: RecentMedian::default(), doublings: 0, most_doublings: MOST_DOUBLINGS }
--- a/crates/porthoist-group/tests/held.rs
+++ b/crates/porthoist-group/tests/held.rs
@@ -2,8 +2,8 @@
 
 use futures::FutureExt as _;
 use porthoist_group::{
-    DirectGroup, GroupShape, HeldLink, HeldPlanner, OrderAnswer, RankFuture, RankLists, RankObservation,
-    RoundOutcome,
+    DirectGroup, ExpertLists, ExpertMapController, GroupShape, OrderAnswer, RankControl, RankFuture,
+    RankObservation, RoundOutcome,
 };
 use porthoist_http::CallError;
 use porthoist_policy::forward::{
@@ -217,7 +217,7 @@
     rank: usize,
 }
 
-impl HeldLink for Link {
+impl RankControl for Link {
     fn observe(&self, counts: bool) -> RankFuture<'_, RankObservation> {
         let group = self.group.borrow();
         if group.away == Some(self.rank) {
@@ -236,12 +236,12 @@
         async move { Ok(RankObservation { state, counts }) }.boxed_local()
     }
 
-    fn lists(&self) -> RankFuture<'_, RankLists> {
+    fn lists(&self) -> RankFuture<'_, ExpertLists> {
         let group = self.group.borrow();
         let engine = &group.engines[self.rank];
         let map = &engine.maps[&engine.view.map];
         let experts = map.sets().iter().map(|ranks| ranks[self.rank].clone()).collect();
-        let lists = RankLists { version: engine.view.map, experts };
+        let lists = ExpertLists { version: engine.view.map, experts };
         async move { Ok(lists) }.boxed_local()
     }
 
@@ -277,7 +277,7 @@
 }
 
 fn direct(group: &Rc<RefCell<Group>>) -> DirectGroup {
-    let link = |rank: usize| -> Rc<dyn HeldLink> { Rc::new(Link { group: Rc::clone(group), rank }) };
+    let link = |rank: usize| -> Rc<dyn RankControl> { Rc::new(Link { group: Rc::clone(group), rank }) };
     DirectGroup::new((0..RANKS).map(link).collect())
 }
 
@@ -286,8 +286,8 @@
     GroupShape { sets: 1, experts: EXPERTS, bounds }
 }
 
-fn planner() -> HeldPlanner {
-    HeldPlanner::new(shape(), Logger::root(Discard, o!()))
+fn planner() -> ExpertMapController {
+    ExpertMapController::new(shape(), Logger::root(Discard, o!()))
 }
 
 #[test_case(0.0, false; "calm")]
@@ -308,7 +308,7 @@
             if round % 100 == 0 {
                 group.borrow_mut().hot = random.random_range(0..EXPERTS);
             }
-            planner.round(&links, MapVersion(round)).await;
+            planner.run_round(&links, MapVersion(round)).await;
             if random.random_bool(0.7) {
                 group.borrow_mut().pass();
             }
@@ -344,7 +344,7 @@
         let links = direct(&group);
         let mut planner = planner();
         for round in 0..ROUNDS {
-            planner.round(&links, MapVersion(round)).await;
+            planner.run_round(&links, MapVersion(round)).await;
             group.borrow_mut().pass();
         }
         let group = group.borrow();
@@ -361,11 +361,11 @@
 const LEARNING_ROUNDS: u32 = 12;
 
 /// Plays rounds and passes until nothing is under way.
-async fn until_rest(planner: &mut HeldPlanner, group: &Rc<RefCell<Group>>, links: &DirectGroup) {
+async fn until_rest(planner: &mut ExpertMapController, group: &Rc<RefCell<Group>>, links: &DirectGroup) {
     for round in 0..ROUNDS {
-        let outcome = planner.round(links, MapVersion(round)).await;
+        let outcome = planner.run_round(links, MapVersion(round)).await;
         group.borrow_mut().pass();
-        if round >= FIRST_ROUNDS && outcome == RoundOutcome::Rest {
+        if round >= FIRST_ROUNDS && outcome == RoundOutcome::Idle {
             return;
         }
     }
@@ -381,12 +381,12 @@
     let mut planner = planner();
     until_rest(&mut planner, &group, &links).await;
     for round in 0..LEARNING_ROUNDS {
-        planner.round(&links, MapVersion(round)).await;
+        planner.run_round(&links, MapVersion(round)).await;
         group.borrow_mut().pass();
     }
     let maps_before = group.borrow().engines[0].maps.len();
     group.borrow_mut().shift(6, lag);
-    let outcome = planner.round(&links, MapVersion(0)).await;
+    let outcome = planner.run_round(&links, MapVersion(0)).await;
     assert_eq!(outcome, RoundOutcome::Shifting, "the first window shows a part of the shift");
     group.borrow_mut().lag = 0.0;
     until_rest(&mut planner, &group, &links).await;
@@ -401,15 +401,15 @@
     let links = direct(&group);
     let mut planner = planner();
     for _round in 0..FIRST_ROUNDS {
-        planner.round_of_loads(&links, MapVersion(1)).await;
+        planner.run_load_round(&links, MapVersion(1)).await;
         group.borrow_mut().pass();
     }
     assert_eq!(planner.requests(), [1, 2, 3, 4]);
-    assert_eq!(planner.readings(), u64::from(FIRST_ROUNDS), "each of these rounds read all ranks");
+    assert_eq!(planner.full_reads(), u64::from(FIRST_ROUNDS), "each of these rounds read all ranks");
     assert_eq!(group.borrow().engines[0].maps.len(), 1, "nothing is planned without counts");
-    assert_eq!(planner.round(&links, MapVersion(1)).await, RoundOutcome::Copying);
+    assert_eq!(planner.run_round(&links, MapVersion(1)).await, RoundOutcome::Copying);
     for _round in 0..FIRST_ROUNDS {
-        planner.round_of_loads(&links, MapVersion(1)).await;
+        planner.run_load_round(&links, MapVersion(1)).await;
         group.borrow_mut().pass();
     }
     assert_eq!(group.borrow().engines[0].view.map, MapVersion(1), "the switch went on");
@@ -422,24 +422,24 @@
     let links = direct(&group);
     let mut planner = planner();
     for _round in 0..FIRST_ROUNDS {
-        planner.round_of_loads(&links, MapVersion(1)).await;
+        planner.run_load_round(&links, MapVersion(1)).await;
         group.borrow_mut().pass();
     }
     group.borrow_mut().away = Some(2);
-    let readings = planner.readings();
+    let full_reads = planner.full_reads();
     for round in 0..LEARNING_ROUNDS {
-        let outcome = planner.round(&links, MapVersion(round)).await;
-        assert_eq!(outcome, RoundOutcome::Rest);
+        let outcome = planner.run_round(&links, MapVersion(round)).await;
+        assert_eq!(outcome, RoundOutcome::Idle);
         group.borrow_mut().pass();
     }
-    assert_eq!(planner.readings(), readings + u64::from(LEARNING_ROUNDS), "the others are read");
+    assert_eq!(planner.full_reads(), full_reads + u64::from(LEARNING_ROUNDS), "the others are read");
     assert_eq!(group.borrow().engines[0].maps.len(), 1, "nothing is prepared that can't be switched to");
     group.borrow_mut().away = None;
     // The demand is known already: the first round that hears all ranks plans.
-    assert_eq!(planner.round(&links, MapVersion(90)).await, RoundOutcome::Copying);
+    assert_eq!(planner.run_round(&links, MapVersion(90)).await, RoundOutcome::Copying);
     group.borrow_mut().away = Some(1);
     for _round in 0..FIRST_ROUNDS {
-        planner.round_of_loads(&links, MapVersion(91)).await;
+        planner.run_load_round(&links, MapVersion(91)).await;
         group.borrow_mut().pass();
     }
     group.borrow_mut().away = None;
--- a/crates/porthoist-group/tests/patience.rs
+++ b/crates/porthoist-group/tests/patience.rs
@@ -1,6 +1,6 @@
 //! How long answers are waited for.
 
-use porthoist_group::AnswerPatience;
+use porthoist_group::AdaptiveTimeout;
 use std::time::Duration;
 
 const FLOOR: Duration = Duration::from_millis(150);
@@ -13,7 +13,7 @@
 /// sent anew.
 #[test]
 fn patience_follows_what_answers_take() {
-    let mut patience = AnswerPatience::new(FLOOR);
+    let mut patience = AdaptiveTimeout::new(FLOOR);
     assert_eq!(patience.get(), FLOOR, "nothing is known yet");
     patience.took(&millis(&[10, 12, 14, 90]), 4);
     assert_eq!(patience.get(), Duration::from_millis(270), "three times the slower quarter");
@@ -25,7 +25,7 @@
 
 #[test]
 fn it_doubles_while_most_do_not_answer_and_no_further_than_a_second() {
-    let mut patience = AnswerPatience::new(FLOOR);
+    let mut patience = AdaptiveTimeout::new(FLOOR);
     let mut seen = Vec::new();
     for _question in 0..5 {
         patience.took(&millis(&[40]), 4);
@@ -39,7 +39,7 @@
 /// One rank that is away must not make the others' questions wait longer.
 #[test]
 fn a_few_that_are_away_do_not_count() {
-    let mut patience = AnswerPatience::new(FLOOR);
+    let mut patience = AdaptiveTimeout::new(FLOOR);
     for _question in 0..9 {
         patience.took(&millis(&[30, 30, 30]), 4);
     }
@@ -48,7 +48,7 @@
 
 #[test]
 fn what_is_simply_asked_again_does_not_double() {
-    let mut patience = AnswerPatience::without_doubling(FLOOR);
+    let mut patience = AdaptiveTimeout::without_doubling(FLOOR);
     patience.took(&[], 4);
     assert_eq!(patience.get(), FLOOR);
     patience.set_floor(FLOOR * 2);
--- a/crates/porthoist-group/tests/silence.rs
+++ b/crates/porthoist-group/tests/silence.rs
@@ -2,8 +2,8 @@
 
 use futures::FutureExt as _;
 use porthoist_group::{
-    DirectGroup, GroupShape, HeldLink, HeldPlanner, OrderAnswer, RankFuture, RankLists, RankObservation,
-    RoundOutcome,
+    DirectGroup, ExpertLists, ExpertMapController, GroupShape, OrderAnswer, RankControl, RankFuture,
+    RankObservation, RoundOutcome,
 };
 use porthoist_http::CallError;
 use porthoist_policy::forward::{EngineOrder, GroupEpoch, OrderSequence, RankPace, RankState, RankView};
@@ -24,7 +24,7 @@
     requests: Cell<u32>,
 }
 
-impl HeldLink for RankWay {
+impl RankControl for RankWay {
     fn observe(&self, _counts: bool) -> RankFuture<'_, RankObservation> {
         if self.silent.get() {
             return futures::future::pending::<Result<RankObservation, CallError>>().boxed_local();
@@ -51,7 +51,7 @@
         async move { Ok(RankObservation { state, counts: Vec::new() }) }.boxed_local()
     }
 
-    fn lists(&self) -> RankFuture<'_, RankLists> {
+    fn lists(&self) -> RankFuture<'_, ExpertLists> {
         async { Err(CallError::unknown("not asked")) }.boxed_local()
     }
 
@@ -73,20 +73,20 @@
 async fn connections_that_bring_no_reading_in_time_are_left_at_once() {
     let ways: Vec<Rc<RankWay>> =
         (0..RANKS).map(|rank| Rc::new(RankWay { rank, ..RankWay::default() })).collect();
-    let links = ways.iter().map(|way| -> Rc<dyn HeldLink> { Rc::<RankWay>::clone(way) });
+    let links = ways.iter().map(|way| -> Rc<dyn RankControl> { Rc::<RankWay>::clone(way) });
     let links = DirectGroup::new(links.collect());
     let bounds = EvenBounds { places: 4, spare: 2, new_a_rank: 3, move_price: 0.01 };
     let shape = GroupShape { sets: 1, experts: 12, bounds };
-    let mut planner = HeldPlanner::new(shape, Logger::root(Discard, o!()));
-    assert_eq!(planner.round_of_loads(&links, MapVersion(1)).await, RoundOutcome::Rest);
+    let mut planner = ExpertMapController::new(shape, Logger::root(Discard, o!()));
+    assert_eq!(planner.run_load_round(&links, MapVersion(1)).await, RoundOutcome::Idle);
     ways[1].silent.set(true);
     ways[3].silent.set(true);
     // What the others say counts all the same; that some are missing is known.
     ways[2].requests.set(7);
-    assert_eq!(planner.round_of_loads(&links, MapVersion(1)).await, RoundOutcome::Rest);
+    assert_eq!(planner.run_load_round(&links, MapVersion(1)).await, RoundOutcome::Idle);
     assert_eq!(planner.requests(), [0, 0, 7, 0]);
-    assert!(planner.unheard_since().is_some());
+    assert!(planner.unreachable_since().is_some());
     assert_eq!(ways.iter().map(|way| way.resets.get()).collect::<Vec<u32>>(), [0, 1, 0, 1]);
-    assert_eq!(planner.round_of_loads(&links, MapVersion(1)).await, RoundOutcome::Rest);
-    assert_eq!(planner.unheard_since(), None);
+    assert_eq!(planner.run_load_round(&links, MapVersion(1)).await, RoundOutcome::Idle);
+    assert_eq!(planner.unreachable_since(), None);
 }
--- a/crates/porthoist-http/src/server.rs
+++ b/crates/porthoist-http/src/server.rs
@@ -3,7 +3,7 @@
 //! When told to stop it accepts no more connections, lets requests in flight finish, and returns.
 
 use crate::body::HttpResponse;
-use crate::socket::{SocketPeer, bound_silence};
+use crate::socket::{SocketPeer, configure_socket};
 use hyper::Request;
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
@@ -52,7 +52,7 @@
             continue;
         };
         // An error here only costs latency, and time until a silent caller is noticed.
-        drop(bound_silence(&stream, SocketPeer::Caller));
+        drop(configure_socket(&stream, SocketPeer::Caller));
         let handler = handler.clone();
         let service = service_fn(move |request| {
             let answer = handler(request);
--- a/crates/porthoist-http/src/socket.rs
+++ b/crates/porthoist-http/src/socket.rs
@@ -46,7 +46,7 @@
 /// # Errors
 ///
 /// The system does not take one of the options; the connection can be used all the same.
-pub fn bound_silence(stream: &TcpStream, peer: SocketPeer) -> io::Result<()> {
+pub fn configure_socket(stream: &TcpStream, peer: SocketPeer) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let keepalive =
--- a/crates/porthoist-http/tests/socket.rs
+++ b/crates/porthoist-http/tests/socket.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
-use porthoist_http::{HttpClient, ServerSettings, SocketPeer, bound_silence, serve_until, text_response};
+use porthoist_http::{HttpClient, ServerSettings, SocketPeer, configure_socket, serve_until, text_response};
 use socket2::SockRef;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,7 +20,7 @@
 async fn the_system_probes_an_idle_connection(peer: SocketPeer) -> (u128, u128, u32, u128) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let stream = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
-    bound_silence(&stream, peer).unwrap();
+    configure_socket(&stream, peer).unwrap();
     let socket = SockRef::from(&stream);
     assert!(stream.nodelay().unwrap() && socket.keepalive().unwrap());
     let unacknowledged = socket.tcp_user_timeout().unwrap().unwrap();
--- a/crates/porthoist-lab/src/overload/groups/entry.rs
+++ b/crates/porthoist-lab/src/overload/groups/entry.rs
@@ -3,7 +3,7 @@
 use super::super::callers::PlayedCaller;
 use super::super::{LATENCY_MILLIS, deadline};
 use super::{GROUPS, RANKS};
-use porthoist_core::{BirthMillis, ServiceName, TargetName, UnixDeadline, UnixMillis};
+use porthoist_core::{ServiceName, StartMillis, TargetName, UnixDeadline, UnixMillis};
 use porthoist_policy::proxy::cold::ColdWord;
 use porthoist_policy::proxy::desk::{DeskAnswer, PlaceDemand, PlaceDesk};
 use porthoist_policy::proxy::loads::{GroupLoads, LoadRevision, RankLoad};
@@ -64,7 +64,7 @@
 fn record(service: &ServiceName, place: usize, slots: u32) -> TargetRecord {
     TargetRecord {
         id: format!("t{place}").parse().expect("a valid name"),
-        born: BirthMillis::default(),
+        born: StartMillis::default(),
         service: service.clone(),
         address: (host(place), 9).into(),
         zone: format!("z{}", place / RANKS).parse().expect("a valid name"),
--- a/crates/porthoist-lab/src/overload/rule.rs
+++ b/crates/porthoist-lab/src/overload/rule.rs
@@ -3,7 +3,7 @@
 use super::callers::PlayedCaller;
 use super::group::KnownLoads;
 use super::{LATENCY_MILLIS, deadline};
-use porthoist_core::{BirthMillis, ServiceName, TargetName, UnixDeadline, UnixMillis};
+use porthoist_core::{ServiceName, StartMillis, TargetName, UnixDeadline, UnixMillis};
 use porthoist_policy::proxy::cold::ColdWord;
 use porthoist_policy::proxy::desk::{DeskAnswer, PlaceDemand, PlaceDesk};
 use porthoist_policy::proxy::loads::{GroupLoads, LoadRevision, RankLoad};
@@ -135,7 +135,7 @@
             BoardSettings::builder().zone(zone.clone()).per_rank(3).rank_limit(slots).seed(seed).build();
         let record = |rank: usize| TargetRecord {
             id: target(rank),
-            born: BirthMillis::default(),
+            born: StartMillis::default(),
             service: service.clone(),
             address: (host(rank), 9).into(),
             zone: zone.clone(),
--- a/crates/porthoist-policy/src/proxy/targets.rs
+++ b/crates/porthoist-policy/src/proxy/targets.rs
@@ -13,7 +13,7 @@
 //! removed since the backup was made. Rows of such targets are ignored until they change again or a grace period ends.
 
 use super::cold::ColdWord;
-use porthoist_core::{BirthMillis, ServiceName, TargetName, UnixDeadline, UnixMillis, ZoneName};
+use porthoist_core::{ServiceName, StartMillis, TargetName, UnixDeadline, UnixMillis, ZoneName};
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::net::SocketAddr;
@@ -94,13 +94,13 @@
     /// The target.
     pub id: TargetName,
     /// When this life began.
-    pub born: BirthMillis,
+    pub born: StartMillis,
 }
 
 impl From<TargetName> for TargetLife {
     /// The only life of a target whose restarts have new identifiers.
     fn from(id: TargetName) -> Self {
-        Self { id, born: BirthMillis::default() }
+        Self { id, born: StartMillis::default() }
     }
 }
 
@@ -110,7 +110,7 @@
     /// Identifier; a restart may have the same one.
     pub id: TargetName,
     /// When this life began; the same for all where a restart always has a new identifier.
-    pub born: BirthMillis,
+    pub born: StartMillis,
     /// The service it runs.
     pub service: ServiceName,
     /// Where it listens.
--- a/crates/porthoist-policy/tests/policy/cold.rs
+++ b/crates/porthoist-policy/tests/policy/cold.rs
@@ -1,7 +1,7 @@
 //! Cold targets and emptied zones: what targets get, summed over all entries, and what callers are told.
 
 use crate::cold_fleet::{ALLOWED, ColdSettings, play};
-use porthoist_core::{BirthMillis, RequestRate, ServiceName, UnixDeadline, UnixMillis, ZoneName};
+use porthoist_core::{RequestRate, ServiceName, StartMillis, UnixDeadline, UnixMillis, ZoneName};
 use porthoist_policy::proxy::cold::{ColdRule, ColdWord};
 use porthoist_policy::proxy::desk::{DeskAnswer, PlaceDemand, PlaceDesk};
 use porthoist_policy::proxy::needs::{NamedValue, TargetWord};
@@ -62,7 +62,7 @@
 fn record(name: &str, born: u64, cold: ColdWord) -> TargetRecord {
     TargetRecord {
         id: name.parse().unwrap(),
-        born: BirthMillis(born),
+        born: StartMillis(born),
         service: service(),
         address: format!("10.0.0.{}:1", name.as_bytes()[0]).parse().unwrap(),
         zone: zone(name),
--- a/crates/porthoist-policy/tests/policy/cold_fleet.rs
+++ b/crates/porthoist-policy/tests/policy/cold_fleet.rs
@@ -1,6 +1,6 @@
 //! Entries before targets that start again, in virtual time: each entry decides by itself, with the code that is in use.
 
-use porthoist_core::{BirthMillis, RequestRate, ServiceName, UnixDeadline, UnixMillis, ZoneName};
+use porthoist_core::{RequestRate, ServiceName, StartMillis, UnixDeadline, UnixMillis, ZoneName};
 use porthoist_policy::proxy::cold::{ColdRule, ColdWord};
 use porthoist_policy::proxy::desk::{DeskAnswer, PlaceDemand, PlaceDesk, PlaceError};
 use porthoist_policy::proxy::placement::{BoardSettings, ChosenTarget, RequestWork, SendOutcome};
@@ -151,7 +151,7 @@
         let in_zone = settings.targets / settings.zones;
         let record = |index: usize| TargetRecord {
             id: format!("t{index}").parse().unwrap(),
-            born: BirthMillis::default(),
+            born: StartMillis::default(),
             service: service.clone(),
             address: format!("10.0.{}.{}:1", index / 250, index % 250).parse().unwrap(),
             zone: zone_name(index / in_zone),
@@ -204,7 +204,7 @@
         let mut records = self.records.clone();
         if at >= START && self.settings.rows {
             for record in &mut records[..self.settings.cold] {
-                record.born = BirthMillis(1);
+                record.born = StartMillis(1);
                 record.cold = ColdWord::remaining((START + COLD).saturating_sub(at), now);
             }
         }
@@ -304,7 +304,7 @@
         let target = self.place(&chosen.record.life());
         let starts = target < self.settings.cold;
         // What runs when a target ends is lost, as is what reaches the life that has ended.
-        let newest = chosen.record.born == BirthMillis(u64::from(starts && self.settings.rows));
+        let newest = chosen.record.born == StartMillis(u64::from(starts && self.settings.rows));
         let ends = if at < START { at + RUN_MILLIS >= START } else { !newest };
         let lost = starts && ends;
         if starts && at >= START && newest {
@@ -322,7 +322,7 @@
         let now = self.clock(entry, at);
         let outcome = if lost { SendOutcome::Lost } else { SendOutcome::Answered(RUN_MILLIS as f64) };
         let id = self.records[target].id.clone();
-        let lives = [0, 1].map(|born| TargetLife { id: id.clone(), born: BirthMillis(born) });
+        let lives = [0, 1].map(|born| TargetLife { id: id.clone(), born: StartMillis(born) });
         let desk = &mut self.entries[entry].desk;
         if let Some(life) = lives.iter().find(|life| desk.in_flight(life) > 0) {
             desk.ended(&self.service, life, RequestWork::default(), outcome, RUN_MILLIS, now);
--- a/crates/porthoist-policy/tests/policy/domains.rs
+++ b/crates/porthoist-policy/tests/policy/domains.rs
@@ -1,6 +1,6 @@
 //! Groups judged as one: which group a request goes to when one of several is slow, silent or broken.
 
-use porthoist_core::{BirthMillis, ServiceName, UnixMillis};
+use porthoist_core::{ServiceName, StartMillis, UnixMillis};
 use porthoist_policy::proxy::cold::ColdWord;
 use porthoist_policy::proxy::loads::{GroupLoads, LoadRevision, RankLoad};
 use porthoist_policy::proxy::pass_time::GroupPass;
@@ -25,7 +25,7 @@
 fn record(group: usize, rank: usize) -> TargetRecord {
     TargetRecord {
         id: format!("t{group}-{rank}").parse().expect("a name"),
-        born: BirthMillis::default(),
+        born: StartMillis::default(),
         service: service(),
         address: (host(group, rank), 80).into(),
         zone: "a".parse().expect("a name"),
--- a/crates/porthoist-policy/tests/policy/loads.rs
+++ b/crates/porthoist-policy/tests/policy/loads.rs
@@ -1,6 +1,6 @@
 //! Placement by the loads that a group's engines report.
 
-use porthoist_core::{BirthMillis, ServiceName, TargetName, UnixMillis};
+use porthoist_core::{ServiceName, StartMillis, TargetName, UnixMillis};
 use porthoist_policy::forward::RankPace;
 use porthoist_policy::proxy::cold::ColdWord;
 use porthoist_policy::proxy::loads::{GroupLoads, LoadRevision, REPORT_MILLIS, RankLoad, weighed_requests};
@@ -30,7 +30,7 @@
 fn board(ranks: usize, seed: u64) -> LoadBoard {
     let record = |rank: usize| TargetRecord {
         id: format!("t{rank}").parse().unwrap(),
-        born: BirthMillis::default(),
+        born: StartMillis::default(),
         service: service(),
         address: (host(rank), 80).into(),
         zone: "a".parse().unwrap(),
--- a/crates/porthoist-policy/tests/policy/needs.rs
+++ b/crates/porthoist-policy/tests/policy/needs.rs
@@ -1,7 +1,7 @@
 //! What targets say of themselves: limits over all entries, how they end, and what is left for callers.
 
 use crate::needy_fleet::{EntryCount, FleetReport, FleetSettings, PlayedNeed, play};
-use porthoist_core::{BirthMillis, RequestRate, ServiceName, UnixDeadline, UnixMillis};
+use porthoist_core::{RequestRate, ServiceName, StartMillis, UnixDeadline, UnixMillis};
 use porthoist_policy::proxy::cold::ColdWord;
 use porthoist_policy::proxy::desk::{DeskAnswer, PlaceDemand, PlaceDesk};
 use porthoist_policy::proxy::entries::{BelievedPlace, EntryId, EntryRoll};
@@ -189,7 +189,7 @@
 fn record(born: u64) -> TargetRecord {
     TargetRecord {
         id: "t".parse().unwrap(),
-        born: BirthMillis(born),
+        born: StartMillis(born),
         service: "s".parse().unwrap(),
         address: "10.0.0.1:1".parse().unwrap(),
         zone: "a".parse().unwrap(),
--- a/crates/porthoist-policy/tests/policy/needy_fleet.rs
+++ b/crates/porthoist-policy/tests/policy/needy_fleet.rs
@@ -1,6 +1,6 @@
 //! Entries before targets that ask for less, in virtual time: each entry decides by itself, with the code that is in use.
 
-use porthoist_core::{BirthMillis, RequestRate, ServiceName, UnixDeadline, UnixMillis, ZoneName};
+use porthoist_core::{RequestRate, ServiceName, StartMillis, UnixDeadline, UnixMillis, ZoneName};
 use porthoist_policy::proxy::cold::ColdWord;
 use porthoist_policy::proxy::desk::{DeskAnswer, PlaceDemand, PlaceDesk, PlaceError};
 use porthoist_policy::proxy::needs::{NamedValue, NeedChange, TargetWord};
@@ -187,7 +187,7 @@
         let service: ServiceName = "s".parse().unwrap();
         let records = (0..settings.targets).map(|index| TargetRecord {
             id: format!("t{index}").parse().unwrap(),
-            born: BirthMillis::default(),
+            born: StartMillis::default(),
             service: service.clone(),
             address: format!("10.0.{}.{}:1", index / 250, index % 250).parse().unwrap(),
             zone: zone_name(index % settings.zones),
--- a/crates/porthoist-policy/tests/policy/proxy.rs
+++ b/crates/porthoist-policy/tests/policy/proxy.rs
@@ -1,6 +1,6 @@
 //! Decisions for requests that are passed on as they are.
 
-use porthoist_core::{BirthMillis, ServiceName, TargetName, UnixDeadline, UnixMillis};
+use porthoist_core::{ServiceName, StartMillis, TargetName, UnixDeadline, UnixMillis};
 use porthoist_policy::proxy::cold::ColdWord;
 use porthoist_policy::proxy::freshness::{FreshnessProof, StampedAnswer};
 use porthoist_policy::proxy::placement::{BoardSettings, LoadBoard, RequestWork, SendOutcome};
@@ -128,7 +128,7 @@
 fn record(id: &str, state: TargetState) -> TargetRecord {
     TargetRecord {
         id: name(id),
-        born: BirthMillis::default(),
+        born: StartMillis::default(),
         service: name("s"),
         address: ([127, 0, 0, 1], id.trim_start_matches('t').parse().unwrap()).into(),
         zone: name("a"),
@@ -288,7 +288,7 @@
 }
 
 fn born(id: &str, born: u64) -> TargetRecord {
-    TargetRecord { born: BirthMillis(born), ..record(id, TargetState::Ready) }
+    TargetRecord { born: StartMillis(born), ..record(id, TargetState::Ready) }
 }
 
 /// Nothing of an earlier life counts: neither its time out, nor its load, nor its times, nor that it was gone.
--- a/crates/porthoist-proxy/src/exchange.rs
+++ b/crates/porthoist-proxy/src/exchange.rs
@@ -12,7 +12,7 @@
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
 use porthoist_core::{ClockSource, RetryReason, RunVerdict, UnixDeadline, UnixMillis};
-use porthoist_http::{SocketPeer, bound_silence};
+use porthoist_http::{SocketPeer, configure_socket};
 use porthoist_metrics::MetricsHub;
 use porthoist_policy::proxy::targets::{TargetLife, TargetRecord};
 use std::cell::RefCell;
@@ -311,7 +311,7 @@
         stream: TcpStream,
     ) -> Result<ConnectionLease, SendFailure> {
         // An error here only costs latency, and time until a silent target is noticed.
-        drop(bound_silence(&stream, SocketPeer::Target));
+        drop(configure_socket(&stream, SocketPeer::Target));
         // A close resets the connection: what a cut link or a frozen host still holds up of a request that was given up is
         // dropped then, and not delivered seconds later. An error here only loses that.
         drop(stream.set_zero_linger());
--- a/crates/porthoist-proxy/src/server.rs
+++ b/crates/porthoist-proxy/src/server.rs
@@ -9,7 +9,7 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use hyper_util::server::graceful::GracefulShutdown;
 use porthoist_core::{RefusalReason, RunVerdict, UnixDeadline};
-use porthoist_http::{SocketPeer, bound_silence};
+use porthoist_http::{SocketPeer, configure_socket};
 use porthoist_metrics::MetricsHub;
 use slog::{Logger, info};
 use std::convert::Infallible;
@@ -85,7 +85,7 @@
 
 fn accept(stream: TcpStream, server: &ProxyServer, graceful: &GracefulShutdown) {
     // The work of a caller that is gone without a sign ends with its connection. An error here only costs time.
-    drop(bound_silence(&stream, SocketPeer::Caller));
+    drop(configure_socket(&stream, SocketPeer::Caller));
     let limits = server.course.limits();
     let header_bytes = limits.map_or(MIN_HEADER_BYTES, |limits| limits.header_bytes.max(MIN_HEADER_BYTES));
     let idle_millis = limits.map_or(IDLE_MILLIS, |limits| limits.idle_millis);
--- a/crates/porthoist-proxy/tests/control.rs
+++ b/crates/porthoist-proxy/tests/control.rs
@@ -1,6 +1,6 @@
 //! The control watch against a source on virtual time, whose questions hang or fail.
 
-use porthoist_core::{BirthMillis, ClockSource, TargetName, UnixMillis};
+use porthoist_core::{ClockSource, StartMillis, TargetName, UnixMillis};
 use porthoist_metrics::MetricsHub;
 use porthoist_policy::proxy::cold::ColdWord;
 use porthoist_policy::proxy::targets::{TargetChange, TargetRecord, TargetState};
@@ -177,7 +177,7 @@
     let number: u16 = id.trim_start_matches('t').parse().unwrap();
     TargetRecord {
         id: id.parse().unwrap(),
-        born: BirthMillis::default(),
+        born: StartMillis::default(),
         service: "records".parse().unwrap(),
         address: ([10, 0, 0, 1], 8_000 + number).into(),
         zone: "a".parse().unwrap(),
--- a/crates/porthoist-proxy/tests/shared/harness.rs
+++ b/crates/porthoist-proxy/tests/shared/harness.rs
@@ -1,7 +1,7 @@
 //! A zone of entries and of processes that follow the tables for them, with faults, on virtual time.
 
 use futures::future::LocalBoxFuture;
-use porthoist_core::{BirthMillis, ClockSource, UnixMillis, ZoneName};
+use porthoist_core::{ClockSource, StartMillis, UnixMillis, ZoneName};
 use porthoist_metrics::MetricsHub;
 use porthoist_policy::proxy::cold::ColdWord;
 use porthoist_policy::proxy::routes::{CallerLimits, ConfigVersion, RouteTable};
@@ -367,7 +367,7 @@
         match &row.value {
             RowValue::Bytes(bytes) => TargetChange::Put(TargetRecord {
                 id,
-                born: BirthMillis::default(),
+                born: StartMillis::default(),
                 service: "s".parse().unwrap(),
                 address: ([10, 1, 0, row.key.as_bytes()[0]], 80).into(),
                 zone: "z".parse().unwrap(),
--- a/crates/porthoist-scenario/src/world/entry.rs
+++ b/crates/porthoist-scenario/src/world/entry.rs
@@ -9,8 +9,8 @@
 use crate::platform::MemoryPlatform;
 use crate::script::{EntrySpec, SendSpec};
 use porthoist_caller::CallerPorts;
-use porthoist_caller::course::RequestCourse;
 use porthoist_caller::delivery::AnswerDelivery;
+use porthoist_caller::handler::RequestHandler;
 use porthoist_caller::request::{CallerKey, CallerRequest};
 use porthoist_core::offer::AnswerDigest;
 use porthoist_core::{
@@ -136,8 +136,8 @@
         let (sender, start) = oneshot::channel();
         let first = AttemptId { entry: self.incarnation, request: id, attempt: 0 };
         let delivery = AnswerDelivery::new(first, None, sender);
-        let course = RequestCourse::new(self.ports.clone(), self.incarnation, id, request, delivery);
-        let task = tokio::spawn(course.run());
+        let handler = RequestHandler::new(self.ports.clone(), self.incarnation, id, request, delivery);
+        let task = tokio::spawn(handler.run());
         self.tasks.lock().expect("no task panics").push(task);
         let spec = spec.clone();
         tokio::spawn(async move {
--- a/crates/porthoist-scenario/src/world/ports.rs
+++ b/crates/porthoist-scenario/src/world/ports.rs
@@ -5,9 +5,9 @@
 use super::target::TargetNode;
 use crate::platform::MemoryPlatform;
 use futures::future::BoxFuture;
-use porthoist_caller::ports::RouteTold;
+use porthoist_caller::ports::RouteReply;
 use porthoist_caller::{
-    CallerRefusal, ClaimPort, ConfigPort, OfferFailure, OfferPort, RouteAsk, RoutingPort,
+    CallerRefusal, ClaimPort, ConfigPort, OfferFailure, OfferPort, RouteRequest, RoutingPort,
 };
 use porthoist_core::offer::AnswerDigest;
 use porthoist_core::{
@@ -20,7 +20,7 @@
 use porthoist_policy::router::{RouteQuery, Router};
 use porthoist_policy::table::{RowKey, RowKind, ServiceRow, TableRow, TeamRow};
 use porthoist_table::{CLAIM_PREFIX, CONFIG_PREFIX, PlatformClient, TableWrite, WriteResult};
-use porthoist_target::log::LogNews;
+use porthoist_target::log::LogUpdate;
 use porthoist_target::offers::{MintTickets, OfferAbandoned, OfferRequest};
 use porthoist_target::{LogEnd, LogFollower};
 use std::collections::BTreeMap;
@@ -158,7 +158,7 @@
                 return Err(LOST);
             }
             match news {
-                LogNews::Events(first, events) => {
+                LogUpdate::Events(first, events) => {
                     for (event, data) in (first..).zip(events) {
                         digest.update(&data);
                         let frame = AnswerFrame { attempt, sequence, event, data };
@@ -166,17 +166,17 @@
                         frames.send(frame).await.map_err(|_gone| LOST)?;
                     }
                 }
-                LogNews::End(LogEnd::StreamDone) => {
+                LogUpdate::End(LogEnd::StreamDone) => {
                     return Ok(OfferOutcome::StreamEnd { frames: sequence, digest: digest.value() });
                 }
-                LogNews::End(LogEnd::Whole { head, body }) => {
+                LogUpdate::End(LogEnd::Whole { head, body }) => {
                     let digest = AnswerDigest::of(&body);
                     return Ok(OfferOutcome::Whole { head, body, digest });
                 }
-                LogNews::End(LogEnd::Refused { reason, verdict, retry_at }) => {
+                LogUpdate::End(LogEnd::Refused { reason, verdict, retry_at }) => {
                     return Ok(OfferOutcome::Refused { reason, verdict, retry_at });
                 }
-                LogNews::Missing => {
+                LogUpdate::Missing => {
                     let (reason, verdict) = (RefusalReason::AnswerGone, RunVerdict::Ran);
                     return Ok(OfferOutcome::Refused { reason, verdict, retry_at: None });
                 }
@@ -195,7 +195,7 @@
 pub(super) struct EntryPort(pub(super) Arc<EntryShared>);
 
 impl RoutingPort for EntryPort {
-    fn route(&self, ask: RouteAsk) -> BoxFuture<'_, Result<RouteTold, CallerRefusal>> {
+    fn route(&self, ask: RouteRequest) -> BoxFuture<'_, Result<RouteReply, CallerRefusal>> {
         Box::pin(async move {
             self.0.awake().await;
             let query = RouteQuery {
@@ -212,7 +212,7 @@
                     if !ask.peek {
                         router.sent(query.now, &choice.target, ask.attempt, &query);
                     }
-                    Ok(RouteTold { choice, hedge_at: None })
+                    Ok(RouteReply { choice, hedge_at: None })
                 }
                 Err(reason) => Err(CallerRefusal::not_run(reason, "no target")),
             }
--- a/crates/porthoist-target/src/log.rs
+++ b/crates/porthoist-target/src/log.rs
@@ -129,7 +129,7 @@
 
 /// What a follower sees next.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum LogNews {
+pub enum LogUpdate {
     /// Events, the first with this number.
     Events(u64, Vec<Bytes>),
     /// The end; every event was seen.
@@ -148,30 +148,30 @@
 
 impl LogFollower {
     /// Waits for events or the end.
-    pub async fn next(&mut self) -> LogNews {
+    pub async fn next(&mut self) -> LogUpdate {
         loop {
             self.changed.borrow_and_update();
             if let Some(news) = self.poll() {
                 return news;
             }
             if self.changed.changed().await.is_err() {
-                return LogNews::Missing;
+                return LogUpdate::Missing;
             }
         }
     }
 
-    fn poll(&mut self) -> Option<LogNews> {
+    fn poll(&mut self) -> Option<LogUpdate> {
         let state = self.log.state();
         if self.position < state.base {
-            return Some(LogNews::Missing);
+            return Some(LogUpdate::Missing);
         }
         let skip = (self.position - state.base) as usize;
         if skip < state.events.len() {
             let events = state.events[skip..].to_vec();
             let first = self.position + 1;
             self.position += events.len() as u64;
-            return Some(LogNews::Events(first, events));
+            return Some(LogUpdate::Events(first, events));
         }
-        state.end.clone().map(LogNews::End)
+        state.end.clone().map(LogUpdate::End)
     }
 }
--- a/porthoistd/src/duty/entry_fleet/gossip.rs
+++ b/porthoistd/src/duty/entry_fleet/gossip.rs
@@ -6,7 +6,7 @@
 use porthoist_core::offer::TargetHello;
 use porthoist_core::{LoadReport, RequestOffer, TeamName, TicketText, UnixDeadline};
 use porthoist_core::{OfferOutcome, RefusalReason, RunVerdict, TargetName};
-use porthoist_fleet::{FleetDigest, FleetError, FleetHandler, FleetPeer, FrameOutlet, HandlerFuture};
+use porthoist_fleet::{FleetDigest, FleetError, FleetHandler, FleetPeer, FrameSender, HandlerFuture};
 use porthoist_policy::adoption::AdoptOutcome;
 use porthoist_policy::limits::keeper::{SettleAsk, SettleTold};
 use porthoist_policy::switch::{LeaderMessage, RankReply};
@@ -106,7 +106,7 @@
 
 /// An entry answers gossip and nothing else.
 impl FleetHandler for EntryFleet {
-    fn offer(&self, _offer: RequestOffer, _outlet: FrameOutlet) -> HandlerFuture<(OfferOutcome, LoadReport)> {
+    fn offer(&self, _offer: RequestOffer, _sender: FrameSender) -> HandlerFuture<(OfferOutcome, LoadReport)> {
         let (reason, verdict) = (RefusalReason::NoTarget, RunVerdict::NotRun);
         let refused = OfferOutcome::Refused { reason, verdict, retry_at: None };
         Box::pin(std::future::ready((refused, LoadReport::default())))
--- a/porthoistd/src/duty/group.rs
+++ b/porthoistd/src/duty/group.rs
@@ -181,7 +181,7 @@
             let Ok(map) = self.maps.map(current).await else { return };
             *planner = Some(GroupPlanner::new(&window, map));
         }
-        let Some(next) = planner.as_mut().and_then(|planner| planner.window(&window, &row)) else {
+        let Some(next) = planner.as_mut().and_then(|planner| planner.plan_window(&window, &row)) else {
             return;
         };
         let version = MapVersion(current.0 + 1);
@@ -194,7 +194,7 @@
         if self.lead(links, kept, version).await
             && let Some(planner) = planner
         {
-            planner.switched(next.map);
+            planner.set_map(next.map);
         }
     }
 
--- a/porthoistd/src/duty/loads.rs
+++ b/porthoistd/src/duty/loads.rs
@@ -99,7 +99,7 @@
         let answer = tokio::time::timeout(Duration::from_millis(ANSWER_MILLIS), asked).await.ok()?.ok()?;
         match answer {
             LoadsAnswer::Loads(_loads) => Some(address),
-            LoadsAnswer::Elsewhere(host) => host.map(|host| SocketAddr::from((host, self.rank_port))),
+            LoadsAnswer::Redirect(host) => host.map(|host| SocketAddr::from((host, self.rank_port))),
         }
     }
 
@@ -124,7 +124,7 @@
                     }
                     self.publish(loads);
                 }
-                Ok(Ok(LoadsAnswer::Elsewhere(_host))) => break None,
+                Ok(Ok(LoadsAnswer::Redirect(_host))) => break None,
                 Ok(Err(error)) => break Some(error),
                 Err(_elapsed) => break Some(CallError::unknown("no loads in time")),
             }
--- a/porthoistd/src/duty/news.rs
+++ b/porthoistd/src/duty/news.rs
@@ -3,7 +3,7 @@
 
 use futures::future::LocalBoxFuture;
 use porthoist_core::{ClockSource, HostName, ServiceName, ZoneName};
-use porthoist_fleet::{PeerPool, ZoneNews, ZoneWord};
+use porthoist_fleet::{EntryReport, PeerPool, ZoneTableUpdate};
 use porthoist_policy::proxy::entries::{BelievedPlace, EntryId};
 use porthoist_policy::proxy::notes::{AgedNote, TargetNote};
 use porthoist_policy::proxy::targets::TargetRecord;
@@ -42,18 +42,18 @@
 
 impl ZonePeers {
     /// What is told with a question. One table is asked about at any time, which is enough for notes.
-    fn word(&self, table: ControlTable, host: Ipv4Addr) -> ZoneWord {
+    fn word(&self, table: ControlTable, host: Ipv4Addr) -> EntryReport {
         let now = self.clock.now();
         if !self.near(host) {
             // A process of another zone counts its own entries.
-            return ZoneWord { entry: EntryId(0), notes: Vec::new() };
+            return EntryReport { entry: EntryId(0), notes: Vec::new() };
         }
         let notes: Vec<AgedNote> = match table {
             ControlTable::Targets => self.own_notes.borrow().iter().map(|note| note.aged(now)).collect(),
             ControlTable::Routes | ControlTable::Crashes => Vec::new(),
         };
         // Never 0, which names nobody.
-        ZoneWord { entry: EntryId(xxh3_64(self.host.as_str().as_bytes()).max(1)), notes }
+        EntryReport { entry: EntryId(xxh3_64(self.host.as_str().as_bytes()).max(1)), notes }
     }
 
     fn near(&self, host: Ipv4Addr) -> bool {
@@ -119,11 +119,11 @@
     ) -> LocalBoxFuture<'_, Result<TableNews, String>> {
         let peer = self.peers.get(host);
         Box::pin(async move {
-            let answer = peer.news(ask, &self.word(ask.table, host), patience).await;
-            let ZoneNews { news, place, notes } = answer.map_err(|error| error.to_string())?;
-            self.take_place(place);
+            let answer = peer.query(ask, &self.word(ask.table, host), patience).await;
+            let ZoneTableUpdate { update, position, notes } = answer.map_err(|error| error.to_string())?;
+            self.take_place(position);
             self.take_notes(notes);
-            Ok(news)
+            Ok(update)
         })
     }
 }
--- a/porthoistd/src/duty/rank.rs
+++ b/porthoistd/src/duty/rank.rs
@@ -4,8 +4,8 @@
 use porthoist_core::{ClockSource, ServiceName, UnixDeadline, ZoneName};
 use porthoist_fleet::{BranchedGroup, PeerPool, RankBranches};
 use porthoist_group::{
-    AnswerPatience, ChoiceCounts, GroupPatience, GroupShape, HeldEngine, HeldLink, HeldPlanner, OrderAnswer,
-    RankFuture, RankLists, RankObservation, RoundOutcome,
+    AdaptiveTimeout, ExpertCounts, ExpertLists, ExpertMapController, GroupShape, GroupTimeouts, LocalEngine,
+    OrderAnswer, RankControl, RankFuture, RankObservation, RoundOutcome,
 };
 use porthoist_http::CallError;
 use porthoist_policy::forward::{EngineOrder, GroupEpoch, RankState};
@@ -64,13 +64,13 @@
 /// The engine beside this process, with the counts that were told already.
 #[derive(Debug)]
 pub struct OwnRank {
-    engine: Rc<dyn HeldEngine>,
-    told: RefCell<ChoiceCounts>,
+    engine: Rc<dyn LocalEngine>,
+    told: RefCell<ExpertCounts>,
 }
 
 impl OwnRank {
     /// Wraps an engine.
-    pub fn new(engine: Rc<dyn HeldEngine>) -> Self {
+    pub fn new(engine: Rc<dyn LocalEngine>) -> Self {
         Self { engine, told: RefCell::default() }
     }
 
@@ -92,7 +92,7 @@
     }
 }
 
-impl HeldLink for OwnRank {
+impl RankControl for OwnRank {
     fn observe(&self, counts: bool) -> RankFuture<'_, RankObservation> {
         Box::pin(read_in_time(async move {
             let state = self.engine.state().await?;
@@ -101,7 +101,7 @@
         }))
     }
 
-    fn lists(&self) -> RankFuture<'_, RankLists> {
+    fn lists(&self) -> RankFuture<'_, ExpertLists> {
         Box::pin(read_in_time(self.engine.lists()))
     }
 
@@ -165,12 +165,12 @@
     find_due: UnixDeadline,
     #[builder(skip = FIND_MILLIS)]
     find_pause: u64,
-    #[builder(skip = RefCell::new(AnswerPatience::new(FIND_FLOOR)))]
-    find_patience: RefCell<AnswerPatience>,
+    #[builder(skip = RefCell::new(AdaptiveTimeout::new(FIND_FLOOR)))]
+    find_patience: RefCell<AdaptiveTimeout>,
     #[builder(skip)]
-    patience: Rc<GroupPatience>,
+    patience: Rc<GroupTimeouts>,
     #[builder(skip)]
-    planner: Option<HeldPlanner>,
+    planner: Option<ExpertMapController>,
     /// Whether the engine beside this process answered when it was last read.
     #[builder(skip = true)]
     engine_heard: bool,
@@ -184,7 +184,7 @@
     pub async fn run(mut self, stop: watch::Receiver<bool>) {
         loop {
             let pause = self.turn().await;
-            let holding = self.planner.as_ref().is_some_and(HeldPlanner::holding);
+            let holding = self.planner.as_ref().is_some_and(ExpertMapController::holding);
             if *stop.borrow() && !holding {
                 return;
             }
@@ -219,10 +219,10 @@
             let Some(shape) = self.shape(own.state.size) else { return WAIT_MILLIS };
             info!(self.logger, "planning for the group"; "event" => "planner_start", "group" => own.state.group,
                 "ranks" => own.state.size);
-            self.planner = Some(HeldPlanner::new(shape, self.logger.clone()));
+            self.planner = Some(ExpertMapController::new(shape, self.logger.clone()));
         }
         let Some(outcome) = self.round().await else { return WAIT_MILLIS };
-        if outcome != RoundOutcome::Blind {
+        if outcome != RoundOutcome::Unreachable {
             self.publish_loads();
         }
         self.pause_after(outcome)
@@ -248,9 +248,9 @@
         let reach = &self.group.as_ref()?.reach;
         let planner = self.planner.as_mut()?;
         if !self.counts_due.passed(self.clock.now()) {
-            return Some(planner.round_of_loads(reach, fresh).await);
+            return Some(planner.run_load_round(reach, fresh).await);
         }
-        let outcome = planner.round(reach, fresh).await;
+        let outcome = planner.run_round(reach, fresh).await;
         self.counts_due = UnixDeadline::after(self.clock.now(), REST_MILLIS);
         Some(outcome)
     }
@@ -259,14 +259,14 @@
     fn pause_after(&mut self, outcome: RoundOutcome) -> u64 {
         let now = self.clock.now();
         match outcome {
-            RoundOutcome::Rest => LOADS_MILLIS.min(self.counts_due.remaining(now).as_millis() as u64),
+            RoundOutcome::Idle => LOADS_MILLIS.min(self.counts_due.remaining(now).as_millis() as u64),
             RoundOutcome::Shifting => {
                 self.counts_due = UnixDeadline::after(now, SHIFT_MILLIS);
                 SHIFT_MILLIS
             }
             RoundOutcome::Copying => COPY_MILLIS,
             RoundOutcome::Holding => HOLD_MILLIS,
-            RoundOutcome::Blind => REST_MILLIS,
+            RoundOutcome::Unreachable => REST_MILLIS,
         }
     }
 
@@ -274,7 +274,7 @@
     /// not heard.
     async fn find_group(&mut self, own: &RankState) {
         let known = self.group.as_ref().is_some_and(|group| group.epoch == own.view.epoch);
-        let missing = self.planner.as_ref().is_some_and(|planner| planner.unheard_since().is_some())
+        let missing = self.planner.as_ref().is_some_and(|planner| planner.unreachable_since().is_some())
             || self.group.as_ref().is_none_or(|group| group.reach.hosts().iter().any(Option::is_none));
         if known && !missing {
             self.find_pause = FIND_MILLIS;
@@ -330,7 +330,7 @@
             hosts.iter().skip(1).flatten().map(|host| (*host, zone(host))).collect();
         self.members.clone_from(&others);
         let branches = RankBranches::new(&others, Rc::clone(&self.peers));
-        let link: Rc<dyn HeldLink> = Rc::<OwnRank>::clone(&self.own);
+        let link: Rc<dyn RankControl> = Rc::<OwnRank>::clone(&self.own);
         let reach =
             BranchedGroup::new(link, hosts, branches, Rc::clone(&self.patience), self.settings.link_rate);
         self.group = Some(FoundGroup { epoch: own.view.epoch, reach });
--- a/porthoistd/src/duty/rank/telling.rs
+++ b/porthoistd/src/duty/rank/telling.rs
@@ -27,7 +27,7 @@
             (Some(group), Some(told)) if !own.open && told.pass != GroupPass::Broken => {
                 let revision = LoadRevision(told.revision.0 + 1);
                 let broken = GroupLoads { revision, pass: GroupPass::Broken, ..told };
-                group.reach.branches().tell(&broken);
+                group.reach.branches().publish_loads(&broken);
                 self.loads.send_replace(Some(broken));
             }
             _ => {
@@ -45,13 +45,13 @@
         let (Some(planner), Some(group)) = (&self.planner, &self.group) else { return };
         // An old reading told anew would hide what entries have sent since: they take their own requests to be in it. While
         // passes were slow and switches long, that filled ranks of 12 slots with 23 to 39 requests.
-        if std::mem::replace(&mut self.told_readings, planner.readings()) == planner.readings() {
+        if std::mem::replace(&mut self.told_readings, planner.full_reads()) == planner.full_reads() {
             return;
         }
         self.loads_due = UnixDeadline::after(now, LOADS_MILLIS);
         let ranks = group.reach.hosts().iter().enumerate().filter_map(|(rank, host)| {
             let (requests, pace) = (*planner.requests().get(rank)?, *planner.paces().get(rank)?);
-            let silent = !planner.hears(rank);
+            let silent = !planner.is_reachable(rank);
             let requests = weighed_requests(requests, self.step_requests, pace);
             Some(RankLoad { host: (*host)?, requests, silent })
         });
@@ -59,7 +59,7 @@
         let last = self.loads.borrow().as_ref().map_or(0, |loads| loads.revision.0);
         let revision = LoadRevision(now.0.max(last + 1));
         let loads = GroupLoads { revision, pass: self.passes.pass(now), ranks: ranks.collect() };
-        group.reach.branches().tell(&loads);
+        group.reach.branches().publish_loads(&loads);
         self.loads.send_replace(Some(loads));
     }
 }
--- a/porthoistd/src/duty/routing.rs
+++ b/porthoistd/src/duty/routing.rs
@@ -6,8 +6,8 @@
 use kameo::actor::{ActorRef, Spawn};
 use kameo::error::SendError;
 use kameo::message::{Context, Message};
-use porthoist_caller::ports::RouteTold;
-use porthoist_caller::{CallerRefusal, RouteAsk, RoutingPort};
+use porthoist_caller::ports::RouteReply;
+use porthoist_caller::{CallerRefusal, RouteRequest, RoutingPort};
 use porthoist_core::{
     AttemptId, ClockSource, LoadReport, RefusalReason, RunVerdict, TargetName, TeamName, UnixMillis,
 };
@@ -43,7 +43,7 @@
 
 /// Asks for a route.
 #[derive(Debug)]
-pub struct RouteMessage(pub RouteAsk);
+pub struct RouteMessage(pub RouteRequest);
 
 /// A load report, and the attempt that it came back with.
 #[derive(Debug)]
@@ -196,7 +196,7 @@
         })
     }
 
-    fn route(&mut self, ask: &RouteAsk) -> Result<RouteTold, CallerRefusal> {
+    fn route(&mut self, ask: &RouteRequest) -> Result<RouteReply, CallerRefusal> {
         let now = self.clock.now();
         let query = RouteQuery {
             service: &ask.service,
@@ -220,7 +220,7 @@
                     self.router.sent(now, &choice.target, ask.attempt, &query);
                 }
                 let hedge_at = if self.hedging { self.hedges.hedge_at(now) } else { None };
-                Ok(RouteTold { choice, hedge_at })
+                Ok(RouteReply { choice, hedge_at })
             }
             Err(reason) => {
                 self.undo_admission(ask);
@@ -230,7 +230,7 @@
     }
 
     /// A request that gets no route holds no concurrency.
-    fn undo_admission(&mut self, ask: &RouteAsk) {
+    fn undo_admission(&mut self, ask: &RouteRequest) {
         if ask.admit {
             self.limiter.release(&ask.team);
         }
@@ -246,7 +246,7 @@
 }
 
 impl Message<RouteMessage> for RoutingActor {
-    type Reply = Result<RouteTold, CallerRefusal>;
+    type Reply = Result<RouteReply, CallerRefusal>;
 
     async fn handle(&mut self, msg: RouteMessage, _ctx: &mut Context<Self, Self::Reply>) -> Self::Reply {
         self.route(&msg.0)
@@ -314,7 +314,7 @@
 pub struct RoutingHandle(pub ActorRef<RoutingActor>);
 
 impl RoutingPort for RoutingHandle {
-    fn route(&self, ask: RouteAsk) -> BoxFuture<'_, Result<RouteTold, CallerRefusal>> {
+    fn route(&self, ask: RouteRequest) -> BoxFuture<'_, Result<RouteReply, CallerRefusal>> {
         Box::pin(async move {
             match self.0.ask(RouteMessage(ask)).try_send().await {
                 Ok(told) => Ok(told),
--- a/porthoistd/src/duty/target_fleet.rs
+++ b/porthoistd/src/duty/target_fleet.rs
@@ -9,12 +9,12 @@
     AnswerFrame, AttemptId, IncarnationId, LoadReport, OfferOutcome, RefusalReason, RequestOffer, RunVerdict,
     ServiceName, TargetName, TeamName, TicketText, UnixDeadline, ZoneName,
 };
-use porthoist_fleet::{FleetDigest, FleetHandler, FrameOutlet, HandlerFuture};
+use porthoist_fleet::{FleetDigest, FleetHandler, FrameSender, HandlerFuture};
 use porthoist_group::RankDriver;
 use porthoist_metrics::MetricsHub;
 use porthoist_policy::limits::keeper::{SettleAsk, SettleTold};
 use porthoist_policy::switch::{LeaderMessage, RankReply};
-use porthoist_target::log::LogNews;
+use porthoist_target::log::LogUpdate;
 use porthoist_target::offers::{MintTickets, OfferAbandoned, OfferRefusal, OfferRequest};
 use porthoist_target::{LogEnd, LogFollower, OffersActor};
 use std::rc::Rc;
@@ -66,13 +66,13 @@
 }
 
 impl TargetHandler {
-    async fn run_offer(self, offer: RequestOffer, outlet: FrameOutlet) -> OfferOutcome {
+    async fn run_offer(self, offer: RequestOffer, sender: FrameSender) -> OfferOutcome {
         let attempt = offer.attempt;
         self.open.fetch_add(1, Ordering::Relaxed);
         let mut open =
             OpenOffer { follower: None, attempt, offers: self.offers.clone(), open: Arc::clone(&self.open) };
         let outcome = match self.ask(offer).await {
-            Ok(follower) => follow(open.follower.insert(follower), attempt, &outlet).await,
+            Ok(follower) => follow(open.follower.insert(follower), attempt, &sender).await,
             Err(OfferRefusal { reason, verdict, retry_at }) => {
                 OfferOutcome::Refused { reason, verdict, retry_at }
             }
@@ -100,29 +100,29 @@
     OfferRefusal { reason, verdict: RunVerdict::NotRun, retry_at: None }
 }
 
-async fn follow(follower: &mut LogFollower, attempt: AttemptId, outlet: &FrameOutlet) -> OfferOutcome {
+async fn follow(follower: &mut LogFollower, attempt: AttemptId, sender: &FrameSender) -> OfferOutcome {
     let mut frames = 0;
     let mut digest = AnswerDigest::default();
     loop {
         match follower.next().await {
-            LogNews::Events(first, events) => {
+            LogUpdate::Events(first, events) => {
                 let batch = frame_batch(attempt, frames, first, events, &mut digest);
                 frames += batch.len() as u64;
-                if outlet.send(&batch).await.is_err() {
+                if sender.send(&batch).await.is_err() {
                     return refused(RefusalReason::ConnectionLost, RunVerdict::MayHaveRun);
                 }
             }
-            LogNews::End(LogEnd::StreamDone) => {
+            LogUpdate::End(LogEnd::StreamDone) => {
                 return OfferOutcome::StreamEnd { frames, digest: digest.value() };
             }
-            LogNews::End(LogEnd::Whole { head, body }) => {
+            LogUpdate::End(LogEnd::Whole { head, body }) => {
                 let digest = AnswerDigest::of(&body);
                 return OfferOutcome::Whole { head, body, digest };
             }
-            LogNews::End(LogEnd::Refused { reason, verdict, retry_at }) => {
+            LogUpdate::End(LogEnd::Refused { reason, verdict, retry_at }) => {
                 return OfferOutcome::Refused { reason, verdict, retry_at };
             }
-            LogNews::Missing => return refused(RefusalReason::AnswerGone, RunVerdict::Ran),
+            LogUpdate::Missing => return refused(RefusalReason::AnswerGone, RunVerdict::Ran),
         }
     }
 }
@@ -157,11 +157,11 @@
         Box::pin(std::future::ready(Vec::new()))
     }
 
-    fn offer(&self, offer: RequestOffer, outlet: FrameOutlet) -> HandlerFuture<(OfferOutcome, LoadReport)> {
+    fn offer(&self, offer: RequestOffer, sender: FrameSender) -> HandlerFuture<(OfferOutcome, LoadReport)> {
         let handler = self.clone();
         Box::pin(async move {
             let load = handler.load.clone();
-            let outcome = handler.run_offer(offer, outlet).await;
+            let outcome = handler.run_offer(offer, sender).await;
             let report = *load.borrow();
             (outcome, report)
         })
--- a/porthoistd/src/role/rank.rs
+++ b/porthoistd/src/role/rank.rs
@@ -7,8 +7,8 @@
 use crate::duty::status::serve_metrics;
 use crate::settings::rank::RankSettings;
 use porthoist_core::{AnchoredClock, ClockSource};
-use porthoist_fleet::{ControlTraffic, LoadsOutlet, PeerPool, RankServing, serve_ranks};
-use porthoist_group::HeldLink;
+use porthoist_fleet::{ControlTraffic, LoadsPublisher, PeerPool, RankService, serve_ranks};
+use porthoist_group::RankControl;
 use porthoist_metrics::MetricsHub;
 use porthoist_proxy::{ControlState, ControlWatch, RowSource, TableReader};
 use porthoist_turist::{StoreClient, TuristEngine, TuristSource};
@@ -41,14 +41,14 @@
         let loads = watch::Sender::new(None);
         let traffic = ControlTraffic::default();
         let peers = Rc::new(PeerPool::new(rank_address.port(), traffic.clone()));
-        let link: Rc<dyn HeldLink> = Rc::<OwnRank>::clone(&own);
-        let outlet = LoadsOutlet::new(loads.subscribe());
+        let link: Rc<dyn RankControl> = Rc::<OwnRank>::clone(&own);
+        let publisher = LoadsPublisher::new(loads.subscribe());
         let store: Rc<dyn RowSource> =
             Rc::new(StoreClient::new(settings.table, Arc::clone(&metrics), logger.clone()));
         let reader = TableReader::new(Rc::clone(&store), Arc::clone(&clock), logger.clone());
-        let serving = RankServing::builder()
+        let serving = RankService::builder()
             .link(link)
-            .outlet(outlet)
+            .publisher(publisher)
             .peers(Rc::clone(&peers))
             .traffic(traffic.clone())
             .reader(reader)
--- a/porthoistd/tests/loads.rs
+++ b/porthoistd/tests/loads.rs
@@ -1,8 +1,8 @@
 //! The loads duty over processes on loopback addresses that tell the loads of several groups.
 
-use porthoist_core::{BirthMillis, ServiceName};
-use porthoist_fleet::{ControlTraffic, LoadsOutlet, PeerPool, RankServing, serve_ranks};
-use porthoist_group::{HeldLink, OrderAnswer, RankFuture, RankLists, RankObservation};
+use porthoist_core::{ServiceName, StartMillis};
+use porthoist_fleet::{ControlTraffic, LoadsPublisher, PeerPool, RankService, serve_ranks};
+use porthoist_group::{ExpertLists, OrderAnswer, RankControl, RankFuture, RankObservation};
 use porthoist_policy::forward::EngineOrder;
 use porthoist_policy::placement::even::EvenMap;
 use porthoist_policy::proxy::cold::ColdWord;
@@ -31,12 +31,12 @@
 #[derive(Debug)]
 struct LoadsOnly;
 
-impl HeldLink for LoadsOnly {
+impl RankControl for LoadsOnly {
     fn observe(&self, _counts: bool) -> RankFuture<'_, RankObservation> {
         Box::pin(futures::future::pending())
     }
 
-    fn lists(&self) -> RankFuture<'_, RankLists> {
+    fn lists(&self) -> RankFuture<'_, ExpertLists> {
         Box::pin(futures::future::pending())
     }
 
@@ -74,7 +74,7 @@
     let routes = RouteTable::new(ConfigVersion(1), limits, vec![spec], Vec::new(), None);
     let record = |group: u8, rank: u8| TargetRecord {
         id: format!("t{group}-{rank}").parse().expect("a name"),
-        born: BirthMillis::default(),
+        born: StartMillis::default(),
         service: service.clone(),
         address: (host(group, rank), 9).into(),
         zone: "a".parse().expect("a name"),
@@ -115,9 +115,13 @@
         let mut published = Vec::new();
         for (group, rank, listener) in bound {
             let loads = watch::Sender::new((rank == 0).then(|| group_loads(group)));
-            let outlet = LoadsOutlet::new(loads.subscribe());
+            let loads_publisher = LoadsPublisher::new(loads.subscribe());
             let peers = Rc::new(PeerPool::new(rank_port, ControlTraffic::default()));
-            let serving = RankServing::builder().link(Rc::new(LoadsOnly)).outlet(outlet).peers(peers).build();
+            let serving = RankService::builder()
+                .link(Rc::new(LoadsOnly))
+                .publisher(loads_publisher)
+                .peers(peers)
+                .build();
             tokio::task::spawn_local(serve_ranks(listener, Rc::new(serving)));
             published.push(loads);
         }
@@ -163,9 +167,13 @@
         };
         let loads = watch::Sender::new(Some(told(1)));
         for (_group, _rank, listener) in bound {
-            let outlet = LoadsOutlet::new(loads.subscribe());
+            let loads_publisher = LoadsPublisher::new(loads.subscribe());
             let peers = Rc::new(PeerPool::new(rank_port, ControlTraffic::default()));
-            let serving = RankServing::builder().link(Rc::new(LoadsOnly)).outlet(outlet).peers(peers).build();
+            let serving = RankService::builder()
+                .link(Rc::new(LoadsOnly))
+                .publisher(loads_publisher)
+                .peers(peers)
+                .build();
             tokio::task::spawn_local(serve_ranks(listener, Rc::new(serving)));
         }
         let (sender, mut reports) = mpsc::channel(1_000);
--- a/porthoistd/tests/rank.rs
+++ b/porthoistd/tests/rank.rs
@@ -1,9 +1,9 @@
 //! The process beside an engine, over an engine in memory.
 
 use futures::FutureExt as _;
-use porthoist_core::{AnchoredClock, BirthMillis, ClockSource, ServiceName};
-use porthoist_fleet::{ControlTraffic, LoadsOutlet, PeerPool, RankServing, serve_ranks};
-use porthoist_group::{ChoiceCounts, HeldEngine, HeldLink as _, RankFuture, RankLists};
+use porthoist_core::{AnchoredClock, ClockSource, ServiceName, StartMillis};
+use porthoist_fleet::{ControlTraffic, LoadsPublisher, PeerPool, RankService, serve_ranks};
+use porthoist_group::{ExpertCounts, ExpertLists, LocalEngine, RankControl as _, RankFuture};
 use porthoist_http::CallError;
 use porthoist_metrics::MetricsHub;
 use porthoist_policy::forward::{EngineOrder, GroupEpoch, OrderSequence, RankPace, RankState, RankView};
@@ -42,16 +42,16 @@
     futures::future::pending::<Result<T, CallError>>().boxed_local()
 }
 
-impl HeldEngine for SilentEngine {
+impl LocalEngine for SilentEngine {
     fn state(&self) -> RankFuture<'_, RankState> {
         silent()
     }
 
-    fn counts(&self) -> RankFuture<'_, ChoiceCounts> {
+    fn counts(&self) -> RankFuture<'_, ExpertCounts> {
         silent()
     }
 
-    fn lists(&self) -> RankFuture<'_, RankLists> {
+    fn lists(&self) -> RankFuture<'_, ExpertLists> {
         silent()
     }
 
@@ -108,7 +108,7 @@
     }
 }
 
-impl HeldEngine for CountedEngine {
+impl LocalEngine for CountedEngine {
     fn state(&self) -> RankFuture<'_, RankState> {
         let left = self.answers.get();
         if left == 0 {
@@ -137,11 +137,11 @@
         async move { Ok(state) }.boxed_local()
     }
 
-    fn counts(&self) -> RankFuture<'_, ChoiceCounts> {
-        async { Ok(ChoiceCounts { counts: vec![0; EXPERTS], ..ChoiceCounts::default() }) }.boxed_local()
+    fn counts(&self) -> RankFuture<'_, ExpertCounts> {
+        async { Ok(ExpertCounts { counts: vec![0; EXPERTS], ..ExpertCounts::default() }) }.boxed_local()
     }
 
-    fn lists(&self) -> RankFuture<'_, RankLists> {
+    fn lists(&self) -> RankFuture<'_, ExpertLists> {
         silent()
     }
 
@@ -172,10 +172,10 @@
     let outer = TcpListener::bind(address).await.expect("a free port");
     let inner = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let to = inner.local_addr().expect("a bound address");
-    let outlet = LoadsOutlet::new(watch::Sender::new(None).subscribe());
+    let loads_publisher = LoadsPublisher::new(watch::Sender::new(None).subscribe());
     let peers = Rc::new(PeerPool::new(address.port(), ControlTraffic::default()));
     let link = Rc::new(OwnRank::new(engine));
-    let serving = RankServing::builder().link(link).outlet(outlet).peers(peers).build();
+    let serving = RankService::builder().link(link).publisher(loads_publisher).peers(peers).build();
     tokio::task::spawn_local(serve_ranks(inner, Rc::new(serving)));
     let count = Rc::new(Cell::new(0));
     tokio::task::spawn_local(count_connections(outer, to, Rc::clone(&count)));
@@ -203,7 +203,7 @@
     let routes = RouteTable::new(ConfigVersion(1), limits, vec![spec], Vec::new(), None);
     let record = |rank: usize| TargetRecord {
         id: format!("t{rank}").parse().expect("a name"),
-        born: BirthMillis::default(),
+        born: StartMillis::default(),
         service: service.clone(),
         address: engine_address(rank),
         zone: "a".parse().expect("a name"),
