--- a/crates/porthoist-fleet/src/rank/news.rs
+++ b/crates/porthoist-fleet/src/rank/news.rs
@@ -7,7 +7,7 @@
 use miniz_oxide::inflate::decompress_to_vec_zlib_with_limit;
 use porthoist_policy::proxy::entries::EntryId;
 use porthoist_policy::proxy::notes::AgedNote;
-use porthoist_policy::proxy::turns::EntryPlace;
+use porthoist_policy::proxy::turns::EntryPosition;
 use porthoist_proxy::{ControlTable, GapAges, NewsAsk, NewsRow, Stamped, TableEra, TableNews, TableRevision};
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
@@ -38,17 +38,17 @@
     /// What it knows of the table.
     pub news: TableNews,
     /// Which place the entry that asked has among those that ask; nothing while it is not known.
-    pub place: Option<EntryPlace>,
+    pub place: Option<EntryPosition>,
     /// What entries have heard of targets in need.
     pub notes: Vec<AgedNote>,
 }
 
 pub(super) fn write_zone(
     mut builder: table_news::Builder<'_>,
-    place: Option<EntryPlace>,
+    place: Option<EntryPosition>,
     notes: &[AgedNote],
 ) {
-    if let Some(EntryPlace { index, entries }) = place {
+    if let Some(EntryPosition { index, entries }) = place {
         builder.set_entries(entries);
         builder.set_entries_before(index);
     }
@@ -62,7 +62,7 @@
     let (index, entries) = (reader.get_entries_before(), reader.get_entries());
     Ok(NewsAnswer::Whole(ZoneNews {
         news,
-        place: (index < entries).then_some(EntryPlace { index, entries }),
+        place: (index < entries).then_some(EntryPosition { index, entries }),
         notes: read_notes(reader.get_notes()?)?,
     }))
 }
--- a/crates/porthoist-fleet/src/rank/server.rs
+++ b/crates/porthoist-fleet/src/rank/server.rs
@@ -20,10 +20,10 @@
 use porthoist_group::{GroupReading, HeldLink, RankFuture};
 use porthoist_policy::forward::EngineOrder;
 use porthoist_policy::placement::even::EvenMap;
-use porthoist_policy::proxy::entries::EntryRoll;
+use porthoist_policy::proxy::entries::EntryRoster;
 use porthoist_policy::proxy::loads::LoadRevision;
-use porthoist_policy::proxy::notes::{AgedNote, NoteBoard};
-use porthoist_policy::proxy::turns::EntryPlace;
+use porthoist_policy::proxy::notes::{AgedNote, NoteStore};
+use porthoist_policy::proxy::turns::EntryPosition;
 use porthoist_proxy::TableReader;
 use std::cell::RefCell;
 use std::fmt;
@@ -58,29 +58,29 @@
     hosts: RefCell<NamedHosts>,
     /// The entries that ask it about tables.
     #[builder(skip)]
-    entries: RefCell<EntryRoll>,
+    entries: RefCell<EntryRoster>,
     /// What those have heard of targets in need.
     #[builder(skip)]
-    notes: RefCell<NoteBoard>,
+    notes: RefCell<NoteStore>,
     /// Counts the time in which the host was suspended.
     clock: Option<Arc<dyn ClockSource>>,
 }
 
 impl RankServing {
     /// Takes what an entry tells; returns its place among those that ask.
-    fn take_word(&self, word: ZoneWord) -> Option<EntryPlace> {
+    fn take_word(&self, word: ZoneWord) -> Option<EntryPosition> {
         let now = self.clock.as_ref()?.now();
         let mut notes = self.notes.borrow_mut();
         for note in word.notes {
-            notes.take(note.placed(now));
+            notes.take(note.to_local(now));
         }
-        self.entries.borrow_mut().asked(word.entry, now)
+        self.entries.borrow_mut().record_query(word.entry, now)
     }
 
     /// What entries have told lately.
     fn told_notes(&self) -> Vec<AgedNote> {
         let Some(now) = self.clock.as_ref().map(|clock| clock.now()) else { return Vec::new() };
-        self.notes.borrow_mut().told(now).iter().map(|note| note.aged(now)).collect()
+        self.notes.borrow_mut().current(now).iter().map(|note| note.aged(now)).collect()
     }
 
     /// The members of a branch that this process stands for, itself first.
--- a/crates/porthoist-fleet/tests/zone.rs
+++ b/crates/porthoist-fleet/tests/zone.rs
@@ -12,7 +12,7 @@
 use porthoist_policy::proxy::entries::EntryId;
 use porthoist_policy::proxy::notes::TargetNote;
 use porthoist_policy::proxy::targets::TargetLife;
-use porthoist_policy::proxy::turns::EntryPlace;
+use porthoist_policy::proxy::turns::EntryPosition;
 use porthoist_proxy::{
     ControlTable, NewsAsk, NewsValue, RowSource, RowValue, SourceFuture, Stamped, TableEra, TableNews,
     TableReader, TableRevision, TableRow,
@@ -124,10 +124,10 @@
         let heard = TargetNote { life, limit: Some(RequestRate(1.5)), as_of: UnixMillis(9_000) };
         let first = ask(&peer, 3, std::slice::from_ref(&heard), 9_300).await;
         let second = ask(&peer, 7, &[], 0).await;
-        assert_eq!(first.place, Some(EntryPlace { index: 0, entries: 2 }));
-        assert_eq!(second.place, Some(EntryPlace { index: 1, entries: 2 }));
+        assert_eq!(first.place, Some(EntryPosition { index: 0, entries: 2 }));
+        assert_eq!(second.place, Some(EntryPosition { index: 1, entries: 2 }));
         let told: Vec<TargetNote> =
-            second.notes.into_iter().map(|note| note.placed(UnixMillis(55_000))).collect();
+            second.notes.into_iter().map(|note| note.to_local(UnixMillis(55_000))).collect();
         assert_eq!(told, [TargetNote { as_of: UnixMillis(54_700), ..heard }]);
     };
     LocalSet::new().run_until(asked).await;
@@ -142,7 +142,7 @@
         ask(&peer, 0, &[], 0).await;
         clock.0.store(104_000, Ordering::Relaxed);
         assert_eq!(ask(&peer, 0, &[], 0).await.place, None);
-        assert_eq!(ask(&peer, 3, &[], 0).await.place, Some(EntryPlace { index: 0, entries: 1 }));
+        assert_eq!(ask(&peer, 3, &[], 0).await.place, Some(EntryPosition { index: 0, entries: 1 }));
     };
     LocalSet::new().run_until(asked).await;
 }
--- a/crates/porthoist-lab/src/capacity.rs
+++ b/crates/porthoist-lab/src/capacity.rs
@@ -19,7 +19,7 @@
 use porthoist_policy::placement::even::{EvenBounds, EvenMap, improve};
 use porthoist_policy::placement::map::ExpertId;
 use porthoist_policy::placement::{GroupEstimate, PlannerSettings, place_anew, plan};
-use porthoist_policy::proxy::quarantine::{CrashKey, CrashReport, MOST_MARKS, QuarantineBook};
+use porthoist_policy::proxy::quarantine::{CrashKey, CrashReport, MAX_MARKS, QuarantineTracker};
 use porthoist_policy::router::{PREFIX_CAPACITY, RouteQuery, RouteTarget, Router, RouterSettings};
 use porthoist_policy::table::{RowKey, RowKind, TableRow, TeamRow};
 use serde::Serialize;
@@ -359,9 +359,9 @@
         });
         slope(name, "us", micros)
     }));
-    let mut book = QuarantineBook::default();
+    let mut book = QuarantineTracker::default();
     let report = CrashReport { died: UnixMillis(1_000), ranked: true, by: "entry-1".into() };
-    for index in 0..MOST_MARKS {
+    for index in 0..MAX_MARKS {
         let mark = head(index).mark(&[]);
         book.died(&CrashKey { mark, target: "t".into() }, report.clone(), UnixMillis(1_000));
     }
--- a/crates/porthoist-lab/src/needs.rs
+++ b/crates/porthoist-lab/src/needs.rs
@@ -5,7 +5,8 @@
 use porthoist_core::{RequestRate, UnixMillis, ZoneName};
 use porthoist_policy::proxy::targets::TargetLife;
 use porthoist_policy::proxy::turns::{
-    EntryPlace, RateSource, SendTurns, SenderPlace, TargetRate, TurnRound, UncountedEntry, assumed_entries,
+    EntryPosition, RateSource, SendTurns, SenderPosition, TargetRate, TurnRound, UncountedEntry,
+    assumed_entries,
 };
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -146,19 +147,19 @@
 fn gate(settings: &NeedsSettings, way: LimitWay, index: u32, now: UnixMillis) -> SendGate {
     let NeedsSettings { entries, limit, seed, .. } = *settings;
     let bucket = |rate: f64| SendGate::Bucket { filled: 0.0, last: now.0, per_milli: rate / 1_000.0 };
-    let turns = |place: Option<EntryPlace>| {
+    let turns = |place: Option<EntryPosition>| {
         let zone: ZoneName = "z".parse().expect("a valid name");
         let life = TargetLife::from("t".parse::<porthoist_core::TargetName>().expect("a valid name"));
         let uncounted =
             UncountedEntry { entries: assumed_entries(TARGETS), seed: seed * 1_000 + u64::from(index) };
-        let sender = SenderPlace::new(place, &zone, std::slice::from_ref(&zone), uncounted);
+        let sender = SenderPosition::new(place, &zone, std::slice::from_ref(&zone), uncounted);
         let mut turns = SendTurns::default();
-        let rate = TargetRate { rate: limit, source: RateSource::Named };
+        let rate = TargetRate { rate: limit, source: RateSource::Announced };
         turns.set(TurnRound::new(rate, sender, &life), now);
         SendGate::Turns(turns)
     };
     match way {
-        LimitWay::Turns => turns(Some(EntryPlace { index, entries })),
+        LimitWay::Turns => turns(Some(EntryPosition { index, entries })),
         LimitWay::TurnsUncounted => turns(None),
         LimitWay::Buckets => bucket(GIVEN_PART * limit.0 / f64::from(entries)),
         LimitWay::Chosen if (index as usize) < CHOSEN => {
--- a/crates/porthoist-lab/src/overload/groups.rs
+++ b/crates/porthoist-lab/src/overload/groups.rs
@@ -10,7 +10,7 @@
 use entry::{EntryAnswer, EntryDesk, GroupReport};
 use porthoist_core::UnixMillis;
 use porthoist_policy::forward::{GroupEpoch, RankPace};
-use porthoist_policy::proxy::pass_time::{PassTimer, SeenGroup};
+use porthoist_policy::proxy::pass_time::{GroupSample, PassTimer};
 use porthoist_policy::switch::StepNumber;
 use rand::SeedableRng as _;
 use rand_pcg::Pcg64Mcg;
@@ -252,13 +252,13 @@
         for (index, group) in self.groups.iter_mut().enumerate() {
             let known = group.ranks.known();
             let slow = self.fault.state(index, now).pace;
-            let seen = SeenGroup {
+            let seen = GroupSample {
                 epoch: GroupEpoch(1),
                 step: StepNumber(group.ranks.passes()),
-                working: known.requests.iter().any(|requests| *requests > 0),
+                busy: known.requests.iter().any(|requests| *requests > 0),
                 slowest: RankPace::from_factor(slow),
             };
-            group.timer.saw(seen, now);
+            group.timer.observe(seen, now);
             if known.revision == group.told {
                 continue;
             }
--- a/crates/porthoist-lab/src/overload/groups/entry.rs
+++ b/crates/porthoist-lab/src/overload/groups/entry.rs
@@ -4,22 +4,22 @@
 use super::super::{LATENCY_MILLIS, deadline};
 use super::{GROUPS, RANKS};
 use porthoist_core::{BirthMillis, ServiceName, TargetName, UnixDeadline, UnixMillis};
-use porthoist_policy::proxy::cold::ColdWord;
-use porthoist_policy::proxy::desk::{DeskAnswer, PlaceDemand, PlaceDesk};
+use porthoist_policy::proxy::balancer::{BalancerSettings, RequestWork, SendOutcome};
+use porthoist_policy::proxy::cold::ColdStatus;
 use porthoist_policy::proxy::loads::{GroupLoads, LoadRevision, RankLoad};
-use porthoist_policy::proxy::moving::{SPREAD_MILLIS, WaitingSend};
+use porthoist_policy::proxy::moving::{MAX_MOVE_JITTER_MILLIS, PendingSend};
 use porthoist_policy::proxy::pass_time::GroupPass;
-use porthoist_policy::proxy::placement::{BoardSettings, RequestWork, SendOutcome};
-use porthoist_policy::proxy::retry_share::{RetryShare, ShareSettings};
-use porthoist_policy::proxy::targets::{TargetBook, TargetRecord, TargetState};
-use porthoist_policy::proxy::waiting::RequestTurn;
+use porthoist_policy::proxy::retry_share::{RetryShare, RetryShareSettings};
+use porthoist_policy::proxy::scheduler::{RequestScheduler, SlotDecision, SlotRequest};
+use porthoist_policy::proxy::targets::{TargetRecord, TargetRegistry, TargetState};
+use porthoist_policy::proxy::waiting::QueueClass;
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
 /// Sends of one request at most, as the users' routes allow.
 const MAX_ATTEMPTS: usize = 2;
 /// The users' retry budget as each process takes its share of it: by request, beside that, and for so many milliseconds.
-const SHARE: ShareSettings = ShareSettings { ratio: 0.16, slack: 2.3, window_millis: 10_000 };
+const SHARE: RetryShareSettings = RetryShareSettings { ratio: 0.16, slack: 2.3, window_millis: 10_000 };
 
 /// A report of one group's loads.
 pub(super) struct GroupReport<'a> {
@@ -45,7 +45,7 @@
 }
 
 pub(super) struct EntryDesk {
-    desk: PlaceDesk<usize>,
+    desk: RequestScheduler<usize>,
     service: ServiceName,
     records: Vec<TargetRecord>,
     sends: BTreeMap<usize, OpenSend>,
@@ -70,7 +70,7 @@
         zone: format!("z{}", place / RANKS).parse().expect("a valid name"),
         slots,
         state: TargetState::Ready,
-        cold: ColdWord::Unsaid,
+        cold: ColdStatus::Unknown,
     }
 }
 
@@ -78,12 +78,13 @@
     pub(super) fn new(zone: usize, slots: u32, seed: u64) -> Self {
         let service: ServiceName = "s".parse().expect("a valid name");
         let zone = format!("z{zone}").parse().expect("a valid name");
-        let settings = BoardSettings::builder().zone(zone).per_rank(3).rank_limit(slots).seed(seed).build();
+        let settings =
+            BalancerSettings::builder().zone(zone).per_rank(3).rank_limit(slots).seed(seed).build();
         let records: Vec<TargetRecord> =
             (0..GROUPS * RANKS).map(|place| record(&service, place, slots)).collect();
-        let mut book = TargetBook::default();
-        book.listed(records.iter().cloned(), None);
-        let mut desk = PlaceDesk::new(settings);
+        let mut book = TargetRegistry::default();
+        book.apply_listing(records.iter().cloned(), None);
+        let mut desk = RequestScheduler::new(settings);
         desk.sync(&book);
         Self {
             desk,
@@ -110,16 +111,16 @@
             if report.together { (0..GROUPS * RANKS, GroupPass::Unknown) } else { (own, report.pass) };
         let loads =
             GroupLoads { revision: LoadRevision(self.revision), pass, ranks: places.map(rank).collect() };
-        self.desk.take_loads(&loads, now);
+        self.desk.update_loads(&loads, now);
     }
 
     pub(super) fn ask(&mut self, caller: usize, played: &PlayedCaller, now: UnixMillis) -> EntryAnswer {
         let tried = self.tried.remove(&caller).unwrap_or_default();
-        let turn = if tried.is_empty() { RequestTurn::First } else { RequestTurn::Repeated };
+        let turn = if tried.is_empty() { QueueClass::First } else { QueueClass::Resent };
         if tried.is_empty() {
             self.share.first(now);
         }
-        let demand = PlaceDemand {
+        let demand = SlotRequest {
             service: self.service.clone(),
             ranked: true,
             work: RequestWork::default(),
@@ -128,9 +129,9 @@
             arrival: now,
             latency_millis: LATENCY_MILLIS,
             deadline: played.deadline(),
-            turn,
+            class: turn,
         };
-        let DeskAnswer::Place(chosen) = self.desk.ask(&demand, now) else { return EntryAnswer::Refuse };
+        let SlotDecision::Assign(chosen) = self.desk.decide(&demand, now) else { return EntryAnswer::Refuse };
         let place = self.records.iter().position(|record| record.id == chosen.record.id);
         let place = place.expect("only known targets are chosen");
         let tried = tried.into_iter().chain([chosen.record.id.clone()]).collect();
@@ -142,13 +143,13 @@
     pub(super) fn heard(&mut self, place: usize, first_millis: Option<u64>, now: UnixMillis) {
         let record = &self.records[place];
         match first_millis {
-            Some(millis) => self.desk.began(record, millis as f64, now),
-            None => self.desk.heard(record, now),
+            Some(millis) => self.desk.first_event_received(record, millis as f64, now),
+            None => self.desk.event_received(record, now),
         }
     }
 
     pub(super) fn finished(&mut self, caller: usize, events: u32, now: UnixMillis) {
-        self.desk.streamed(&self.service, u64::from(events));
+        self.desk.stream_ended(&self.service, u64::from(events));
         self.end(caller, true, now);
     }
 
@@ -173,15 +174,15 @@
             if send.tried.len() >= MAX_ATTEMPTS {
                 continue;
             }
-            let waiting = WaitingSend {
+            let waiting = PendingSend {
                 since: played.last_event().unwrap_or(send.placed),
                 events: u64::from(played.events_made()),
-                spread_millis: *caller as u64 * 37 % SPREAD_MILLIS,
+                jitter_millis: *caller as u64 * 37 % MAX_MOVE_JITTER_MILLIS,
                 on_time_until: UnixDeadline::after(played.arrival(), LATENCY_MILLIS),
                 deadline: deadline(played.arrival()),
             };
             let cause = self.desk.move_cause(&self.records[send.place], &waiting, now);
-            if cause.is_some() && self.share.take_spare(now) {
+            if cause.is_some() && self.share.take_optional(now) {
                 moving.push(*caller);
             }
         }
--- a/crates/porthoist-lab/src/overload/rule.rs
+++ b/crates/porthoist-lab/src/overload/rule.rs
@@ -4,12 +4,12 @@
 use super::group::KnownLoads;
 use super::{LATENCY_MILLIS, deadline};
 use porthoist_core::{BirthMillis, ServiceName, TargetName, UnixDeadline, UnixMillis};
-use porthoist_policy::proxy::cold::ColdWord;
-use porthoist_policy::proxy::desk::{DeskAnswer, PlaceDemand, PlaceDesk};
+use porthoist_policy::proxy::balancer::{BalancerSettings, RequestWork, SendOutcome};
+use porthoist_policy::proxy::cold::ColdStatus;
 use porthoist_policy::proxy::loads::{GroupLoads, LoadRevision, RankLoad};
-use porthoist_policy::proxy::placement::{BoardSettings, RequestWork, SendOutcome};
-use porthoist_policy::proxy::targets::{TargetBook, TargetRecord, TargetState};
-use porthoist_policy::proxy::waiting::RequestTurn;
+use porthoist_policy::proxy::scheduler::{RequestScheduler, SlotDecision, SlotRequest};
+use porthoist_policy::proxy::targets::{TargetRecord, TargetRegistry, TargetState};
+use porthoist_policy::proxy::waiting::QueueClass;
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 use std::collections::VecDeque;
@@ -110,7 +110,7 @@
 
 #[derive(Debug)]
 struct DeskRule {
-    desk: PlaceDesk<usize>,
+    desk: RequestScheduler<usize>,
     service: ServiceName,
     /// The first rank, which speaks for the group.
     first: TargetRecord,
@@ -132,7 +132,7 @@
         let service: ServiceName = "s".parse().expect("a valid name");
         let zone: porthoist_core::ZoneName = "z".parse().expect("a valid name");
         let settings =
-            BoardSettings::builder().zone(zone.clone()).per_rank(3).rank_limit(slots).seed(seed).build();
+            BalancerSettings::builder().zone(zone.clone()).per_rank(3).rank_limit(slots).seed(seed).build();
         let record = |rank: usize| TargetRecord {
             id: target(rank),
             born: BirthMillis::default(),
@@ -141,11 +141,11 @@
             zone: zone.clone(),
             slots,
             state: TargetState::Ready,
-            cold: ColdWord::Unsaid,
+            cold: ColdStatus::Unknown,
         };
-        let mut book = TargetBook::default();
-        book.listed((0..ranks).map(record), None);
-        let mut desk = PlaceDesk::new(settings);
+        let mut book = TargetRegistry::default();
+        book.apply_listing((0..ranks).map(record), None);
+        let mut desk = RequestScheduler::new(settings);
         desk.sync(&book);
         let random = Pcg64Mcg::seed_from_u64(seed);
         let first = record(0);
@@ -165,7 +165,7 @@
             ranks: ranks.collect(),
             ..GroupLoads::default()
         };
-        self.desk.take_loads(&loads, now);
+        self.desk.update_loads(&loads, now);
     }
 
     fn rank(record: &TargetRecord) -> usize {
@@ -184,7 +184,7 @@
         known: KnownLoads,
     ) -> RuleAnswer {
         self.hear_loads(&known, now);
-        let demand = PlaceDemand {
+        let demand = SlotRequest {
             service: self.service.clone(),
             ranked: true,
             work: RequestWork::default(),
@@ -193,16 +193,16 @@
             arrival: now,
             latency_millis: LATENCY_MILLIS,
             deadline,
-            turn: if came_back { RequestTurn::Returned } else { RequestTurn::First },
+            class: if came_back { QueueClass::CallerRetry } else { QueueClass::First },
         };
-        match self.desk.ask(&demand, now) {
-            DeskAnswer::Place(chosen) => RuleAnswer::Place(Self::rank(&chosen.record)),
-            DeskAnswer::Wait(until) => {
-                self.desk.keep(demand, caller);
+        match self.desk.decide(&demand, now) {
+            SlotDecision::Assign(chosen) => RuleAnswer::Place(Self::rank(&chosen.record)),
+            SlotDecision::Wait(until) => {
+                self.desk.enqueue(demand, caller);
                 self.waiting.push_back((caller, until));
                 RuleAnswer::Wait
             }
-            DeskAnswer::Refuse(_reason) => RuleAnswer::Refuse(self.return_millis(deadline, now)),
+            SlotDecision::Refuse(_reason) => RuleAnswer::Refuse(self.return_millis(deadline, now)),
         }
     }
 
@@ -214,11 +214,11 @@
     }
 
     fn began(&mut self, millis: u64, now: UnixMillis) {
-        self.desk.began(&self.first, millis as f64, now);
+        self.desk.first_event_received(&self.first, millis as f64, now);
     }
 
     fn heard(&mut self, now: UnixMillis) {
-        self.desk.heard(&self.first, now);
+        self.desk.event_received(&self.first, now);
     }
 
     fn returned(&mut self, rank: usize, now: UnixMillis) {
@@ -229,11 +229,11 @@
 
     fn return_millis(&mut self, deadline: UnixDeadline, now: UnixMillis) -> u64 {
         let point = self.random.random_range(0.0..1.0);
-        self.desk.return_millis(&self.service, deadline, point, now)
+        self.desk.retry_after_millis(&self.service, deadline, point, now)
     }
 
     fn refuse_waiting(&mut self, now: UnixMillis) -> Vec<(usize, u64)> {
-        let hopeless = self.desk.take_hopeless(&self.service, now);
+        let hopeless = self.desk.take_unservable(&self.service, now);
         let over = self.waiting.iter().filter(|(_caller, until)| until.passed(now));
         let refused: Vec<usize> = over.map(|(caller, _until)| *caller).chain(hopeless).collect();
         self.waiting.retain(|(caller, _until)| !refused.contains(caller));
@@ -248,7 +248,7 @@
     ) -> Option<(usize, usize)> {
         self.hear_loads(&known, now);
         let waits = |caller: &usize| callers[*caller].waits();
-        let (caller, chosen, _work) = self.desk.next_served(&self.service, waits, now)?;
+        let (caller, chosen, _work) = self.desk.next_ready(&self.service, waits, now)?;
         self.waiting.retain(|(waiting, _until)| *waiting != caller);
         Some((caller, Self::rank(&chosen.record)))
     }
--- a/crates/porthoist-policy/src/proxy/needs.rs
+++ b/crates/porthoist-policy/src/proxy/backpressure.rs
@@ -3,7 +3,7 @@
 //! It is newer than its row and any report, and only the target itself takes it back. What can't be read changes nothing:
 //! taken for none it would lift a limit, taken for 0 it would close a sound target.
 
-use super::cold::{ColdRule, ColdWord, TargetCold};
+use super::cold::{ColdRule, ColdStatus, TargetCold};
 use super::notes::TargetNote;
 use super::targets::TargetLife;
 use super::turns::{RateSource, TargetRate};
@@ -28,34 +28,34 @@
 
 /// A value that an answer may name.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub enum NamedValue<T> {
+pub enum SignalValue<T> {
     /// It does not.
     #[default]
     Absent,
     /// It does.
-    Named(T),
+    Present(T),
     /// It does, and the value can't be read.
     Unreadable,
 }
 
 /// What one answer says of the target that made it.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct TargetWord {
+pub struct BackpressureSignals {
     /// Requests that it takes from all processes together, as long as it says so.
-    pub limit: NamedValue<RequestRate>,
+    pub limit: SignalValue<RequestRate>,
     /// Milliseconds for which it wants nothing from this process.
-    pub rest_millis: NamedValue<u64>,
+    pub rest_millis: SignalValue<u64>,
     /// Whether it leaves.
     pub leaving: bool,
     /// Milliseconds for which it stays cold.
-    pub cold_millis: NamedValue<u64>,
+    pub cold_millis: SignalValue<u64>,
     /// Whether the answer names the request that it is to: only then does what it lacks end anything.
-    pub certain: bool,
+    pub matches_request: bool,
 }
 
 /// A change of what a target says of itself.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum NeedChange {
+pub enum BackpressureChange {
     /// It names a limit, or another one than before.
     Limited(RequestRate),
     /// It names none any more, after so many milliseconds.
@@ -70,7 +70,7 @@
     Unreadable,
 }
 
-impl NeedChange {
+impl BackpressureChange {
     /// Its name in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
@@ -86,9 +86,9 @@
 
 /// A change, and whether it is worth a line in the log.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct NotedChange {
+pub struct ObservedChange {
     /// The change.
-    pub change: NeedChange,
+    pub change: BackpressureChange,
     /// Whether the last line about the target is long enough ago.
     pub logged: bool,
 }
@@ -127,13 +127,13 @@
     /// those of others.
     pub fn take(
         &mut self,
-        word: &TargetWord,
+        word: &BackpressureSignals,
         sent: UnixMillis,
         spread: f64,
         now: UnixMillis,
-    ) -> Vec<NotedChange> {
+    ) -> Vec<ObservedChange> {
         self.cold.take_answer(word.cold_millis, now);
-        if word.certain {
+        if word.matches_request {
             self.heard = now;
             self.cold.answered(now);
         }
@@ -147,7 +147,7 @@
     }
 
     /// Takes what another process tells of the target's limit.
-    pub fn take_note(&mut self, note: &TargetNote, now: UnixMillis) -> Option<NotedChange> {
+    pub fn take_note(&mut self, note: &TargetNote, now: UnixMillis) -> Option<ObservedChange> {
         let change = match note.limit {
             Some(rate) if note.as_of > self.heard => self.limited(rate, note.as_of),
             Some(_older) => None,
@@ -183,7 +183,7 @@
     }
 
     /// Takes what its row says. One that is seen for the first time may just have started.
-    pub(super) fn take_row(&mut self, word: ColdWord, first_seen: bool) {
+    pub(super) fn take_row(&mut self, word: ColdStatus, first_seen: bool) {
         self.cold.take_row(word, first_seen);
     }
 
@@ -200,7 +200,7 @@
 
     /// What it takes from all processes together, while anything bounds that.
     pub fn rate(&self, now: UnixMillis) -> Option<TargetRate> {
-        let named = self.limit.map(|limit| TargetRate { rate: limit.rate, source: RateSource::Named });
+        let named = self.limit.map(|limit| TargetRate { rate: limit.rate, source: RateSource::Announced });
         let cold = self.cold.rate(now).map(|rate| TargetRate { rate, source: RateSource::Cold });
         match (named, cold) {
             (Some(named), Some(cold)) if cold.rate < named.rate => Some(cold),
@@ -226,63 +226,78 @@
         left as f64 / RETURN_MILLIS as f64
     }
 
-    fn take_limit(&mut self, word: &TargetWord, sent: UnixMillis, now: UnixMillis) -> Option<NeedChange> {
+    fn take_limit(
+        &mut self,
+        word: &BackpressureSignals,
+        sent: UnixMillis,
+        now: UnixMillis,
+    ) -> Option<BackpressureChange> {
         match word.limit {
-            NamedValue::Named(rate) => self.limited(rate, now),
-            NamedValue::Absent if word.certain => self.lifted(sent, 0, now),
-            NamedValue::Absent | NamedValue::Unreadable => None,
+            SignalValue::Present(rate) => self.limited(rate, now),
+            SignalValue::Absent if word.matches_request => self.lifted(sent, 0, now),
+            SignalValue::Absent | SignalValue::Unreadable => None,
         }
     }
 
-    fn limited(&mut self, rate: RequestRate, named: UnixMillis) -> Option<NeedChange> {
+    fn limited(&mut self, rate: RequestRate, named: UnixMillis) -> Option<BackpressureChange> {
         let since = self.limit.map_or(named, |limit| limit.since);
         let known = self.limit.replace(HeardLimit { rate, since, named });
-        (known.map(|limit| limit.rate) != Some(rate)).then_some(NeedChange::Limited(rate))
+        (known.map(|limit| limit.rate) != Some(rate)).then_some(BackpressureChange::Limited(rate))
     }
 
     /// Takes that a request sent at a moment had an answer without a limit. One that was sent before the limit was last named may
     /// have been answered before as well, and have lain somewhere since.
-    fn lifted(&mut self, sent: UnixMillis, margin_millis: u64, now: UnixMillis) -> Option<NeedChange> {
+    fn lifted(
+        &mut self,
+        sent: UnixMillis,
+        margin_millis: u64,
+        now: UnixMillis,
+    ) -> Option<BackpressureChange> {
         let known = self.limit.filter(|limit| sent >= limit.named.plus(margin_millis))?;
         self.limit = None;
         self.returned = Some(now);
-        Some(NeedChange::Lifted(now.since(known.since)))
+        Some(BackpressureChange::Lifted(now.since(known.since)))
     }
 
-    fn take_rest(&mut self, word: &TargetWord, spread: f64, now: UnixMillis) -> Option<NeedChange> {
+    fn take_rest(
+        &mut self,
+        word: &BackpressureSignals,
+        spread: f64,
+        now: UnixMillis,
+    ) -> Option<BackpressureChange> {
         let known = self.rest(now);
-        let NamedValue::Named(millis) = word.rest_millis else {
-            let over = self.rest_until.is_some() && known.is_none() && word.certain;
+        let SignalValue::Present(millis) = word.rest_millis else {
+            let over = self.rest_until.is_some() && known.is_none() && word.matches_request;
             let ended = over.then(|| self.rest_until.take()).flatten()?;
             self.returned = self.returned.max(Some(ended.0));
-            return Some(NeedChange::Rested);
+            return Some(BackpressureChange::Rested);
         };
         let spread_millis = millis as f64 * REST_SPREAD * spread;
         let until = UnixDeadline::after(now, millis.saturating_add(spread_millis as u64));
         self.rest_until = self.rest_until.max(Some(until));
-        (millis > 0 && known.is_none()).then_some(NeedChange::Resting(millis))
+        (millis > 0 && known.is_none()).then_some(BackpressureChange::Resting(millis))
     }
 
-    fn take_leaving(&mut self, word: &TargetWord) -> Option<NeedChange> {
+    fn take_leaving(&mut self, word: &BackpressureSignals) -> Option<BackpressureChange> {
         let news = word.leaving && !self.leaving;
         self.leaving |= word.leaving;
-        news.then_some(NeedChange::Leaving)
+        news.then_some(BackpressureChange::Leaving)
     }
 
-    fn take_readable(&mut self, word: &TargetWord) -> Option<NeedChange> {
-        let unreadable = word.limit == NamedValue::Unreadable
-            || word.rest_millis == NamedValue::Unreadable
-            || word.cold_millis == NamedValue::Unreadable;
+    fn take_readable(&mut self, word: &BackpressureSignals) -> Option<BackpressureChange> {
+        let unreadable = word.limit == SignalValue::Unreadable
+            || word.rest_millis == SignalValue::Unreadable
+            || word.cold_millis == SignalValue::Unreadable;
         let before = std::mem::replace(&mut self.unreadable, unreadable);
-        (unreadable && !before).then_some(NeedChange::Unreadable)
+        (unreadable && !before).then_some(BackpressureChange::Unreadable)
     }
 
-    fn noted(&mut self, change: NeedChange, now: UnixMillis) -> NotedChange {
+    fn noted(&mut self, change: BackpressureChange, now: UnixMillis) -> ObservedChange {
         let logged = self.log_due.passed(now);
         if logged {
             self.log_due = UnixDeadline::after(now, LOG_MILLIS);
         }
-        NotedChange { change, logged }
+        ObservedChange { change, logged }
     }
 }
 
--- a/crates/porthoist-policy/src/proxy/placement.rs
+++ b/crates/porthoist-policy/src/proxy/balancer.rs
@@ -3,16 +3,16 @@
 //! The board counts what this process has sent and has not seen end. Targets that fail in a row get nothing for a
 //! while, longer each time, and one request as a trial afterwards.
 
+use super::backpressure::VanishedNeeds;
 use super::cold::ColdRule;
-use super::domains::{DomainBook, GroupIndex};
+use super::groups::{DomainBook, GroupIndex};
 use super::loads::{GroupLoads, RankLoad};
-use super::needs::VanishedNeeds;
-use super::paces::{GroupChoice, ServicePaces};
 use super::pass_time::GroupPass;
+use super::service_groups::{GroupSnapshot, ServicePaces};
 use super::spread::choose_by_level;
 use super::target_load::{GroupView, TargetLoad};
-use super::targets::{TargetBook, TargetLife, TargetRecord, TargetState};
-use super::turns::{EntryPlace, SenderPlace, TargetRate, UncountedEntry, assumed_entries};
+use super::targets::{TargetLife, TargetRecord, TargetRegistry, TargetState};
+use super::turns::{EntryPosition, SenderPosition, TargetRate, UncountedEntry, assumed_entries};
 use super::zones::EmptiedZones;
 use porthoist_core::{ServiceName, TargetName, UnixMillis, ZoneName};
 use std::collections::{BTreeMap, HashMap};
@@ -54,7 +54,7 @@
 
 /// Settings of a board.
 #[derive(Debug, Clone, bon::Builder)]
-pub struct BoardSettings {
+pub struct BalancerSettings {
     /// The availability zone of this process.
     pub zone: ZoneName,
     /// Requests of this process that a rank of a group runs at once, while the others' are not known.
@@ -67,7 +67,7 @@
     pub seed: u64,
 }
 
-impl BoardSettings {
+impl BalancerSettings {
     fn uncounted(&self, targets: usize) -> UncountedEntry {
         let entries = self.entries.unwrap_or_else(|| assumed_entries(targets));
         UncountedEntry { entries, seed: self.seed }
@@ -84,7 +84,7 @@
     /// What was reported of it, if that counted.
     pub report: Option<ReportedRequests>,
     /// How its group did, if it is known to be a rank of one.
-    pub group: Option<GroupChoice>,
+    pub group: Option<GroupSnapshot>,
     /// What bounds the requests that it takes, within which it was chosen.
     pub rate: Option<TargetRate>,
 }
@@ -100,8 +100,8 @@
 
 /// Loads of all targets, as this process sees them.
 #[derive(Debug, Clone)]
-pub struct LoadBoard {
-    settings: BoardSettings,
+pub struct LoadBalancer {
+    settings: BalancerSettings,
     /// In a fixed order, so that the same seed makes the same choices.
     loads: BTreeMap<TargetLife, TargetLoad>,
     /// What targets had said whose rows have gone.
@@ -115,16 +115,16 @@
     /// Zones whose targets get nothing new.
     emptied: EmptiedZones,
     /// This process's place among the entries of its zone, once it was told.
-    place: Option<EntryPlace>,
+    place: Option<EntryPosition>,
     /// Its place among all that send, by the zones of all targets.
-    sender: SenderPlace,
+    sender: SenderPosition,
     turn: u64,
 }
 
-impl LoadBoard {
+impl LoadBalancer {
     /// A board without targets.
-    pub fn new(settings: BoardSettings) -> Self {
-        let sender = SenderPlace::new(None, &settings.zone, &[], settings.uncounted(0));
+    pub fn new(settings: BalancerSettings) -> Self {
+        let sender = SenderPosition::new(None, &settings.zone, &[], settings.uncounted(0));
         Self {
             settings,
             place: None,
@@ -141,7 +141,7 @@
 
     /// Takes the targets believed in now. What is in flight at a target that is gone, or at an earlier life of one, is still
     /// counted there.
-    pub fn sync(&mut self, book: &TargetBook) {
+    pub fn sync(&mut self, book: &TargetRegistry) {
         let known: HashMap<TargetLife, &Arc<TargetRecord>> =
             book.records().map(|record| (record.life(), record)).collect();
         let kept = |life: &TargetLife, load: &TargetLoad| known.contains_key(life) || load.in_flight > 0;
@@ -209,9 +209,9 @@
         let (in_flight, report) = (best.in_flight, best.report(now));
         let rate = best.rate(now);
         best.take(work, now);
-        let group = best.group.and_then(|index| Some(GroupChoice { index, pace: paces.pace(index)? }));
+        let group = best.group.and_then(|index| Some(GroupSnapshot { index, status: paces.pace(index)? }));
         let record = Arc::clone(&best.record);
-        if let Some(GroupChoice { index, .. }) = group.filter(|group| group.pace.probe_due) {
+        if let Some(GroupSnapshot { index, .. }) = group.filter(|group| group.status.probe_due) {
             self.domains.probed(index, now);
         }
         Some(ChosenTarget { record, in_flight, report, group, rate })
@@ -270,13 +270,13 @@
     }
 
     /// The groups that began to stand, or go on again, since the last call.
-    pub fn group_changes(&mut self, service: &ServiceName, now: UnixMillis) -> Vec<GroupChoice> {
+    pub fn group_changes(&mut self, service: &ServiceName, now: UnixMillis) -> Vec<GroupSnapshot> {
         let paces = self.paces(service, now);
         let known = (0..self.domains.len()).map(GroupIndex::at);
-        let known: Vec<GroupChoice> =
-            known.filter_map(|index| Some(GroupChoice { index, pace: paces.pace(index)? })).collect();
+        let known: Vec<GroupSnapshot> =
+            known.filter_map(|index| Some(GroupSnapshot { index, status: paces.pace(index)? })).collect();
         let changed =
-            known.into_iter().filter(|group| self.domains.take_standing(group.index, group.pace.standing));
+            known.into_iter().filter(|group| self.domains.take_standing(group.index, group.status.stalled));
         changed.collect()
     }
 
--- a/crates/porthoist-policy/src/proxy/placement/asked.rs
+++ b/crates/porthoist-policy/src/proxy/balancer/asked.rs
@@ -1,11 +1,11 @@
 //! What keeps requests from targets on the board: their own words, other entries', and operators'; asked before each send.
 
-use super::{LoadBoard, random_point};
+use super::{LoadBalancer, random_point};
+use crate::proxy::backpressure::{BackpressureSignals, ObservedChange};
 use crate::proxy::cold::ColdRule;
-use crate::proxy::needs::{NotedChange, TargetWord};
 use crate::proxy::notes::TargetNote;
 use crate::proxy::targets::TargetLife;
-use crate::proxy::turns::{EntryPlace, RateSource, SendTurns, SenderPlace, TargetRate};
+use crate::proxy::turns::{EntryPosition, RateSource, SendTurns, SenderPosition, TargetRate};
 use crate::proxy::zones::EmptiedZones;
 use porthoist_core::{ServiceName, UnixDeadline, UnixMillis, ZoneName};
 use std::collections::HashMap;
@@ -21,9 +21,9 @@
     pub source: RateSource,
 }
 
-impl LoadBoard {
+impl LoadBalancer {
     /// Takes this process's place among the entries of its zone.
-    pub fn set_place(&mut self, place: Option<EntryPlace>) {
+    pub fn set_place(&mut self, place: Option<EntryPosition>) {
         self.place = place;
         self.sync_sender();
     }
@@ -33,23 +33,23 @@
         zones.sort_unstable();
         zones.dedup();
         let uncounted = self.settings.uncounted(self.loads.len());
-        self.sender = SenderPlace::new(self.place, &self.settings.zone, &zones, uncounted);
+        self.sender = SenderPosition::new(self.place, &self.settings.zone, &zones, uncounted);
     }
 
     /// Takes what a target says of itself in the answer to a request that was sent at a moment.
     pub fn told(
         &mut self,
         life: &TargetLife,
-        word: &TargetWord,
+        word: &BackpressureSignals,
         sent: UnixMillis,
         now: UnixMillis,
-    ) -> Vec<NotedChange> {
+    ) -> Vec<ObservedChange> {
         let spread = random_point(self.settings.seed, self.turn);
         self.loads.get_mut(life).map_or_else(Vec::new, |load| load.need.take(word, sent, spread, now))
     }
 
     /// Takes what another entry tells of a target.
-    pub fn told_by_other(&mut self, note: &TargetNote, now: UnixMillis) -> Option<NotedChange> {
+    pub fn told_by_other(&mut self, note: &TargetNote, now: UnixMillis) -> Option<ObservedChange> {
         self.loads.get_mut(&note.life)?.need.take_note(note, now)
     }
 
@@ -106,8 +106,9 @@
         let loads = || self.loads.values().filter(|load| load.record.service == *service && load.open(now));
         let turns: Option<Vec<&SendTurns>> = loads().map(|load| load.turns(now)).collect();
         let turns = turns?;
-        let named = loads().filter_map(|load| load.rate(now)).filter(|rate| rate.source == RateSource::Named);
-        let source = if 2 * named.count() > turns.len() { RateSource::Named } else { RateSource::Cold };
+        let named =
+            loads().filter_map(|load| load.rate(now)).filter(|rate| rate.source == RateSource::Announced);
+        let source = if 2 * named.count() > turns.len() { RateSource::Announced } else { RateSource::Cold };
         let rate: f64 = turns.iter().filter_map(|turns| Some(1.0 / turns.millis()?)).sum();
         let next = turns.iter().filter_map(|turns| turns.next(now)).min()?;
         Some(LimitedSupply { millis: 1.0 / rate, next, source })
--- a/crates/porthoist-policy/src/proxy/placement/tiers.rs
+++ b/crates/porthoist-policy/src/proxy/balancer/tiers.rs
@@ -1,14 +1,14 @@
 //! Which of the targets that have room come first.
 
 use crate::proxy::target_load::{SendTier, TargetLoad};
-use crate::proxy::turns::SenderPlace;
+use crate::proxy::turns::SenderPosition;
 use porthoist_core::UnixMillis;
 
 /// Those that are to get a request before the others: targets in need get none while others have room, but for a first send now
 /// and then that asks how they do.
 pub(super) fn preferred<'a>(
     open: impl Iterator<Item = &'a mut TargetLoad>,
-    sender: SenderPlace,
+    sender: SenderPosition,
     first_send: bool,
     now: UnixMillis,
 ) -> Vec<&'a mut TargetLoad> {
--- a/crates/porthoist-policy/src/proxy/cold.rs
+++ b/crates/porthoist-policy/src/proxy/cold.rs
@@ -4,7 +4,7 @@
 //! unseen, so that whatever may have started again counts as cold until it has answered and the whole time is over: a needless
 //! suspicion costs little, since a cold target bears several times its usual share.
 
-use super::needs::NamedValue;
+use super::backpressure::SignalValue;
 use porthoist_core::{RequestRate, UnixDeadline, UnixMillis};
 
 /// Longest time in milliseconds that a target is believed to stay cold; rows and answers may name any number.
@@ -21,19 +21,19 @@
 
 /// What a target's row says of its start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum ColdWord {
+pub enum ColdStatus {
     /// Nothing.
     #[default]
-    Unsaid,
+    Unknown,
     /// It is warm.
     Warm,
     /// It is cold until then.
     Until(UnixDeadline),
 }
 
-impl ColdWord {
+impl ColdStatus {
     /// From the milliseconds that a row names, which came at a moment.
-    pub fn remaining(millis: u64, now: UnixMillis) -> Self {
+    pub fn from_remaining(millis: u64, now: UnixMillis) -> Self {
         match millis {
             0 => Self::Warm,
             millis => Self::Until(UnixDeadline::after(now, millis.min(MAX_COLD_MILLIS))),
@@ -58,23 +58,23 @@
     }
 
     /// Takes what its row says. A life that is seen for the first time, or whose row had gone, may just have started.
-    pub fn take_row(&mut self, word: ColdWord, first_seen: bool) {
+    pub fn take_row(&mut self, word: ColdStatus, first_seen: bool) {
         match word {
-            ColdWord::Until(until) => self.until = self.until.max(Some(until)),
-            ColdWord::Unsaid if first_seen => self.suspected = true,
-            ColdWord::Unsaid | ColdWord::Warm => {}
+            ColdStatus::Until(until) => self.until = self.until.max(Some(until)),
+            ColdStatus::Unknown if first_seen => self.suspected = true,
+            ColdStatus::Unknown | ColdStatus::Warm => {}
         }
     }
 
     /// Takes how many milliseconds longer it is cold by its own answer.
-    pub fn take_answer(&mut self, remaining: NamedValue<u64>, now: UnixMillis) {
+    pub fn take_answer(&mut self, remaining: SignalValue<u64>, now: UnixMillis) {
         match remaining {
-            NamedValue::Named(0) | NamedValue::Absent => {}
-            NamedValue::Named(millis) => {
+            SignalValue::Present(0) | SignalValue::Absent => {}
+            SignalValue::Present(millis) => {
                 let until = UnixDeadline::after(now, millis.min(MAX_COLD_MILLIS));
                 self.until = self.until.max(Some(until));
             }
-            NamedValue::Unreadable => self.suspected = true,
+            SignalValue::Unreadable => self.suspected = true,
         }
     }
 
--- a/crates/porthoist-policy/src/proxy/entries.rs
+++ b/crates/porthoist-policy/src/proxy/entries.rs
@@ -3,7 +3,7 @@
 //! All entries of a zone ask one process all the time, so it knows them without rows or rounds of its own. What it tells may
 //! be too little for a while, after its start or while entries ask different processes; a number that falls is not believed at once.
 
-use super::turns::EntryPlace;
+use super::turns::EntryPosition;
 use porthoist_core::{UnixDeadline, UnixMillis};
 use std::collections::BTreeMap;
 
@@ -22,21 +22,21 @@
 
 /// The entries that ask one process.
 #[derive(Debug, Clone, Default)]
-pub struct EntryRoll {
+pub struct EntryRoster {
     counted: BTreeMap<EntryId, UnixDeadline>,
     first_asked: UnixMillis,
 }
 
-impl EntryRoll {
+impl EntryRoster {
     /// Takes a question of an entry; tells its place, once all have asked.
-    pub fn asked(&mut self, entry: EntryId, now: UnixMillis) -> Option<EntryPlace> {
+    pub fn record_query(&mut self, entry: EntryId, now: UnixMillis) -> Option<EntryPosition> {
         self.counted.retain(|_entry, until| !until.passed(now));
         if self.counted.is_empty() {
             self.first_asked = now;
         }
         self.counted.insert(entry, UnixDeadline::after(now, COUNTED_MILLIS));
         let settled = now.since(self.first_asked) >= SETTLE_MILLIS;
-        let place = EntryPlace {
+        let place = EntryPosition {
             index: self.counted.range(..entry).count() as u32,
             entries: self.counted.len() as u32,
         };
@@ -46,14 +46,14 @@
 
 /// The place that an entry believes to have.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct BelievedPlace {
-    place: Option<EntryPlace>,
+pub struct PositionTracker {
+    place: Option<EntryPosition>,
     kept_until: UnixDeadline,
 }
 
-impl BelievedPlace {
+impl PositionTracker {
     /// Takes what a process tells. Returns whether the place is another one now.
-    pub fn told(&mut self, told: Option<EntryPlace>, now: UnixMillis) -> bool {
+    pub fn update(&mut self, told: Option<EntryPosition>, now: UnixMillis) -> bool {
         let Some(told) = told else { return false };
         let fewer = self.place.is_some_and(|place| told.entries < place.entries);
         if fewer && !self.kept_until.passed(now) {
@@ -64,7 +64,7 @@
     }
 
     /// The place; nothing before one was told.
-    pub fn place(&self) -> Option<EntryPlace> {
+    pub fn place(&self) -> Option<EntryPosition> {
         self.place
     }
 }
--- a/crates/porthoist-policy/src/proxy/forecast.rs
+++ b/crates/porthoist-policy/src/proxy/forecast.rs
@@ -5,8 +5,8 @@
 //! target latency; all others are refused at once. The load that this answers is a group of ranks near what it bears,
 //! whose streams slow each other down, and one that is down for seconds.
 
-use super::domains::{GroupPace, STANDING_MILLIS};
-use super::waiting::RequestTurn;
+use super::groups::{GroupStatus, STANDING_MILLIS};
+use super::waiting::QueueClass;
 use porthoist_core::{UnixDeadline, UnixMillis};
 use std::collections::{HashMap, VecDeque};
 
@@ -56,7 +56,7 @@
     /// When nobody waits for it any more.
     pub deadline: UnixDeadline,
     /// Its turn.
-    pub turn: RequestTurn,
+    pub turn: QueueClass,
     /// Mean time in milliseconds between two sends of this process, where all targets name limits.
     pub limited_millis: Option<f64>,
 }
@@ -73,13 +73,13 @@
 /// Tells callers that come back from those that come for the first time: they have less time left than first tries of
 /// their route.
 #[derive(Debug, Clone, Default)]
-pub struct PatienceBook {
+pub struct CallerRetryDetector {
     longest: HashMap<Box<str>, u64>,
 }
 
-impl PatienceBook {
+impl CallerRetryDetector {
     /// Whether a caller with so many milliseconds left comes back.
-    pub fn came_back(&mut self, route: &str, remaining_millis: Option<u64>) -> bool {
+    pub fn is_retry(&mut self, route: &str, remaining_millis: Option<u64>) -> bool {
         let Some(remaining) = remaining_millis else { return false };
         let Some(longest) = self.longest.get_mut(route) else {
             if self.longest.len() >= MAX_ROUTES {
@@ -232,11 +232,11 @@
     }
 
     /// How the service does where its groups are not known: its silence counts as a pass.
-    pub fn pace(&self, now: UnixMillis) -> GroupPace {
+    pub fn pace(&self, now: UnixMillis) -> GroupStatus {
         let silence = self.heard.map_or(u64::MAX, |heard| now.since(heard));
-        GroupPace {
+        GroupStatus {
             millis: silence as f64,
-            standing: silence >= STANDING_MILLIS,
+            stalled: silence >= STANDING_MILLIS,
             slow_for_millis: 0,
             probe_due: false,
         }
@@ -254,10 +254,10 @@
         let first = self.first_millis.unwrap_or_default() + FIRST_DEVIATIONS * self.first_deviation;
         let on_time = ask.latency_millis.saturating_sub(first as u64);
         let wait = match ask.turn {
-            RequestTurn::First => on_time,
-            RequestTurn::Repeated => on_time.max(REPEATED_WAIT_MILLIS),
+            QueueClass::First => on_time,
+            QueueClass::Resent => on_time.max(REPEATED_WAIT_MILLIS),
             // First tries would come before it again and again.
-            RequestTurn::Returned => return PlaceForecast::Refuse,
+            QueueClass::CallerRetry => return PlaceForecast::Refuse,
         };
         let until = UnixDeadline::after(ask.arrival, wait).min(ask.deadline);
         let expected = match ask.limited_millis {
--- a/crates/porthoist-policy/src/proxy/freshness.rs
+++ b/crates/porthoist-policy/src/proxy/freshness.rs
@@ -27,13 +27,13 @@
 
 impl FreshnessProof {
     /// Takes an answer that showed the newest configuration, or that there is none newer.
-    pub fn answered(&mut self, answer: StampedAnswer) {
-        let offset = self.place_clock(answer);
+    pub fn record_answer(&mut self, answer: StampedAnswer) {
+        let offset = self.update_clock_offset(answer);
         self.prove(offset, answer);
     }
 
     /// Takes how the service's clock lies to this process's, from an answer of the service about anything; returns the offset.
-    pub fn place_clock(&mut self, answer: StampedAnswer) -> i128 {
+    pub fn update_clock_offset(&mut self, answer: StampedAnswer) -> i128 {
         let earliest = i128::from(answer.sent.0) - i128::from(answer.stamp);
         let latest = i128::from(answer.received.0) - i128::from(answer.stamp);
         let offset = match self.offset {
@@ -48,7 +48,7 @@
     /// Takes an answer that the service gave to another process, which passed it on with the service's clock. It may have been
     /// on its way for any time, so it tells nothing of how the clocks lie to each other; an answer of the service itself
     /// must have come before.
-    pub fn passed_on(&mut self, answer: StampedAnswer) {
+    pub fn record_relayed_answer(&mut self, answer: StampedAnswer) {
         if let Some(offset) = self.offset {
             self.prove(offset, answer);
         }
@@ -75,14 +75,14 @@
 ///
 /// Where keys that were taken away may run on for a while, an old proof is no reason to refuse.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ProofRule {
+pub struct FreshnessRule {
     /// Age in milliseconds at which a proof no longer counts.
     pub max_age_millis: u64,
     /// Whether a request with a key runs only while there is a proof.
-    pub needed_to_run: bool,
+    pub required_to_run: bool,
 }
 
-impl ProofRule {
+impl FreshnessRule {
     /// Whether the configuration held is known to be the newest. Denials need this in any case.
     pub fn proven(&self, proof: &FreshnessProof, now: UnixMillis) -> bool {
         proof.age(now).is_some_and(|age| age < self.max_age_millis)
@@ -90,6 +90,6 @@
 
     /// Whether a request that the configuration held allows may run.
     pub fn may_run(&self, proof: &FreshnessProof, now: UnixMillis) -> bool {
-        !self.needed_to_run || self.proven(proof, now)
+        !self.required_to_run || self.proven(proof, now)
     }
 }
--- a/crates/porthoist-policy/src/proxy/domains.rs
+++ b/crates/porthoist-policy/src/proxy/groups.rs
@@ -62,18 +62,18 @@
 
 /// How a group does.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct GroupPace {
+pub struct GroupStatus {
     /// How long its passes take in milliseconds, as far as known; silence counts as a pass.
     pub millis: f64,
     /// Whether it runs no passes that could still serve a request.
-    pub standing: bool,
+    pub stalled: bool,
     /// For how many milliseconds reports have shown passes that make streams late.
     pub slow_for_millis: u64,
     /// Whether a request may try it although it stands.
     pub probe_due: bool,
 }
 
-impl GroupPace {
+impl GroupStatus {
     /// How many times longer its passes take than the best one's.
     pub fn factor(&self, best_millis: f64) -> f64 {
         (self.millis / best_millis.max(GOOD_PASS_MILLIS)).max(1.0)
@@ -153,7 +153,7 @@
     }
 
     /// How a group does in which so many requests of this process run.
-    pub fn pace(&self, index: GroupIndex, running: u32, now: UnixMillis) -> GroupPace {
+    pub fn pace(&self, index: GroupIndex, running: u32, now: UnixMillis) -> GroupStatus {
         let group = &self.groups[index.0];
         let heard = group.reported.max(group.heard);
         let silence = now.since(heard);
@@ -162,9 +162,9 @@
         let millis = if silence > grace { pass.max(silence) } else { pass };
         let standing = group.pass == GroupPass::Broken || millis >= STANDING_MILLIS;
         let unheard = silence > PROBE_MILLIS / 2;
-        GroupPace {
+        GroupStatus {
             millis: millis as f64,
-            standing,
+            stalled: standing,
             slow_for_millis: group.slow_since.map_or(0, |since| now.since(since)),
             probe_due: standing && unheard && group.next_probe.passed(now),
         }
--- a/crates/porthoist-policy/src/proxy/loads.rs
+++ b/crates/porthoist-policy/src/proxy/loads.rs
@@ -10,7 +10,7 @@
 
 /// How long a report counts, in milliseconds: some three rounds of the process that plans. Without a newer one a process
 /// goes by its own sends again.
-pub const REPORT_MILLIS: u64 = 1_200;
+pub const REPORT_VALIDITY_MILLIS: u64 = 1_200;
 
 /// Number of a report within one life of the process that made it; a newer one has a higher number.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -31,7 +31,7 @@
 /// Requests that load a healthy rank as these load a slow one: a step takes as long as so many requests more, and all
 /// of it is `pace` times as long. Entry processes that fill ranks by level then give a slow rank what it bears, and one
 /// that is 12 times slower nothing, since all ranks wait for it.
-pub fn weighed_requests(requests: u32, step_requests: f64, pace: RankPace) -> u32 {
+pub fn equivalent_requests(requests: u32, step_requests: f64, pace: RankPace) -> u32 {
     let weighed = (f64::from(requests) + step_requests) * pace.factor() - step_requests;
     (weighed.round() as u32).max(requests)
 }
@@ -61,7 +61,7 @@
         Self {
             requests: rank.requests.saturating_sub(own),
             silent: rank.silent,
-            fresh_until: UnixDeadline::after(now, REPORT_MILLIS),
+            fresh_until: UnixDeadline::after(now, REPORT_VALIDITY_MILLIS),
         }
     }
 
@@ -72,7 +72,7 @@
 
     /// How old the report is, in milliseconds.
     pub(crate) fn age(&self, now: UnixMillis) -> u64 {
-        REPORT_MILLIS.saturating_sub(self.fresh_until.0.since(now))
+        REPORT_VALIDITY_MILLIS.saturating_sub(self.fresh_until.0.since(now))
     }
 
     /// The others' requests while the report counts.
--- a/crates/porthoist-policy/src/proxy/moving.rs
+++ b/crates/porthoist-policy/src/proxy/moving.rs
@@ -4,8 +4,8 @@
 //! while its group goes on. A move wastes what the target did, and the repeats that processes may send are bounded; it is
 //! worth it only where the caller gains: an answer in time, or one at all.
 
-use super::domains::{GOOD_PASS_MILLIS, GroupPace};
 use super::forecast::StreamTimes;
+use super::groups::{GOOD_PASS_MILLIS, GroupStatus};
 use porthoist_core::{UnixDeadline, UnixMillis};
 
 /// Least time in milliseconds that a request waits for its first event before its target alone is suspected.
@@ -37,17 +37,17 @@
 const ROOM_FOR_STREAMS: f64 = 0.7;
 const ROOM_FOR_FIRST: f64 = 0.8;
 /// Longest time in milliseconds by which moves are spread, so that those of all processes are not at the same moment.
-pub const SPREAD_MILLIS: u64 = 400;
+pub const MAX_MOVE_JITTER_MILLIS: u64 = 400;
 
 /// A request at a target.
 #[derive(Debug, Clone, Copy)]
-pub struct WaitingSend {
+pub struct PendingSend {
     /// When it was sent, or its last event came.
     pub since: UnixMillis,
     /// Events that came.
     pub events: u64,
-    /// By how much a move is put off, in milliseconds, at most [`SPREAD_MILLIS`].
-    pub spread_millis: u64,
+    /// By how much a move is put off, in milliseconds, at most [`MAX_MOVE_JITTER_MILLIS`].
+    pub jitter_millis: u64,
     /// When its first event would be late.
     pub on_time_until: UnixDeadline,
     /// When nobody waits for it any more.
@@ -58,7 +58,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct KnownWays {
     /// How its group does.
-    pub here: GroupPace,
+    pub here: GroupStatus,
     /// Pass time in milliseconds of the best other group that goes on; nothing without one.
     pub elsewhere_millis: Option<f64>,
     /// Part of the places that is taken in groups that go on.
@@ -73,7 +73,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MoveCause {
     /// Its group stands, or its way is cut.
-    GroupStands,
+    GroupStalled,
     /// Its group is too slow to end the answer before its deadline.
     GroupSlow,
     /// Its group goes on, and the target does not.
@@ -84,7 +84,7 @@
     /// Its name in logs.
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::GroupStands => "group_stands",
+            Self::GroupStalled => "group_stands",
             Self::GroupSlow => "group_slow",
             Self::TargetSilent => "target_silent",
         }
@@ -92,9 +92,9 @@
 }
 
 /// Whether a request is to leave its target now.
-pub fn move_cause(send: &WaitingSend, ways: &KnownWays, now: UnixMillis) -> Option<MoveCause> {
+pub fn move_cause(send: &PendingSend, ways: &KnownWays, now: UnixMillis) -> Option<MoveCause> {
     let waited = now.since(send.since);
-    let target_silent = !ways.here.standing && is_silent(send, ways, waited);
+    let target_silent = !ways.here.stalled && is_silent(send, ways, waited);
     // Another rank of the same group can take what this one does not.
     let elsewhere = ways.elsewhere_millis.or_else(|| target_silent.then_some(ways.here.millis))?;
     let left = send.deadline.0.since(now) as f64;
@@ -106,17 +106,17 @@
     }
     let first = ways.streams.first_millis as u64;
     let on_time_elsewhere = send.events == 0 && now.plus(first) <= send.on_time_until.0;
-    if ways.here.standing && on_time_elsewhere && waited >= LEAST_WAIT_MILLIS {
-        return (ways.taken < ROOM_FOR_FIRST).then_some(MoveCause::GroupStands);
+    if ways.here.stalled && on_time_elsewhere && waited >= LEAST_WAIT_MILLIS {
+        return (ways.taken < ROOM_FOR_FIRST).then_some(MoveCause::GroupStalled);
     }
     if ways.taken >= ROOM_FOR_STREAMS {
         return None;
     }
-    if ways.here.standing && waited >= PAUSE_MILLIS + send.spread_millis {
-        return Some(MoveCause::GroupStands);
+    if ways.here.stalled && waited >= PAUSE_MILLIS + send.jitter_millis {
+        return Some(MoveCause::GroupStalled);
     }
     let rest = (ways.streams.answer_events - send.events as f64).max(ways.streams.answer_events / 2.0);
-    let lasting = ways.here.slow_for_millis >= LASTING_MILLIS + send.spread_millis
+    let lasting = ways.here.slow_for_millis >= LASTING_MILLIS + send.jitter_millis
         && ways.here.millis > SLOW_FACTOR * elsewhere;
     // Nobody knows the rest of a long answer: it leaves while the longest can still end elsewhere.
     let longest = LONGEST_ANSWER * ways.streams.answer_events;
@@ -127,7 +127,7 @@
 }
 
 /// Whether a target says nothing although its group goes on.
-fn is_silent(send: &WaitingSend, ways: &KnownWays, waited: u64) -> bool {
+fn is_silent(send: &PendingSend, ways: &KnownWays, waited: u64) -> bool {
     let streams = ways.streams;
     let patience = match (send.events, ways.host_silent) {
         (0, true) => HOST_SILENT_MILLIS as f64,
--- a/crates/porthoist-policy/src/proxy/notes.rs
+++ b/crates/porthoist-policy/src/proxy/notes.rs
@@ -41,7 +41,7 @@
 
 impl AgedNote {
     /// By this host's clock. The way adds to its age, so that it is taken for newer than it is by that.
-    pub fn placed(self, now: UnixMillis) -> TargetNote {
+    pub fn to_local(self, now: UnixMillis) -> TargetNote {
         let as_of = UnixMillis(now.0.saturating_sub(self.age_millis));
         TargetNote { life: self.life, limit: self.limit, as_of }
     }
@@ -49,11 +49,11 @@
 
 /// The newest notes about all targets.
 #[derive(Debug, Clone, Default)]
-pub struct NoteBoard {
+pub struct NoteStore {
     notes: BTreeMap<TargetLife, TargetNote>,
 }
 
-impl NoteBoard {
+impl NoteStore {
     /// Takes a note; an older one than is known changes nothing.
     pub fn take(&mut self, note: TargetNote) {
         let newer = self.notes.get(&note.life).is_none_or(|known| known.as_of < note.as_of);
@@ -63,7 +63,7 @@
     }
 
     /// What is told on now.
-    pub fn told(&mut self, now: UnixMillis) -> Vec<TargetNote> {
+    pub fn current(&mut self, now: UnixMillis) -> Vec<TargetNote> {
         self.notes.retain(|_life, note| now.since(note.as_of) < TOLD_MILLIS);
         let mut notes: Vec<TargetNote> = self.notes.values().cloned().collect();
         notes.sort_by_key(|note| std::cmp::Reverse(note.as_of));
--- a/crates/porthoist-policy/src/proxy/pass_time.rs
+++ b/crates/porthoist-policy/src/proxy/pass_time.rs
@@ -40,13 +40,13 @@
 
 /// What a reading of a group showed.
 #[derive(Debug, Clone, Copy)]
-pub struct SeenGroup {
+pub struct GroupSample {
     /// Its formation.
     pub epoch: GroupEpoch,
     /// The last pass begun.
     pub step: StepNumber,
     /// Whether any rank has requests.
-    pub working: bool,
+    pub busy: bool,
     /// How slow the slowest rank says that it is.
     pub slowest: RankPace,
 }
@@ -72,8 +72,8 @@
 impl PassTimer {
     /// Takes a reading. A group without work makes no passes: what was measured before says nothing of it any more.
     /// Without that, a group that was held for 4 s and left by all requests meanwhile was taken to stand for ever.
-    pub fn saw(&mut self, group: SeenGroup, now: UnixMillis) {
-        let SeenGroup { epoch, step, working, slowest } = group;
+    pub fn observe(&mut self, group: GroupSample, now: UnixMillis) {
+        let GroupSample { epoch, step, busy: working, slowest } = group;
         self.slowest = slowest;
         if !working {
             self.last = None;
--- a/crates/porthoist-policy/src/proxy/quarantine.rs
+++ b/crates/porthoist-policy/src/proxy/quarantine.rs
@@ -38,7 +38,7 @@
 /// milliseconds: recorded requests killed their target within 0.5 s.
 pub const ALONE_RETRY_MILLIS: u64 = 1_000;
 /// Requests that are remembered at most; each is remembered for a death of a target, and has some 200 bytes.
-pub const MOST_MARKS: usize = 1_024;
+pub const MAX_MARKS: usize = 1_024;
 /// Deaths that are remembered of one request at most.
 pub const MOST_DEATHS: usize = 16;
 /// How much longer than the process that noted a death the others wait before they remove its row, in milliseconds.
@@ -172,13 +172,13 @@
 pub enum SendPermit {
     /// Nothing is held against it.
     Clear,
-    /// It is suspected; the book counts its run until [`QuarantineBook::ended`].
+    /// It is suspected; the book counts its run until [`QuarantineTracker::ended`].
     Suspected,
 }
 
 /// Why a request is kept from targets now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct KeptBack {
+pub struct RequestBlock {
     /// How strong the evidence is.
     pub level: SuspicionLevel,
     /// Targets that died under it.
@@ -189,7 +189,7 @@
 
 /// What a death changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum DeathVerdict {
+pub enum DeathOutcome {
     /// A whole answer of the last seconds speaks for the request.
     Trusted,
     /// It was known.
@@ -205,7 +205,7 @@
 
 /// What the rows of the table changed.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct ToldChanges {
+pub struct QuarantineChanges {
     /// Requests that a death was heard of.
     pub heard: Vec<(RequestMark, SuspicionLevel, usize)>,
     /// Requests whose deaths were all removed.
@@ -216,13 +216,13 @@
 
 /// Deaths of targets by the requests that were at them.
 #[derive(Debug, Default)]
-pub struct QuarantineBook {
+pub struct QuarantineTracker {
     rules: QuarantineRules,
     records: HashMap<RequestMark, SuspectRecord>,
     trusted: TrustedMarks,
 }
 
-impl QuarantineBook {
+impl QuarantineTracker {
     /// An empty book.
     pub fn new(rules: QuarantineRules) -> Self {
         Self { rules, ..Self::default() }
@@ -276,7 +276,7 @@
     }
 
     /// What is held against a request, and until when it is kept from targets; nothing if nothing is.
-    pub fn standing(&self, mark: &RequestMark, now: UnixMillis) -> Option<KeptBack> {
+    pub fn status(&self, mark: &RequestMark, now: UnixMillis) -> Option<RequestBlock> {
         let record = self.records.get(mark)?;
         if self.forgotten_at(mark, record).passed(now) {
             return None;
@@ -284,18 +284,18 @@
         let level = self.level(record);
         let deaths = record.deaths.len();
         let until = UnixDeadline::after(record.last_death(), self.kept_millis(mark, level, deaths));
-        Some(KeptBack { level, deaths, until })
+        Some(RequestBlock { level, deaths, until })
     }
 
     /// Asks to send a request. With [`SendPermit::Suspected`] its run counts until [`Self::ended`].
-    pub fn begin(&mut self, mark: &RequestMark, now: UnixMillis) -> Result<SendPermit, KeptBack> {
-        let Some(kept) = self.standing(mark, now) else { return Ok(SendPermit::Clear) };
+    pub fn begin(&mut self, mark: &RequestMark, now: UnixMillis) -> Result<SendPermit, RequestBlock> {
+        let Some(kept) = self.status(mark, now) else { return Ok(SendPermit::Clear) };
         if !kept.until.passed(now) {
             return Err(kept);
         }
         let record = self.records.get_mut(mark).expect("what has a standing is in the book");
         if record.running > 0 {
-            return Err(KeptBack { until: UnixDeadline::after(now, ALONE_RETRY_MILLIS), ..kept });
+            return Err(RequestBlock { until: UnixDeadline::after(now, ALONE_RETRY_MILLIS), ..kept });
         }
         record.running += 1;
         Ok(SendPermit::Suspected)
@@ -309,17 +309,17 @@
     }
 
     /// Takes that a target died while this request was at it.
-    pub fn died(&mut self, key: &CrashKey, report: CrashReport, now: UnixMillis) -> DeathVerdict {
+    pub fn died(&mut self, key: &CrashKey, report: CrashReport, now: UnixMillis) -> DeathOutcome {
         if self.rules.trust && self.trusted.trusts(&key.mark, now) {
-            return DeathVerdict::Trusted;
+            return DeathOutcome::Trusted;
         }
         let record = self.records.entry(key.mark).or_default();
         if record.deaths.contains_key(&key.target) || record.deaths.len() >= MOST_DEATHS {
-            return DeathVerdict::Known;
+            return DeathOutcome::Known;
         }
         record.deaths.insert(key.target.clone(), KnownDeath::new(report, false));
         let record = &self.records[&key.mark];
-        DeathVerdict::Held { level: self.level(record), deaths: record.deaths.len() }
+        DeathOutcome::Held { level: self.level(record), deaths: record.deaths.len() }
     }
 
     /// Takes that a target answered a request whole; returns the rows to remove.
@@ -331,8 +331,8 @@
 
     /// Takes the whole table of deaths. `first` says that nothing was known of it before, or that it was restored from a backup:
     /// only then do the clocks of other hosts count, all later news are of this moment.
-    pub fn told(&mut self, rows: &CrashRows, first: bool, now: UnixMillis) -> ToldChanges {
-        let mut changes = ToldChanges::default();
+    pub fn apply_rows(&mut self, rows: &CrashRows, first: bool, now: UnixMillis) -> QuarantineChanges {
+        let mut changes = QuarantineChanges::default();
         self.drop_removed(rows, &mut changes);
         let mut heard = HashSet::new();
         for (key, report) in rows {
@@ -360,7 +360,7 @@
             let record = &self.records[&mark];
             changes.heard.push((mark, self.level(record), record.deaths.len()));
         }
-        changes.remove.extend(self.drop_beyond());
+        changes.remove.extend(self.evict_excess());
         changes
     }
 
@@ -398,7 +398,7 @@
         rows
     }
 
-    fn drop_removed(&mut self, rows: &CrashRows, changes: &mut ToldChanges) {
+    fn drop_removed(&mut self, rows: &CrashRows, changes: &mut QuarantineChanges) {
         self.records.retain(|mark, record| {
             record.deaths.retain(|target, death| {
                 !death.told || rows.contains_key(&CrashKey { mark: *mark, target: target.clone() })
@@ -412,9 +412,9 @@
         changes.lifted.sort_unstable();
     }
 
-    /// Drops the least suspected and oldest requests beyond [`MOST_MARKS`]; returns their rows, to be removed.
-    pub fn drop_beyond(&mut self) -> Vec<CrashKey> {
-        let beyond = self.records.len().saturating_sub(MOST_MARKS);
+    /// Drops the least suspected and oldest requests beyond [`MAX_MARKS`]; returns their rows, to be removed.
+    pub fn evict_excess(&mut self) -> Vec<CrashKey> {
+        let beyond = self.records.len().saturating_sub(MAX_MARKS);
         if beyond == 0 {
             return Vec::new();
         }
@@ -434,7 +434,7 @@
 
     /// Rows that no longer count and that this process is to remove now: its own at once, those of others later, in case that
     /// they can't. `jitter` from 0 to 1 spreads the processes that would remove the same rows.
-    pub fn lapsed(&mut self, own: &str, jitter: f64, now: UnixMillis) -> Vec<CrashKey> {
+    pub fn take_expired(&mut self, own: &str, jitter: f64, now: UnixMillis) -> Vec<CrashKey> {
         let ends: Vec<(RequestMark, UnixDeadline)> =
             self.records.iter().map(|(mark, record)| (*mark, self.forgotten_at(mark, record))).collect();
         let later = OTHERS_MILLIS + (OTHERS_MILLIS as f64 * jitter) as u64;
--- a/crates/porthoist-policy/src/proxy/retry_share.rs
+++ b/crates/porthoist-policy/src/proxy/retry_share.rs
@@ -11,7 +11,7 @@
 
 /// Settings of a share.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ShareSettings {
+pub struct RetryShareSettings {
     /// Repeats allowed for each first send of this process.
     pub ratio: f64,
     /// Repeats in a window that are allowed beside the ratio.
@@ -23,14 +23,14 @@
 /// First sends and repeats of the last window.
 #[derive(Debug, Clone)]
 pub struct RetryShare {
-    settings: ShareSettings,
+    settings: RetryShareSettings,
     firsts: VecDeque<UnixMillis>,
     repeats: VecDeque<UnixMillis>,
 }
 
 impl RetryShare {
     /// An empty window.
-    pub fn new(settings: ShareSettings) -> Self {
+    pub fn new(settings: RetryShareSettings) -> Self {
         Self { settings, firsts: VecDeque::new(), repeats: VecDeque::new() }
     }
 
@@ -51,7 +51,7 @@
     }
 
     /// Takes one repeat for a request that is not lost without it; `false` when only the reserve for failures is left.
-    pub fn take_spare(&mut self, now: UnixMillis) -> bool {
+    pub fn take_optional(&mut self, now: UnixMillis) -> bool {
         self.take_part(SPARE_PART, now)
     }
 
--- a/crates/porthoist-policy/src/proxy/routes.rs
+++ b/crates/porthoist-policy/src/proxy/routes.rs
@@ -67,7 +67,7 @@
     /// Time in milliseconds within which an answer is on time.
     pub target_latency_millis: u64,
     /// Longest pause in milliseconds between two events of a stream that is on time; 0 where none is declared.
-    pub pause_aim_millis: u64,
+    pub target_pause_millis: u64,
     /// Rank among requests, 0 first.
     pub priority: u8,
     /// Targets that one request may be sent to at most.
@@ -218,7 +218,7 @@
     }
 
     /// Whether any request needs a key.
-    pub fn keyed(&self) -> bool {
+    pub fn requires_keys(&self) -> bool {
         self.keys.is_some()
     }
 
--- a/crates/porthoist-policy/src/proxy/desk.rs
+++ b/crates/porthoist-policy/src/proxy/scheduler.rs
@@ -3,17 +3,17 @@
 //! The caller of this module sends, waits and answers; it only asks here. The same code is driven by a load that is
 //! played in virtual time.
 
+use super::backpressure::{BackpressureSignals, ObservedChange};
+use super::balancer::{BalancerSettings, ChosenTarget, LoadBalancer, RequestWork, SendOutcome};
 use super::cold::ColdRule;
 use super::forecast::{PlaceAsk, PlaceForecast, ServiceForecast};
 use super::loads::GroupLoads;
-use super::moving::{KnownWays, LEAST_WAIT_MILLIS, MoveCause, WaitingSend, move_cause};
-use super::needs::{NotedChange, TargetWord};
+use super::moving::{KnownWays, LEAST_WAIT_MILLIS, MoveCause, PendingSend, move_cause};
 use super::notes::TargetNote;
-use super::paces::GroupChoice;
-use super::placement::{BoardSettings, ChosenTarget, LoadBoard, RequestWork, SendOutcome};
-use super::targets::{TargetBook, TargetLife, TargetRecord};
-use super::turns::{EntryPlace, RateSource, TargetRate};
-use super::waiting::{RequestTurn, WaitList};
+use super::service_groups::GroupSnapshot;
+use super::targets::{TargetLife, TargetRecord, TargetRegistry};
+use super::turns::{EntryPosition, RateSource, TargetRate};
+use super::waiting::{QueueClass, WaitList};
 use super::zones::EmptiedZones;
 use porthoist_core::{ServiceName, TargetName, UnixDeadline, UnixMillis};
 use std::collections::HashMap;
@@ -23,7 +23,7 @@
 
 /// What a request needs.
 #[derive(Debug, Clone)]
-pub struct PlaceDemand {
+pub struct SlotRequest {
     /// The service.
     pub service: ServiceName,
     /// Whether its targets are ranks of a group.
@@ -41,12 +41,12 @@
     /// When nobody waits for it any more.
     pub deadline: UnixDeadline,
     /// Its turn among requests of its rank.
-    pub turn: RequestTurn,
+    pub class: QueueClass,
 }
 
 /// Why there is no place.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum PlaceError {
+pub enum SlotError {
     /// Every target is busy, and none will be free in time.
     #[error("all targets are busy")]
     Busy,
@@ -73,10 +73,10 @@
     Emptied,
 }
 
-impl From<RateSource> for PlaceError {
+impl From<RateSource> for SlotError {
     fn from(source: RateSource) -> Self {
         match source {
-            RateSource::Named => Self::Limited,
+            RateSource::Announced => Self::Limited,
             RateSource::Cold => Self::Cold,
         }
     }
@@ -84,47 +84,47 @@
 
 /// What becomes of a request.
 #[derive(Debug, Clone)]
-pub enum DeskAnswer {
+pub enum SlotDecision {
     /// It goes to this target now.
-    Place(ChosenTarget),
+    Assign(ChosenTarget),
     /// It waits until then at most, to be served in time.
     Wait(UnixDeadline),
     /// It is refused.
-    Refuse(PlaceError),
+    Refuse(SlotError),
 }
 
 #[derive(Debug)]
 struct WaitingRequest<W> {
-    demand: PlaceDemand,
+    demand: SlotRequest,
     waiter: W,
 }
 
 /// The decisions of one process; `W` is what its caller needs to go on with a request that waited.
 #[derive(Debug)]
-pub struct PlaceDesk<W> {
-    board: LoadBoard,
+pub struct RequestScheduler<W> {
+    board: LoadBalancer,
     waiting: HashMap<ServiceName, WaitList<WaitingRequest<W>>>,
     forecasts: HashMap<ServiceName, ServiceForecast>,
 }
 
-impl<W> PlaceDesk<W> {
+impl<W> RequestScheduler<W> {
     /// A desk without targets.
-    pub fn new(settings: BoardSettings) -> Self {
-        Self { board: LoadBoard::new(settings), waiting: HashMap::new(), forecasts: HashMap::new() }
+    pub fn new(settings: BalancerSettings) -> Self {
+        Self { board: LoadBalancer::new(settings), waiting: HashMap::new(), forecasts: HashMap::new() }
     }
 
     /// Takes the targets believed in now.
-    pub fn sync(&mut self, book: &TargetBook) {
+    pub fn sync(&mut self, book: &TargetRegistry) {
         self.board.sync(book);
     }
 
     /// Takes the loads that the engines of a group reported.
-    pub fn take_loads(&mut self, loads: &GroupLoads, now: UnixMillis) {
+    pub fn update_loads(&mut self, loads: &GroupLoads, now: UnixMillis) {
         self.board.take_loads(loads, now);
     }
 
     /// The groups of a service that began to stand, or go on again, since the last call.
-    pub fn group_changes(&mut self, service: &ServiceName, now: UnixMillis) -> Vec<GroupChoice> {
+    pub fn group_changes(&mut self, service: &ServiceName, now: UnixMillis) -> Vec<GroupSnapshot> {
         self.board.group_changes(service, now)
     }
 
@@ -134,56 +134,56 @@
     }
 
     /// What becomes of a request now. One that is to wait is handed over with [`Self::keep`].
-    pub fn ask(&mut self, demand: &PlaceDemand, now: UnixMillis) -> DeskAnswer {
+    pub fn decide(&mut self, demand: &SlotRequest, now: UnixMillis) -> SlotDecision {
         let service = &demand.service;
         if let Some(error) = self.closed(service, now) {
-            return DeskAnswer::Refuse(error);
+            return SlotDecision::Refuse(error);
         }
         if demand.ranked && !self.forecast(service).may_send(now) {
-            return DeskAnswer::Refuse(PlaceError::Down);
+            return SlotDecision::Refuse(SlotError::Down);
         }
         let list = self.waiting.get(service);
         let (waiting, ahead) =
-            list.map_or((0, 0), |list| (list.len(), list.ahead(demand.priority, demand.turn)));
+            list.map_or((0, 0), |list| (list.len(), list.ahead(demand.priority, demand.class)));
         if waiting == 0
             && let Some(chosen) = self.choose(demand, now)
         {
-            return DeskAnswer::Place(chosen);
+            return SlotDecision::Assign(chosen);
         }
         if waiting >= MAX_WAITING {
-            return DeskAnswer::Refuse(PlaceError::Full);
+            return SlotDecision::Refuse(SlotError::Full);
         }
         if !self.board.serves(service, now) {
-            return DeskAnswer::Refuse(PlaceError::NoTarget);
+            return SlotDecision::Refuse(SlotError::NoTarget);
         }
-        let PlaceDemand { arrival, latency_millis, deadline, turn, .. } = *demand;
+        let SlotRequest { arrival, latency_millis, deadline, class: turn, .. } = *demand;
         let supply = self.board.limited_supply(service, now);
         let limited_millis = supply.map(|supply| supply.millis);
         let ask = PlaceAsk { ahead, arrival, latency_millis, deadline, turn, limited_millis };
         match self.forecast(service).ask(ask, now) {
-            PlaceForecast::Wait(until) => DeskAnswer::Wait(until),
+            PlaceForecast::Wait(until) => SlotDecision::Wait(until),
             PlaceForecast::Refuse => {
-                DeskAnswer::Refuse(supply.map_or(PlaceError::Busy, |supply| supply.source.into()))
+                SlotDecision::Refuse(supply.map_or(SlotError::Busy, |supply| supply.source.into()))
             }
         }
     }
 
     /// Why no target may get a request of the service now, whatever room they have.
-    fn closed(&self, service: &ServiceName, now: UnixMillis) -> Option<PlaceError> {
+    fn closed(&self, service: &ServiceName, now: UnixMillis) -> Option<SlotError> {
         if self.board.rest_end(service, now).is_some() {
-            return Some(PlaceError::Resting);
+            return Some(SlotError::Resting);
         }
-        self.board.emptied(service, now).then_some(PlaceError::Emptied)
+        self.board.emptied(service, now).then_some(SlotError::Emptied)
     }
 
     /// Lets a request wait.
-    pub fn keep(&mut self, demand: PlaceDemand, waiter: W) {
+    pub fn enqueue(&mut self, demand: SlotRequest, waiter: W) {
         let list = self.waiting.entry(demand.service.clone()).or_default();
-        list.add(demand.priority, demand.turn, WaitingRequest { demand, waiter });
+        list.add(demand.priority, demand.class, WaitingRequest { demand, waiter });
     }
 
     /// The next request that waited and has a place now. Those that `waits` says have gone are forgotten.
-    pub fn next_served(
+    pub fn next_ready(
         &mut self,
         service: &ServiceName,
         waits: impl Fn(&W) -> bool,
@@ -203,7 +203,7 @@
     }
 
     /// Those that wait for a service that is down, or whose targets may get nothing: they are to be refused now.
-    pub fn take_hopeless(&mut self, service: &ServiceName, now: UnixMillis) -> Vec<W> {
+    pub fn take_unservable(&mut self, service: &ServiceName, now: UnixMillis) -> Vec<W> {
         if !self.forecast(service).down() && self.closed(service, now).is_none() {
             return Vec::new();
         }
@@ -228,13 +228,13 @@
 
     /// Takes that a stream's first event, or an answer, came from a target so many milliseconds after its request had a
     /// place.
-    pub fn began(&mut self, target: &TargetRecord, millis: f64, now: UnixMillis) {
+    pub fn first_event_received(&mut self, target: &TargetRecord, millis: f64, now: UnixMillis) {
         self.board.heard(target, now);
         self.forecast(&target.service).began(millis, now);
     }
 
     /// Takes that a stream of a service ended with so many events.
-    pub fn streamed(&mut self, service: &ServiceName, events: u64) {
+    pub fn stream_ended(&mut self, service: &ServiceName, events: u64) {
         self.forecast(service).streamed(events);
     }
 
@@ -242,7 +242,7 @@
     pub fn move_cause(
         &self,
         target: &TargetRecord,
-        send: &WaitingSend,
+        send: &PendingSend,
         now: UnixMillis,
     ) -> Option<MoveCause> {
         // Streams that go on are asked about 20 times a second each; only silence is worth a look at all targets.
@@ -271,23 +271,23 @@
     }
 
     /// Takes what a target says of itself in the answer to a request that was sent at a moment.
-    pub fn told(
+    pub fn apply_signals(
         &mut self,
         life: &TargetLife,
-        word: &TargetWord,
+        word: &BackpressureSignals,
         sent: UnixMillis,
         now: UnixMillis,
-    ) -> Vec<NotedChange> {
+    ) -> Vec<ObservedChange> {
         self.board.told(life, word, sent, now)
     }
 
     /// Takes what another entry tells of a target.
-    pub fn told_by_other(&mut self, note: &TargetNote, now: UnixMillis) -> Option<NotedChange> {
+    pub fn apply_note(&mut self, note: &TargetNote, now: UnixMillis) -> Option<ObservedChange> {
         self.board.told_by_other(note, now)
     }
 
     /// Takes that a stream brought an event from a target.
-    pub fn heard(&mut self, target: &TargetRecord, now: UnixMillis) {
+    pub fn event_received(&mut self, target: &TargetRecord, now: UnixMillis) {
         self.board.heard(target, now);
         self.forecast(&target.service).heard(now);
     }
@@ -298,12 +298,12 @@
     }
 
     /// Whether a target has said that it leaves.
-    pub fn leaves(&self, life: &TargetLife) -> bool {
+    pub fn is_leaving(&self, life: &TargetLife) -> bool {
         self.board.leaves(life)
     }
 
     /// After how many milliseconds a caller that is refused should come back; `point` is random between 0 and 1.
-    pub fn return_millis(
+    pub fn retry_after_millis(
         &mut self,
         service: &ServiceName,
         deadline: UnixDeadline,
@@ -319,19 +319,19 @@
     }
 
     /// Why a request that waited in vain is refused.
-    pub fn denial(&self, service: &ServiceName, now: UnixMillis) -> PlaceError {
+    pub fn refusal(&self, service: &ServiceName, now: UnixMillis) -> SlotError {
         if let Some(error) = self.closed(service, now) {
             return error;
         }
         match (self.board.serves(service, now), self.board.limited_supply(service, now)) {
-            (false, _) => PlaceError::NoTarget,
+            (false, _) => SlotError::NoTarget,
             (true, Some(supply)) => supply.source.into(),
-            (true, None) => PlaceError::Busy,
+            (true, None) => SlotError::Busy,
         }
     }
 
     /// Whether a request that was given a place at a target may still be sent there.
-    pub fn stands(&self, life: &TargetLife, rate: Option<TargetRate>, now: UnixMillis) -> bool {
+    pub fn is_still_valid(&self, life: &TargetLife, rate: Option<TargetRate>, now: UnixMillis) -> bool {
         self.board.stands(life, rate, now)
     }
 
@@ -346,7 +346,7 @@
     }
 
     /// Targets that count as cold now.
-    pub fn cold(&self, now: UnixMillis) -> usize {
+    pub fn cold_targets(&self, now: UnixMillis) -> usize {
         self.board.cold(now)
     }
 
@@ -356,12 +356,12 @@
     }
 
     /// Takes this process's place among the entries of its zone.
-    pub fn set_place(&mut self, place: Option<EntryPlace>) {
+    pub fn set_entry_position(&mut self, place: Option<EntryPosition>) {
         self.board.set_place(place);
     }
 
     /// Services that requests wait for.
-    pub fn awaited(&self) -> Vec<ServiceName> {
+    pub fn awaited_services(&self) -> Vec<ServiceName> {
         let lists = self.waiting.iter().filter(|(_service, list)| !list.is_empty());
         lists.map(|(service, _list)| service.clone()).collect()
     }
@@ -376,8 +376,8 @@
         self.board.in_flight(target)
     }
 
-    fn choose(&mut self, demand: &PlaceDemand, now: UnixMillis) -> Option<ChosenTarget> {
-        let PlaceDemand { service, ranked, work, tried, .. } = demand;
+    fn choose(&mut self, demand: &SlotRequest, now: UnixMillis) -> Option<ChosenTarget> {
+        let SlotRequest { service, ranked, work, tried, .. } = demand;
         let chosen = self.board.choose(service, *ranked, *work, tried, now)?;
         self.forecast(service).placed(now);
         Some(chosen)
--- a/crates/porthoist-policy/src/proxy/paces.rs
+++ b/crates/porthoist-policy/src/proxy/service_groups.rs
@@ -1,20 +1,20 @@
 //! How the groups of one service do beside each other.
 
-use super::domains::{GroupIndex, GroupPace, LATE_PASS_MILLIS};
+use super::groups::{GroupIndex, GroupStatus, LATE_PASS_MILLIS};
 
 /// A group and how it does.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct GroupChoice {
+pub struct GroupSnapshot {
     /// The group.
     pub index: GroupIndex,
     /// How it does.
-    pub pace: GroupPace,
+    pub status: GroupStatus,
 }
 
 /// How the groups of a service do, by their place in the book; nothing for groups of other services.
 #[derive(Debug, Clone, Default)]
 pub struct ServicePaces {
-    groups: Vec<Option<GroupPace>>,
+    groups: Vec<Option<GroupStatus>>,
     /// Pass time in milliseconds of the best group that does not stand; nothing if none is.
     best_millis: Option<f64>,
     /// Part of the places that is taken in the groups that don't stand.
@@ -22,8 +22,8 @@
 }
 
 impl ServicePaces {
-    pub(super) fn new(groups: Vec<Option<GroupPace>>) -> Self {
-        let usable = groups.iter().flatten().filter(|pace| !pace.standing);
+    pub(super) fn new(groups: Vec<Option<GroupStatus>>) -> Self {
+        let usable = groups.iter().flatten().filter(|pace| !pace.stalled);
         let best_millis = usable.map(|pace| pace.millis).min_by(f64::total_cmp);
         Self { groups, best_millis, taken: 0.0 }
     }
@@ -34,18 +34,18 @@
 
     /// Whether a group is known and does not stand.
     pub(super) fn goes_on(&self, group: GroupIndex) -> bool {
-        self.pace(group).is_some_and(|pace| !pace.standing)
+        self.pace(group).is_some_and(|pace| !pace.stalled)
     }
 
     /// How a group does.
-    pub fn pace(&self, group: GroupIndex) -> Option<GroupPace> {
+    pub fn pace(&self, group: GroupIndex) -> Option<GroupStatus> {
         self.groups.get(group.place()).copied().flatten()
     }
 
     /// Pass time in milliseconds of the best group that does not stand, other than this one.
     pub fn best_other(&self, group: GroupIndex) -> Option<f64> {
         let others = self.groups.iter().enumerate().filter(|(place, _pace)| *place != group.place());
-        let usable = others.filter_map(|(_place, pace)| *pace).filter(|pace| !pace.standing);
+        let usable = others.filter_map(|(_place, pace)| *pace).filter(|pace| !pace.stalled);
         usable.map(|pace| pace.millis).min_by(f64::total_cmp)
     }
 
@@ -57,7 +57,7 @@
     /// Whether a rank of a group may get a request: one of a group that stands may not while others go on, but for a probe.
     pub(super) fn open(&self, group: Option<GroupIndex>) -> bool {
         let pace = group.and_then(|group| self.pace(group));
-        pace.is_none_or(|pace| !pace.standing || pace.probe_due || self.best_millis.is_none())
+        pace.is_none_or(|pace| !pace.stalled || pace.probe_due || self.best_millis.is_none())
     }
 
     /// Whether the passes of a group make its streams late, and another group's don't.
--- a/crates/porthoist-policy/src/proxy/target_load.rs
+++ b/crates/porthoist-policy/src/proxy/target_load.rs
@@ -1,13 +1,13 @@
 //! What one process knows of one target: its own requests there, others' as reported, and how its answers were.
 
+use super::backpressure::TargetNeed;
+use super::balancer::{BalancerSettings, ReportedRequests, RequestWork, SendOutcome};
 use super::cold::ColdRule;
-use super::domains::GroupIndex;
+use super::groups::GroupIndex;
 use super::loads::{OthersLoad, RankLoad};
-use super::needs::TargetNeed;
-use super::paces::ServicePaces;
-use super::placement::{BoardSettings, ReportedRequests, RequestWork, SendOutcome};
+use super::service_groups::ServicePaces;
 use super::targets::{TargetRecord, TargetState};
-use super::turns::{RateSource, SendTurns, SenderPlace, TargetRate, TurnRound};
+use super::turns::{RateSource, SendTurns, SenderPosition, TargetRate, TurnRound};
 use porthoist_core::{ServiceName, TargetName, UnixDeadline, UnixMillis, ZoneName};
 use std::sync::Arc;
 
@@ -132,7 +132,7 @@
     /// Whether it may take a request for a service that was sent to `tried` already.
     pub(super) fn fits(
         &self,
-        settings: &BoardSettings,
+        settings: &BalancerSettings,
         service: &ServiceName,
         group: GroupView,
         tried: &[TargetName],
@@ -187,14 +187,14 @@
         let tier = match source {
             RateSource::Cold => SendTier::Free,
             // A request that was sent in vain already is not the one to ask with.
-            RateSource::Named if first_send && self.need.unheard(now) => SendTier::Asked,
-            RateSource::Named => SendTier::Limited,
+            RateSource::Announced if first_send && self.need.unheard(now) => SendTier::Asked,
+            RateSource::Announced => SendTier::Limited,
         };
         self.turns.free(now).then_some(tier)
     }
 
     /// Takes by which rounds this process keeps its rate.
-    pub(super) fn set_turns(&mut self, sender: SenderPlace, now: UnixMillis) {
+    pub(super) fn set_turns(&mut self, sender: SenderPosition, now: UnixMillis) {
         if let Some(rate) = self.rate(now) {
             self.turns.set(TurnRound::new(rate, sender, &self.record.life()), now);
         }
@@ -210,7 +210,7 @@
         self.need.rate(now)
     }
 
-    fn has_room(&self, settings: &BoardSettings, group: GroupView, now: UnixMillis) -> bool {
+    fn has_room(&self, settings: &BalancerSettings, group: GroupView, now: UnixMillis) -> bool {
         if self.full_until.is_some_and(|deadline| !deadline.passed(now)) {
             return false;
         }
--- a/crates/porthoist-policy/src/proxy/targets.rs
+++ b/crates/porthoist-policy/src/proxy/targets.rs
@@ -12,7 +12,7 @@
 //! A table service that was restored from a backup may list targets as ready although they have drained or been
 //! removed since the backup was made. Rows of such targets are ignored until they change again or a grace period ends.
 
-use super::cold::ColdWord;
+use super::cold::ColdStatus;
 use porthoist_core::{BirthMillis, ServiceName, TargetName, UnixDeadline, UnixMillis, ZoneName};
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, HashSet, VecDeque};
@@ -36,12 +36,12 @@
 
 /// How old what is believed of targets may be and still be current.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct BeliefBound {
+pub struct StalenessBound {
     /// In milliseconds.
     pub millis: u64,
 }
 
-impl BeliefBound {
+impl StalenessBound {
     /// What operators allow, in milliseconds: to notice that a connection is gone, and until a target that leaves gets
     /// nothing new.
     pub fn new(notice_millis: u64, leaving_millis: u64) -> Self {
@@ -49,7 +49,7 @@
     }
 }
 
-impl Default for BeliefBound {
+impl Default for StalenessBound {
     /// The least that is asked of a deployment now: 3 s and 2 s.
     fn default() -> Self {
         Self::new(3_000, 2_000)
@@ -72,7 +72,7 @@
     /// It counts from the first answer: a row that vanishes later may have lapsed before, but must be back by the same
     /// time. It is over as well once a belief from before the gap would be too old: a gap may be no more than a connection
     /// that fell silent, behind which a target has left.
-    pub fn grace(&self, bound: BeliefBound, now: UnixMillis) -> Option<UnixDeadline> {
+    pub fn grace(&self, bound: StalenessBound, now: UnixMillis) -> Option<UnixDeadline> {
         let back = UnixDeadline::after(self.returned, LAPSE_MILLIS);
         let end = back.min(UnixDeadline::after(self.asked, bound.millis));
         (!end.passed(now)).then_some(end)
@@ -122,7 +122,7 @@
     /// Whether it takes new work.
     pub state: TargetState,
     /// How long it is cold, as far as its row says.
-    pub cold: ColdWord,
+    pub cold: ColdStatus,
 }
 
 impl TargetRecord {
@@ -161,7 +161,7 @@
 
 /// What a process believes of all targets.
 #[derive(Debug, Clone, Default)]
-pub struct TargetBook {
+pub struct TargetRegistry {
     records: HashMap<TargetName, Arc<TargetRecord>>,
     missing: HashMap<TargetName, UnixDeadline>,
     /// Services that routes are known for; empty while none are.
@@ -203,10 +203,10 @@
     }
 }
 
-impl TargetBook {
+impl TargetRegistry {
     /// Takes the services that are configured from now on. Returns whether others were named before and a target of none of
     /// them is known: what its row ended may hold after all.
-    pub fn name_services(&mut self, services: impl IntoIterator<Item = ServiceName>) -> bool {
+    pub fn set_services(&mut self, services: impl IntoIterator<Item = ServiceName>) -> bool {
         let services: HashSet<ServiceName> = services.into_iter().collect();
         let news = services != self.named;
         self.named = services;
@@ -215,7 +215,7 @@
 
     /// Takes a whole listing, older rows before newer ones. Rows that it lacks are gone, or at `grace` where the service has
     /// just come back.
-    pub fn listed<R>(&mut self, rows: impl IntoIterator<Item = R>, grace: Option<UnixDeadline>)
+    pub fn apply_listing<R>(&mut self, rows: impl IntoIterator<Item = R>, grace: Option<UnixDeadline>)
     where
         R: Into<TargetChange>,
     {
@@ -242,7 +242,7 @@
     }
 
     /// Takes changes in their order. `grace` is as in [`Self::listed`].
-    pub fn changed(&mut self, changes: Vec<TargetChange>, grace: Option<UnixDeadline>) {
+    pub fn apply_changes(&mut self, changes: Vec<TargetChange>, grace: Option<UnixDeadline>) {
         if std::mem::take(&mut self.awaiting_backup_rows) {
             let changes = self.withhold_ignored(changes);
             return self.apply(changes, grace);
--- a/crates/porthoist-policy/src/proxy/turns.rs
+++ b/crates/porthoist-policy/src/proxy/turns.rs
@@ -33,7 +33,7 @@
 
 /// A process's place among the entry processes of its availability zone, by an order that all agree on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct EntryPlace {
+pub struct EntryPosition {
     /// Entries before it.
     pub index: u32,
     /// All entries.
@@ -51,22 +51,23 @@
 
 /// A process's place among all that send to the same targets.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct SenderPlace {
+pub struct SenderPosition {
     /// How many send, if all zones have as many entries as this one: with shares by zone their sum is right either way.
     count: f64,
     /// Part of a round that is over when its turn comes.
     phase: f64,
 }
 
-impl SenderPlace {
+impl SenderPosition {
     /// The place of an entry of `zone`, with targets in `zones`, which are in order.
     pub fn new(
-        place: Option<EntryPlace>,
+        place: Option<EntryPosition>,
         zone: &ZoneName,
         zones: &[ZoneName],
         uncounted: UncountedEntry,
     ) -> Self {
-        let Some(EntryPlace { index: before, entries }) = place.filter(|place| place.index < place.entries)
+        let Some(EntryPosition { index: before, entries }) =
+            place.filter(|place| place.index < place.entries)
         else {
             let UncountedEntry { entries, seed } = uncounted;
             let phase = unit(xxhash_rust::xxh3::xxh3_64(&seed.to_le_bytes()));
@@ -91,7 +92,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RateSource {
     /// It names a limit in its answers.
-    Named,
+    Announced,
     /// It is cold.
     Cold,
 }
@@ -100,14 +101,14 @@
     /// Its name in logs.
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Named => "named",
+            Self::Announced => "named",
             Self::Cold => "cold",
         }
     }
 
     fn lapse_millis(self) -> u64 {
         match self {
-            Self::Named => NAMED_LAPSE_MILLIS,
+            Self::Announced => NAMED_LAPSE_MILLIS,
             Self::Cold => COLD_LAPSE_MILLIS,
         }
     }
@@ -138,7 +139,7 @@
 
 impl TurnRound {
     /// The rounds of a target that bears a rate. Different targets' rounds begin at different moments.
-    pub fn new(rate: TargetRate, sender: SenderPlace, life: &TargetLife) -> Self {
+    pub fn new(rate: TargetRate, sender: SenderPosition, life: &TargetLife) -> Self {
         let TargetRate { rate: RequestRate(allowed), source } = rate;
         let given = (GIVEN_PART * allowed).max(LEAST_RATE);
         let target = xxhash_rust::xxh3::xxh3_64_with_seed(life.id.as_str().as_bytes(), life.born.0);
--- a/crates/porthoist-policy/src/proxy/waiting.rs
+++ b/crates/porthoist-policy/src/proxy/waiting.rs
@@ -7,13 +7,13 @@
 /// First tries go before returned ones, since they can still be on time; the other order makes all late while more come than
 /// targets bear.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum RequestTurn {
+pub enum QueueClass {
     /// It was sent already and is to be repeated or resumed.
-    Repeated,
+    Resent,
     /// Its caller comes for the first time.
     First,
     /// Its caller was refused before: it is late, whatever happens.
-    Returned,
+    CallerRetry,
 }
 
 /// Where a request stands among those that wait.
@@ -22,7 +22,7 @@
     /// Rank of the request, 0 first.
     pub priority: u8,
     /// Whose turn it is among requests of one rank.
-    pub turn: RequestTurn,
+    pub turn: QueueClass,
     /// Order of arrival.
     pub arrival: u64,
 }
@@ -42,7 +42,7 @@
 
 impl<T> WaitList<T> {
     /// Adds a request; the rank takes it out again.
-    pub fn add(&mut self, priority: u8, turn: RequestTurn, item: T) -> WaitRank {
+    pub fn add(&mut self, priority: u8, turn: QueueClass, item: T) -> WaitRank {
         let rank = WaitRank { priority, turn, arrival: self.arrivals };
         self.arrivals += 1;
         self.waiting.insert(rank, item);
@@ -50,7 +50,7 @@
     }
 
     /// How many would go before one that is added now.
-    pub fn ahead(&self, priority: u8, turn: RequestTurn) -> usize {
+    pub fn ahead(&self, priority: u8, turn: QueueClass) -> usize {
         let rank = WaitRank { priority, turn, arrival: self.arrivals };
         self.waiting.range(..rank).count()
     }
--- a/crates/porthoist-policy/src/proxy/zones.rs
+++ b/crates/porthoist-policy/src/proxy/zones.rs
@@ -18,20 +18,20 @@
 
 /// News of emptied zones.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ZoneNews {
+pub enum ZoneUpdate {
     /// All that are emptied.
     Listed(Vec<ZoneName>),
     /// Changes in their order.
     Changed(Vec<ZoneChange>),
 }
 
-impl Default for ZoneNews {
+impl Default for ZoneUpdate {
     fn default() -> Self {
         Self::Changed(Vec::new())
     }
 }
 
-impl ZoneNews {
+impl ZoneUpdate {
     /// Whether it changes nothing, whatever is known.
     pub fn is_empty(&self) -> bool {
         matches!(self, Self::Changed(changes) if changes.is_empty())
@@ -51,11 +51,11 @@
 
 impl EmptiedZones {
     /// Takes news; returns what they changed.
-    pub fn take(&mut self, news: ZoneNews, now: UnixMillis) -> Vec<ZoneChange> {
+    pub fn take(&mut self, news: ZoneUpdate, now: UnixMillis) -> Vec<ZoneChange> {
         let mut keep_unconfirmed = std::mem::take(&mut self.awaiting_backup_rows);
         let changes = match news {
-            ZoneNews::Changed(changes) => changes,
-            ZoneNews::Listed(zones) => {
+            ZoneUpdate::Changed(changes) => changes,
+            ZoneUpdate::Listed(zones) => {
                 keep_unconfirmed = true;
                 self.difference(zones)
             }
--- a/crates/porthoist-policy/tests/policy/cold.rs
+++ b/crates/porthoist-policy/tests/policy/cold.rs
@@ -2,14 +2,14 @@
 
 use crate::cold_fleet::{ALLOWED, ColdSettings, play};
 use porthoist_core::{BirthMillis, RequestRate, ServiceName, UnixDeadline, UnixMillis, ZoneName};
-use porthoist_policy::proxy::cold::{ColdRule, ColdWord};
-use porthoist_policy::proxy::desk::{DeskAnswer, PlaceDemand, PlaceDesk};
-use porthoist_policy::proxy::needs::{NamedValue, TargetWord};
-use porthoist_policy::proxy::placement::{BoardSettings, RequestWork, SendOutcome};
-use porthoist_policy::proxy::targets::{TargetBook, TargetRecord, TargetState};
-use porthoist_policy::proxy::turns::EntryPlace;
-use porthoist_policy::proxy::waiting::RequestTurn;
-use porthoist_policy::proxy::zones::{EmptiedZones, ZoneChange, ZoneNews};
+use porthoist_policy::proxy::backpressure::{BackpressureSignals, SignalValue};
+use porthoist_policy::proxy::balancer::{BalancerSettings, RequestWork, SendOutcome};
+use porthoist_policy::proxy::cold::{ColdRule, ColdStatus};
+use porthoist_policy::proxy::scheduler::{RequestScheduler, SlotDecision, SlotRequest};
+use porthoist_policy::proxy::targets::{TargetRecord, TargetRegistry, TargetState};
+use porthoist_policy::proxy::turns::EntryPosition;
+use porthoist_policy::proxy::waiting::QueueClass;
+use porthoist_policy::proxy::zones::{EmptiedZones, ZoneChange, ZoneUpdate};
 use std::collections::HashMap;
 use test_case::test_case;
 
@@ -59,7 +59,7 @@
     name.parse().unwrap()
 }
 
-fn record(name: &str, born: u64, cold: ColdWord) -> TargetRecord {
+fn record(name: &str, born: u64, cold: ColdStatus) -> TargetRecord {
     TargetRecord {
         id: name.parse().unwrap(),
         born: BirthMillis(born),
@@ -74,31 +74,31 @@
 
 /// A process that is alone before targets, each in a zone with its name.
 struct Alone {
-    desk: PlaceDesk<()>,
-    book: TargetBook,
+    desk: RequestScheduler<()>,
+    book: TargetRegistry,
     zones: EmptiedZones,
 }
 
 impl Alone {
     fn new(records: impl IntoIterator<Item = TargetRecord>) -> Self {
-        let settings = BoardSettings::builder().zone(zone("a")).per_rank(3).rank_limit(12).seed(1).build();
-        let mut book = TargetBook::default();
-        book.listed(records, None);
-        let mut desk = PlaceDesk::new(settings);
+        let settings = BalancerSettings::builder().zone(zone("a")).per_rank(3).rank_limit(12).seed(1).build();
+        let mut book = TargetRegistry::default();
+        book.apply_listing(records, None);
+        let mut desk = RequestScheduler::new(settings);
         let rule = ColdRule { rate: RequestRate(4.0), millis: 3_000 };
         desk.set_cold_rules(HashMap::from([(service(), rule)]));
-        desk.set_place(Some(EntryPlace { index: 0, entries: 1 }));
+        desk.set_entry_position(Some(EntryPosition { index: 0, entries: 1 }));
         desk.sync(&book);
         Self { desk, book, zones: EmptiedZones::default() }
     }
 
-    fn zones(&mut self, news: ZoneNews, at: u64) {
+    fn zones(&mut self, news: ZoneUpdate, at: u64) {
         self.zones.take(news, UnixMillis(at));
         self.desk.set_emptied(&self.zones, UnixMillis(at));
     }
 
     fn ask(&mut self, at: u64) -> String {
-        let demand = PlaceDemand {
+        let demand = SlotRequest {
             service: service(),
             ranked: false,
             work: RequestWork::default(),
@@ -107,12 +107,12 @@
             arrival: UnixMillis(at),
             latency_millis: 500,
             deadline: UnixDeadline::after(UnixMillis(at), 8_000),
-            turn: RequestTurn::First,
+            class: QueueClass::First,
         };
-        match self.desk.ask(&demand, UnixMillis(at)) {
-            DeskAnswer::Place(chosen) => chosen.record.id.to_string(),
-            DeskAnswer::Wait(_until) => "waits".to_owned(),
-            DeskAnswer::Refuse(error) => error.to_string(),
+        match self.desk.decide(&demand, UnixMillis(at)) {
+            SlotDecision::Assign(chosen) => chosen.record.id.to_string(),
+            SlotDecision::Wait(_until) => "waits".to_owned(),
+            SlotDecision::Refuse(error) => error.to_string(),
         }
     }
 
@@ -124,32 +124,35 @@
 
 #[test]
 fn a_zone_that_is_emptied_gets_nothing_and_comes_back_as_cold() {
-    let mut alone = Alone::new([record("a", 0, ColdWord::Warm), record("b", 0, ColdWord::Warm)]);
+    let mut alone = Alone::new([record("a", 0, ColdStatus::Warm), record("b", 0, ColdStatus::Warm)]);
     let chosen = alone.ask(1_000);
     let place = alone.book.records().find(|record| record.id.as_str() == chosen).unwrap().life();
-    assert!(alone.desk.stands(&place, None, UnixMillis(1_000)));
-    alone.zones(ZoneNews::Changed(vec![ZoneChange::Emptied(place.id.as_str().parse().unwrap())]), 1_100);
-    assert!(!alone.desk.stands(&place, None, UnixMillis(1_101)), "a place given before no longer stands");
+    assert!(alone.desk.is_still_valid(&place, None, UnixMillis(1_000)));
+    alone.zones(ZoneUpdate::Changed(vec![ZoneChange::Emptied(place.id.as_str().parse().unwrap())]), 1_100);
+    assert!(
+        !alone.desk.is_still_valid(&place, None, UnixMillis(1_101)),
+        "a place given before no longer stands"
+    );
     assert_eq!(alone.count(&chosen, 1_200), 0);
-    let mut later = Alone::new([record("a", 0, ColdWord::Warm), record("b", 0, ColdWord::Warm)]);
-    later.zones(ZoneNews::Listed(vec![zone("a")]), 1_000);
-    later.zones(ZoneNews::Changed(vec![ZoneChange::Restored(zone("a"))]), 20_000);
+    let mut later = Alone::new([record("a", 0, ColdStatus::Warm), record("b", 0, ColdStatus::Warm)]);
+    later.zones(ZoneUpdate::Listed(vec![zone("a")]), 1_000);
+    later.zones(ZoneUpdate::Changed(vec![ZoneChange::Restored(zone("a"))]), 20_000);
     let cold = later.count("a", 20_010);
     assert!((1..=4).contains(&cold), "{cold} requests in the first second after its return");
-    assert_eq!(later.desk.cold(UnixMillis(22_000)), 1);
-    assert_eq!(later.desk.cold(UnixMillis(23_500)), 0);
+    assert_eq!(later.desk.cold_targets(UnixMillis(22_000)), 1);
+    assert_eq!(later.desk.cold_targets(UnixMillis(23_500)), 0);
 }
 
 #[test]
 fn where_all_zones_are_emptied_callers_are_refused_at_once_also_those_that_wait() {
-    let mut alone = Alone::new([record("a", 0, ColdWord::Warm), record("b", 0, ColdWord::Warm)]);
-    alone.zones(ZoneNews::Listed(vec![zone("a"), zone("b"), zone("unknown")]), 1_000);
+    let mut alone = Alone::new([record("a", 0, ColdStatus::Warm), record("b", 0, ColdStatus::Warm)]);
+    alone.zones(ZoneUpdate::Listed(vec![zone("a"), zone("b"), zone("unknown")]), 1_000);
     assert_eq!(alone.ask(1_001), "the targets' zones are emptied");
     assert_eq!(
-        alone.desk.denial(&service(), UnixMillis(1_002)).to_string(),
+        alone.desk.refusal(&service(), UnixMillis(1_002)).to_string(),
         "the targets' zones are emptied"
     );
-    alone.zones(ZoneNews::Listed(vec![zone("b")]), 2_000);
+    alone.zones(ZoneUpdate::Listed(vec![zone("b")]), 2_000);
     assert!((0..10).any(|step| alone.ask(2_900 + 100 * step) == "a"), "it gets requests again");
 }
 
@@ -159,54 +162,56 @@
     let emptied = ZoneChange::Emptied(zone("a"));
     let restored = ZoneChange::Restored(zone("a"));
     let all = vec![emptied.clone(), emptied.clone(), restored.clone(), restored.clone(), emptied.clone()];
-    let effective = zones.take(ZoneNews::Changed(all), UnixMillis(1));
+    let effective = zones.take(ZoneUpdate::Changed(all), UnixMillis(1));
     assert_eq!(effective, [emptied.clone(), restored.clone(), emptied]);
-    assert_eq!(zones.take(ZoneNews::Listed(Vec::new()), UnixMillis(2)), [restored]);
-    assert!(ZoneNews::default().is_empty());
-    assert!(!ZoneNews::Listed(Vec::new()).is_empty(), "a listing may take zones back");
+    assert_eq!(zones.take(ZoneUpdate::Listed(Vec::new()), UnixMillis(2)), [restored]);
+    assert!(ZoneUpdate::default().is_empty());
+    assert!(!ZoneUpdate::Listed(Vec::new()).is_empty(), "a listing may take zones back");
 }
 
 /// What makes a target cold, and when it is warm again: `rate` is what it bears at a moment.
 #[test]
 fn only_time_makes_a_target_warm() {
-    let until = |at| ColdWord::Until(UnixDeadline(UnixMillis(at)));
+    let until = |at| ColdStatus::Until(UnixDeadline(UnixMillis(at)));
     let mut alone = Alone::new([record("a", 1, until(2_000))]);
-    let cold = |alone: &Alone, at: u64| alone.desk.cold(UnixMillis(at)) == 1;
+    let cold = |alone: &Alone, at: u64| alone.desk.cold_targets(UnixMillis(at)) == 1;
     assert_eq!([1_000, 1_999, 2_000].map(|at| cold(&alone, at)), [true, true, false]);
     // The row of the same life says that it became cold again, then that it is warm.
-    for (word, cold_until) in [(until(6_000), 6_000), (ColdWord::Warm, 6_000), (ColdWord::Unsaid, 6_000)] {
-        alone.book.changed(vec![record("a", 1, word).into()], None);
+    for (word, cold_until) in [(until(6_000), 6_000), (ColdStatus::Warm, 6_000), (ColdStatus::Unknown, 6_000)]
+    {
+        alone.book.apply_changes(vec![record("a", 1, word).into()], None);
         alone.desk.sync(&alone.book);
         assert_eq!([cold_until - 1, cold_until].map(|at| cold(&alone, at)), [true, false], "{word:?}");
     }
     // Its own answer says so.
-    let answer = TargetWord { cold_millis: NamedValue::Named(500), ..TargetWord::default() };
-    let life = record("a", 1, ColdWord::Warm).life();
-    alone.desk.told(&life, &answer, UnixMillis(7_000), UnixMillis(7_000));
+    let answer =
+        BackpressureSignals { cold_millis: SignalValue::Present(500), ..BackpressureSignals::default() };
+    let life = record("a", 1, ColdStatus::Warm).life();
+    alone.desk.apply_signals(&life, &answer, UnixMillis(7_000), UnixMillis(7_000));
     assert_eq!([7_499, 7_500].map(|at| cold(&alone, at)), [true, false]);
     // A connection broke: it may have started again at any time until it answers, and is cold from then on.
     alone.desk.ended(&service(), &life, RequestWork::default(), SendOutcome::Lost, 10, UnixMillis(8_000));
-    let certain = TargetWord { certain: true, ..TargetWord::default() };
+    let certain = BackpressureSignals { matches_request: true, ..BackpressureSignals::default() };
     assert!(cold(&alone, 60_000));
-    alone.desk.told(&life, &certain, UnixMillis(61_000), UnixMillis(61_000));
+    alone.desk.apply_signals(&life, &certain, UnixMillis(61_000), UnixMillis(61_000));
     assert_eq!([63_999, 64_000].map(|at| cold(&alone, at)), [true, false]);
     // Another life whose row says nothing.
-    alone.book.changed(vec![record("a", 2, ColdWord::Unsaid).into()], None);
+    alone.book.apply_changes(vec![record("a", 2, ColdStatus::Unknown).into()], None);
     alone.desk.sync(&alone.book);
     assert!(cold(&alone, 70_000));
 }
 
 #[test]
 fn a_service_without_a_rule_is_never_cold() {
-    let mut alone = Alone::new([record("a", 1, ColdWord::Until(UnixDeadline(UnixMillis(9_000))))]);
+    let mut alone = Alone::new([record("a", 1, ColdStatus::Until(UnixDeadline(UnixMillis(9_000))))]);
     alone.desk.set_cold_rules(HashMap::new());
-    assert_eq!(alone.desk.cold(UnixMillis(1_000)), 0);
+    assert_eq!(alone.desk.cold_targets(UnixMillis(1_000)), 0);
     assert_eq!(alone.ask(1_000), "a");
 }
 
 #[test]
 fn numbers_are_bounded() {
-    assert_eq!(ColdWord::remaining(0, UnixMillis(5)), ColdWord::Warm);
-    let huge = ColdWord::remaining(u64::MAX, UnixMillis(5));
-    assert_eq!(huge, ColdWord::Until(UnixDeadline(UnixMillis(600_005))));
+    assert_eq!(ColdStatus::from_remaining(0, UnixMillis(5)), ColdStatus::Warm);
+    let huge = ColdStatus::from_remaining(u64::MAX, UnixMillis(5));
+    assert_eq!(huge, ColdStatus::Until(UnixDeadline(UnixMillis(600_005))));
 }
--- a/crates/porthoist-policy/tests/policy/cold_fleet.rs
+++ b/crates/porthoist-policy/tests/policy/cold_fleet.rs
@@ -1,12 +1,12 @@
 //! Entries before targets that start again, in virtual time: each entry decides by itself, with the code that is in use.
 
 use porthoist_core::{BirthMillis, RequestRate, ServiceName, UnixDeadline, UnixMillis, ZoneName};
-use porthoist_policy::proxy::cold::{ColdRule, ColdWord};
-use porthoist_policy::proxy::desk::{DeskAnswer, PlaceDemand, PlaceDesk, PlaceError};
-use porthoist_policy::proxy::placement::{BoardSettings, ChosenTarget, RequestWork, SendOutcome};
-use porthoist_policy::proxy::targets::{TargetBook, TargetLife, TargetRecord, TargetState};
-use porthoist_policy::proxy::turns::EntryPlace;
-use porthoist_policy::proxy::waiting::RequestTurn;
+use porthoist_policy::proxy::balancer::{BalancerSettings, ChosenTarget, RequestWork, SendOutcome};
+use porthoist_policy::proxy::cold::{ColdRule, ColdStatus};
+use porthoist_policy::proxy::scheduler::{RequestScheduler, SlotDecision, SlotError, SlotRequest};
+use porthoist_policy::proxy::targets::{TargetLife, TargetRecord, TargetRegistry, TargetState};
+use porthoist_policy::proxy::turns::EntryPosition;
+use porthoist_policy::proxy::waiting::QueueClass;
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
@@ -112,7 +112,7 @@
 }
 
 struct PlayedEntry {
-    desk: PlaceDesk<u64>,
+    desk: RequestScheduler<u64>,
     clock_ahead: u64,
     life: u64,
 }
@@ -157,7 +157,7 @@
             zone: zone_name(index / in_zone),
             slots: SLOTS,
             state: TargetState::Ready,
-            cold: ColdWord::Warm,
+            cold: ColdStatus::Warm,
         };
         let records: Vec<TargetRecord> = (0..settings.targets).map(record).collect();
         let arrivals = (0..settings.cold).map(|index| (index, Vec::new())).collect();
@@ -190,8 +190,8 @@
 
     fn entry(&mut self, index: usize, life: u64) -> PlayedEntry {
         let zone = zone_name(index % self.settings.zones);
-        let settings = BoardSettings::builder().zone(zone).per_rank(3).rank_limit(12);
-        let mut desk = PlaceDesk::new(settings.seed(index as u64).build());
+        let settings = BalancerSettings::builder().zone(zone).per_rank(3).rank_limit(12);
+        let mut desk = RequestScheduler::new(settings.seed(index as u64).build());
         let rule = ColdRule { rate: RequestRate(RATE), millis: COLD };
         desk.set_cold_rules(HashMap::from([(self.service.clone(), rule)]));
         let clock_ahead = self.random.random_range(0..=self.settings.clocks_apart);
@@ -205,11 +205,11 @@
         if at >= START && self.settings.rows {
             for record in &mut records[..self.settings.cold] {
                 record.born = BirthMillis(1);
-                record.cold = ColdWord::remaining((START + COLD).saturating_sub(at), now);
+                record.cold = ColdStatus::from_remaining((START + COLD).saturating_sub(at), now);
             }
         }
-        let mut book = TargetBook::default();
-        book.listed(records, None);
+        let mut book = TargetRegistry::default();
+        book.apply_listing(records, None);
         self.entries[entry].desk.sync(&book);
     }
 
@@ -231,8 +231,8 @@
             ColdEvent::Place { entry } => {
                 let (zones, entries) = (self.settings.zones, self.settings.entries);
                 let in_zone = (entries - entry % zones).div_ceil(zones) as u32;
-                let place = EntryPlace { index: (entry / zones) as u32, entries: in_zone };
-                self.entries[entry].desk.set_place(Some(place));
+                let place = EntryPosition { index: (entry / zones) as u32, entries: in_zone };
+                self.entries[entry].desk.set_entry_position(Some(place));
             }
             ColdEvent::Kill { entry } => {
                 let life = self.entries[entry].life + 1;
@@ -248,7 +248,7 @@
         let next = at as f64 + pause + self.random.random::<f64>();
         self.at(next as u64, ColdEvent::Caller { entry });
         let now = self.clock(entry, at);
-        let demand = PlaceDemand {
+        let demand = SlotRequest {
             service: self.service.clone(),
             ranked: false,
             work: RequestWork::default(),
@@ -257,16 +257,16 @@
             arrival: now,
             latency_millis: 500,
             deadline: UnixDeadline::after(now, 8_000),
-            turn: RequestTurn::First,
+            class: QueueClass::First,
         };
         let desk = &mut self.entries[entry].desk;
-        match desk.ask(&demand, now) {
-            DeskAnswer::Place(chosen) => self.send(entry, &chosen, at),
-            DeskAnswer::Wait(until) => {
-                desk.keep(demand, at + until.0.since(now));
+        match desk.decide(&demand, now) {
+            SlotDecision::Assign(chosen) => self.send(entry, &chosen, at),
+            SlotDecision::Wait(until) => {
+                desk.enqueue(demand, at + until.0.since(now));
                 self.next_turn(entry, at);
             }
-            DeskAnswer::Refuse(error) => self.report.refused_cold += usize::from(error == PlaceError::Cold),
+            SlotDecision::Refuse(error) => self.report.refused_cold += usize::from(error == SlotError::Cold),
         }
     }
 
@@ -290,7 +290,7 @@
             *until > at
         };
         while let Some((_until, chosen, _work)) =
-            self.entries[entry].desk.next_served(&self.service, waits, now)
+            self.entries[entry].desk.next_ready(&self.service, waits, now)
         {
             self.send(entry, &chosen, at);
         }
--- a/crates/porthoist-policy/tests/policy/domains.rs
+++ b/crates/porthoist-policy/tests/policy/domains.rs
@@ -1,11 +1,11 @@
 //! Groups judged as one: which group a request goes to when one of several is slow, silent or broken.
 
 use porthoist_core::{BirthMillis, ServiceName, UnixMillis};
-use porthoist_policy::proxy::cold::ColdWord;
+use porthoist_policy::proxy::balancer::{BalancerSettings, LoadBalancer, RequestWork, SendOutcome};
+use porthoist_policy::proxy::cold::ColdStatus;
 use porthoist_policy::proxy::loads::{GroupLoads, LoadRevision, RankLoad};
 use porthoist_policy::proxy::pass_time::GroupPass;
-use porthoist_policy::proxy::placement::{BoardSettings, LoadBoard, RequestWork, SendOutcome};
-use porthoist_policy::proxy::targets::{TargetBook, TargetRecord, TargetState};
+use porthoist_policy::proxy::targets::{TargetRecord, TargetRegistry, TargetState};
 use std::net::Ipv4Addr;
 
 const GROUPS: usize = 3;
@@ -31,7 +31,7 @@
         zone: "a".parse().expect("a name"),
         slots: RANK_LIMIT,
         state: TargetState::Ready,
-        cold: ColdWord::Unsaid,
+        cold: ColdStatus::Unknown,
     }
 }
 
@@ -41,17 +41,17 @@
 }
 
 /// A board that heard of all groups at moment 0.
-fn board(seed: u64, passes: [GroupPass; GROUPS]) -> LoadBoard {
-    let mut book = TargetBook::default();
+fn board(seed: u64, passes: [GroupPass; GROUPS]) -> LoadBalancer {
+    let mut book = TargetRegistry::default();
     let places = (0..GROUPS).flat_map(|group| (0..RANKS).map(move |rank| (group, rank)));
-    book.listed(places.map(|(group, rank)| record(group, rank)), None);
-    let settings = BoardSettings::builder()
+    book.apply_listing(places.map(|(group, rank)| record(group, rank)), None);
+    let settings = BalancerSettings::builder()
         .zone("a".parse().expect("a name"))
         .per_rank(3)
         .rank_limit(RANK_LIMIT)
         .seed(seed)
         .build();
-    let mut board = LoadBoard::new(settings);
+    let mut board = LoadBalancer::new(settings);
     board.sync(&book);
     for (group, pass) in passes.into_iter().enumerate() {
         board.take_loads(&loads(group, 4, pass), UnixMillis(0));
@@ -60,7 +60,7 @@
 }
 
 /// Places one request and ends it at once; returns its group.
-fn place(board: &mut LoadBoard, now: u64) -> usize {
+fn place(board: &mut LoadBalancer, now: u64) -> usize {
     let chosen = board.choose(&service(), true, RequestWork::default(), &[], UnixMillis(now));
     let record = chosen.expect("there is room").record;
     board.ended(&record.life(), RequestWork::default(), SendOutcome::Answered(10.0), UnixMillis(now));
@@ -182,7 +182,7 @@
         (0..GROUPS).for_each(|group| board.take_loads(&loads(group, 4, USUAL), UnixMillis(at)));
         board.take_loads(&loads(1, 4, pass), UnixMillis(at));
         let changes = board.group_changes(&service(), UnixMillis(at));
-        changes.iter().map(|group| (group.index.place(), group.pace.standing)).collect::<Vec<_>>()
+        changes.iter().map(|group| (group.index.place(), group.status.stalled)).collect::<Vec<_>>()
     };
     assert_eq!(changes(USUAL, 20), []);
     assert_eq!(changes(GroupPass::Broken, 30), [(1, true)]);
--- a/crates/porthoist-policy/tests/policy/forecast.rs
+++ b/crates/porthoist-policy/tests/policy/forecast.rs
@@ -1,8 +1,8 @@
 //! Who waits, who is refused, and when refused callers come back.
 
 use porthoist_core::{UnixDeadline, UnixMillis};
-use porthoist_policy::proxy::forecast::{PatienceBook, PlaceAsk, PlaceForecast, ServiceForecast};
-use porthoist_policy::proxy::waiting::RequestTurn::{self, First, Repeated, Returned};
+use porthoist_policy::proxy::forecast::{CallerRetryDetector, PlaceAsk, PlaceForecast, ServiceForecast};
+use porthoist_policy::proxy::waiting::QueueClass::{self, CallerRetry, First, Resent};
 use test_case::test_case;
 
 /// Ten places that are taken for 1.5 s each, first events after 200 ms, heard at 1,000.
@@ -16,7 +16,7 @@
     forecast
 }
 
-fn ask(ahead: usize, arrival: u64, turn: RequestTurn) -> PlaceAsk {
+fn ask(ahead: usize, arrival: u64, turn: QueueClass) -> PlaceAsk {
     let arrival = UnixMillis(arrival);
     let deadline = UnixDeadline::after(arrival, 8_000);
     PlaceAsk { ahead, arrival, latency_millis: 500, deadline, turn, limited_millis: None }
@@ -24,12 +24,12 @@
 
 #[test_case(0, First, Some(1_300); "a place every 150 ms, and 300 to spare")]
 #[test_case(1, First, None; "the second place is free too late")]
-#[test_case(2, Repeated, Some(2_000); "one that was sent already waits for the third")]
-#[test_case(3, Repeated, None; "but not where that may take a second")]
-#[test_case(0, Returned, None; "a caller who came back takes a free place or none")]
+#[test_case(2, Resent, Some(2_000); "one that was sent already waits for the third")]
+#[test_case(3, Resent, None; "but not where that may take a second")]
+#[test_case(0, CallerRetry, None; "a caller who came back takes a free place or none")]
 fn a_request_waits_only_while_it_can_be_served_in_time(
     ahead: usize,
-    turn: RequestTurn,
+    turn: QueueClass,
     expected: Option<u64>,
 ) {
     let expected =
@@ -46,7 +46,7 @@
     assert_eq!(sent(&mut forecast, 1_000, 1_600), 30, "up to 600 ms are a slow pass");
     assert_eq!(sent(&mut forecast, 1_620, 3_620), 4, "two a second to one that answers nothing");
     assert!(forecast.down());
-    assert_eq!(forecast.ask(ask(0, 3_700, Repeated), UnixMillis(3_700)), PlaceForecast::Refuse);
+    assert_eq!(forecast.ask(ask(0, 3_700, Resent), UnixMillis(3_700)), PlaceForecast::Refuse);
     forecast.heard(UnixMillis(4_000));
     assert_eq!(sent(&mut forecast, 4_000, 4_200), 10, "it goes on");
 }
@@ -97,13 +97,13 @@
 
 #[test]
 fn callers_with_less_time_than_first_tries_came_back() {
-    let mut book = PatienceBook::default();
-    let came_back = [Some(8_000), Some(7_900), Some(5_400), None].map(|left| book.came_back("r", left));
+    let mut book = CallerRetryDetector::default();
+    let came_back = [Some(8_000), Some(7_900), Some(5_400), None].map(|left| book.is_retry("r", left));
     assert_eq!(came_back, [false, false, true, false]);
-    assert!(!book.came_back("other", Some(1_500)));
+    assert!(!book.is_retry("other", Some(1_500)));
     // What is remembered is bounded, whatever routes come and go.
     for route in 0..5_000 {
-        book.came_back(&format!("r{route}"), Some(8_000));
+        book.is_retry(&format!("r{route}"), Some(8_000));
     }
-    assert!(!book.came_back("r", Some(5_400)), "forgotten");
+    assert!(!book.is_retry("r", Some(5_400)), "forgotten");
 }
--- a/crates/porthoist-policy/tests/policy/loads.rs
+++ b/crates/porthoist-policy/tests/policy/loads.rs
@@ -2,13 +2,15 @@
 
 use porthoist_core::{BirthMillis, ServiceName, TargetName, UnixMillis};
 use porthoist_policy::forward::RankPace;
-use porthoist_policy::proxy::cold::ColdWord;
-use porthoist_policy::proxy::loads::{GroupLoads, LoadRevision, REPORT_MILLIS, RankLoad, weighed_requests};
-use porthoist_policy::proxy::pass_time::GroupPass;
-use porthoist_policy::proxy::placement::{
-    BoardSettings, LoadBoard, ReportedRequests, RequestWork, SendOutcome,
+use porthoist_policy::proxy::balancer::{
+    BalancerSettings, LoadBalancer, ReportedRequests, RequestWork, SendOutcome,
+};
+use porthoist_policy::proxy::cold::ColdStatus;
+use porthoist_policy::proxy::loads::{
+    GroupLoads, LoadRevision, REPORT_VALIDITY_MILLIS, RankLoad, equivalent_requests,
 };
-use porthoist_policy::proxy::targets::{TargetBook, TargetLife, TargetRecord, TargetState};
+use porthoist_policy::proxy::pass_time::GroupPass;
+use porthoist_policy::proxy::targets::{TargetLife, TargetRecord, TargetRegistry, TargetState};
 use std::net::Ipv4Addr;
 use test_case::test_case;
 
@@ -27,7 +29,7 @@
     TargetLife::from(id.parse::<TargetName>().unwrap())
 }
 
-fn board(ranks: usize, seed: u64) -> LoadBoard {
+fn board(ranks: usize, seed: u64) -> LoadBalancer {
     let record = |rank: usize| TargetRecord {
         id: format!("t{rank}").parse().unwrap(),
         born: BirthMillis::default(),
@@ -36,17 +38,17 @@
         zone: "a".parse().unwrap(),
         slots: 12,
         state: TargetState::Ready,
-        cold: ColdWord::Unsaid,
+        cold: ColdStatus::Unknown,
     };
-    let mut book = TargetBook::default();
-    book.listed((0..ranks).map(record), None);
-    let settings = BoardSettings::builder()
+    let mut book = TargetRegistry::default();
+    book.apply_listing((0..ranks).map(record), None);
+    let settings = BalancerSettings::builder()
         .zone("a".parse().unwrap())
         .per_rank(PER_RANK)
         .rank_limit(RANK_LIMIT)
         .seed(seed)
         .build();
-    let mut board = LoadBoard::new(settings);
+    let mut board = LoadBalancer::new(settings);
     board.sync(&book);
     board
 }
@@ -59,7 +61,7 @@
 }
 
 /// Places one request; returns the rank.
-fn place(board: &mut LoadBoard, now: u64) -> Option<usize> {
+fn place(board: &mut LoadBalancer, now: u64) -> Option<usize> {
     let chosen = board.choose(&service(), true, RequestWork::default(), &[], UnixMillis(now))?;
     chosen.record.id.as_str().trim_start_matches('t').parse().ok()
 }
@@ -92,15 +94,15 @@
     let report = |requests, age_millis| Some(ReportedRequests { requests, age_millis });
     assert_eq!(chosen(130).expect("there is room").report, report(4, 30));
     assert_eq!(chosen(150).expect("there is room").report, report(5, 50));
-    assert_eq!(chosen(100 + REPORT_MILLIS).expect("there is room").report, None);
+    assert_eq!(chosen(100 + REPORT_VALIDITY_MILLIS).expect("there is room").report, None);
 }
 
 #[test]
 fn an_old_report_counts_no_more() {
     let mut board = board(2, 1);
     board.take_loads(&loads(&[RANK_LIMIT, RANK_LIMIT]), UnixMillis(0));
-    assert_eq!(place(&mut board, REPORT_MILLIS - 1), None);
-    assert!(place(&mut board, REPORT_MILLIS).is_some(), "it goes by its own requests again");
+    assert_eq!(place(&mut board, REPORT_VALIDITY_MILLIS - 1), None);
+    assert!(place(&mut board, REPORT_VALIDITY_MILLIS).is_some(), "it goes by its own requests again");
 }
 
 /// Forty processes see the same report and place two requests each: every rank must end near the common level.
@@ -178,7 +180,7 @@
     for report in 0..100 {
         board.take_loads(&loads(&[12, 12]), UnixMillis(report * 100));
     }
-    let gone = UnixMillis(10_000 + REPORT_MILLIS);
+    let gone = UnixMillis(10_000 + REPORT_VALIDITY_MILLIS);
     assert_eq!(place(&mut board, gone.0), None, "a sixth of {RANK_LIMIT} is two at each, and four are there");
     board.ended(&life("t0"), RequestWork::default(), SendOutcome::Abandoned, gone);
     assert_eq!(place(&mut board, gone.0), Some(0));
@@ -190,5 +192,5 @@
 #[test_case(4, 1_600, 9; "somewhat slow and busy")]
 #[test_case(0, 12_000, 55; "so slow that it gets nothing")]
 fn a_slow_rank_counts_as_fuller(requests: u32, pace: u32, expected: u32) {
-    assert_eq!(weighed_requests(requests, 5.0, RankPace(pace)), expected);
+    assert_eq!(equivalent_requests(requests, 5.0, RankPace(pace)), expected);
 }
--- a/crates/porthoist-policy/tests/policy/moving.rs
+++ b/crates/porthoist-policy/tests/policy/moving.rs
@@ -1,15 +1,15 @@
 //! When a request leaves the target that has it.
 
 use porthoist_core::{UnixDeadline, UnixMillis};
-use porthoist_policy::proxy::domains::GroupPace;
 use porthoist_policy::proxy::forecast::StreamTimes;
-use porthoist_policy::proxy::moving::{KnownWays, MoveCause, WaitingSend, move_cause};
+use porthoist_policy::proxy::groups::GroupStatus;
+use porthoist_policy::proxy::moving::{KnownWays, MoveCause, PendingSend, move_cause};
 use test_case::test_case;
 
 const USUAL_PASS: f64 = 50.0;
 
-fn pace(millis: f64) -> GroupPace {
-    GroupPace { millis, standing: millis >= 400.0, slow_for_millis: 0, probe_due: false }
+fn pace(millis: f64) -> GroupStatus {
+    GroupStatus { millis, stalled: millis >= 400.0, slow_for_millis: 0, probe_due: false }
 }
 
 fn ways(here: f64, elsewhere: Option<f64>) -> KnownWays {
@@ -18,11 +18,11 @@
 }
 
 /// Sent at moment 0, to be on time within 500 ms and answered within 8 s.
-fn send(events: u64) -> WaitingSend {
-    WaitingSend {
+fn send(events: u64) -> PendingSend {
+    PendingSend {
         since: UnixMillis(0),
         events,
-        spread_millis: 0,
+        jitter_millis: 0,
         on_time_until: UnixDeadline(UnixMillis(500)),
         deadline: UnixDeadline(UnixMillis(8_000)),
     }
@@ -35,9 +35,9 @@
 #[test_case(0, USUAL_PASS, None, 290 => Some(MoveCause::TargetSilent); "another rank of the only group")]
 #[test_case(0, 90.0, OTHER, 290 => None; "passes that are slow for all")]
 #[test_case(0, 450.0, OTHER, 100 => None; "a hold that ends by itself")]
-#[test_case(0, 450.0, OTHER, 200 => Some(MoveCause::GroupStands); "a group that stands, and time for another")]
+#[test_case(0, 450.0, OTHER, 200 => Some(MoveCause::GroupStalled); "a group that stands, and time for another")]
 #[test_case(0, 450.0, OTHER, 400 => None; "late in any case")]
-#[test_case(0, 1_000.0, OTHER, 1_000 => Some(MoveCause::GroupStands); "before its caller leaves")]
+#[test_case(0, 1_000.0, OTHER, 1_000 => Some(MoveCause::GroupStalled); "before its caller leaves")]
 #[test_case(0, 1_000.0, None, 1_000 => None; "nothing goes on elsewhere")]
 #[test_case(5, 900.0, OTHER, 600 => None; "a long pass that may be the only one")]
 #[test_case(5, USUAL_PASS, OTHER, 600 => None; "a pause")]
@@ -51,7 +51,7 @@
 #[test_case(900, 410.0 => None; "an answer that ends in time")]
 fn leaves_a_group_that_is_slow_for(slow_for_millis: u64, here: f64) -> Option<MoveCause> {
     let usual = ways(here, OTHER);
-    let here = GroupPace { slow_for_millis, ..usual.here };
+    let here = GroupStatus { slow_for_millis, ..usual.here };
     move_cause(&send(5), &KnownWays { here, ..usual }, UnixMillis(600))
 }
 
@@ -63,9 +63,9 @@
 }
 
 /// Two of three groups are held, and all their streams would go on at the third.
-#[test_case(0, 200, 0.7 => Some(MoveCause::GroupStands); "a request that can be in time")]
+#[test_case(0, 200, 0.7 => Some(MoveCause::GroupStalled); "a request that can be in time")]
 #[test_case(0, 200, 0.9 => None; "a request that can be in time, and no room")]
-#[test_case(5, 1_000, 0.5 => Some(MoveCause::GroupStands); "a stream")]
+#[test_case(5, 1_000, 0.5 => Some(MoveCause::GroupStalled); "a stream")]
 #[test_case(5, 1_000, 0.75 => None; "a stream, and little room")]
 fn leaves_a_group_that_stands_where_others_have_room(events: u64, now: u64, taken: f64) -> Option<MoveCause> {
     move_cause(&send(events), &KnownWays { taken, ..ways(450.0, OTHER) }, UnixMillis(now))
@@ -76,20 +76,20 @@
 #[test_case(5_600 => Some(MoveCause::GroupSlow); "the last time for a long rest elsewhere")]
 fn leaves_a_slow_group_while_a_long_answer_can_end_elsewhere(now: u64) -> Option<MoveCause> {
     let usual = ways(270.0, OTHER);
-    let here = GroupPace { slow_for_millis: 900, ..usual.here };
-    let long = WaitingSend { since: UnixMillis(now - 100), ..send(18) };
+    let here = GroupStatus { slow_for_millis: 900, ..usual.here };
+    let long = PendingSend { since: UnixMillis(now - 100), ..send(18) };
     move_cause(&long, &KnownWays { here, ..usual }, UnixMillis(now))
 }
 
 #[test]
 fn moves_are_spread() {
-    let later = WaitingSend { spread_millis: 300, ..send(5) };
+    let later = PendingSend { jitter_millis: 300, ..send(5) };
     assert_eq!(move_cause(&later, &ways(900.0, OTHER), UnixMillis(1_000)), None);
-    assert_eq!(move_cause(&later, &ways(900.0, OTHER), UnixMillis(1_100)), Some(MoveCause::GroupStands));
+    assert_eq!(move_cause(&later, &ways(900.0, OTHER), UnixMillis(1_100)), Some(MoveCause::GroupStalled));
 }
 
 #[test]
 fn nothing_is_moved_that_cannot_begin_elsewhere_before_its_deadline() {
-    let short = WaitingSend { deadline: UnixDeadline(UnixMillis(400)), ..send(0) };
+    let short = PendingSend { deadline: UnixDeadline(UnixMillis(400)), ..send(0) };
     assert_eq!(move_cause(&short, &ways(USUAL_PASS, OTHER), UnixMillis(300)), None);
 }
--- a/crates/porthoist-policy/tests/policy/needs.rs
+++ b/crates/porthoist-policy/tests/policy/needs.rs
@@ -2,16 +2,18 @@
 
 use crate::needy_fleet::{EntryCount, FleetReport, FleetSettings, PlayedNeed, play};
 use porthoist_core::{BirthMillis, RequestRate, ServiceName, UnixDeadline, UnixMillis};
-use porthoist_policy::proxy::cold::ColdWord;
-use porthoist_policy::proxy::desk::{DeskAnswer, PlaceDemand, PlaceDesk};
-use porthoist_policy::proxy::entries::{BelievedPlace, EntryId, EntryRoll};
+use porthoist_policy::proxy::backpressure::{
+    BackpressureChange, BackpressureSignals, ObservedChange, SignalValue, TargetNeed,
+};
+use porthoist_policy::proxy::balancer::{BalancerSettings, LoadBalancer, RequestWork};
+use porthoist_policy::proxy::cold::ColdStatus;
+use porthoist_policy::proxy::entries::{EntryId, EntryRoster, PositionTracker};
 use porthoist_policy::proxy::loads::{GroupLoads, RankLoad};
-use porthoist_policy::proxy::needs::{NamedValue, NeedChange, NotedChange, TargetNeed, TargetWord};
-use porthoist_policy::proxy::notes::{NoteBoard, TargetNote};
-use porthoist_policy::proxy::placement::{BoardSettings, LoadBoard, RequestWork};
-use porthoist_policy::proxy::targets::{TargetBook, TargetRecord, TargetState};
-use porthoist_policy::proxy::turns::EntryPlace;
-use porthoist_policy::proxy::waiting::RequestTurn;
+use porthoist_policy::proxy::notes::{NoteStore, TargetNote};
+use porthoist_policy::proxy::scheduler::{RequestScheduler, SlotDecision, SlotRequest};
+use porthoist_policy::proxy::targets::{TargetRecord, TargetRegistry, TargetState};
+use porthoist_policy::proxy::turns::EntryPosition;
+use porthoist_policy::proxy::waiting::QueueClass;
 use test_case::test_case;
 
 const TARGETS: usize = 9;
@@ -103,19 +105,19 @@
     }
 }
 
-fn word(limit: NamedValue<RequestRate>, certain: bool) -> TargetWord {
-    TargetWord { limit, certain, ..TargetWord::default() }
+fn word(limit: SignalValue<RequestRate>, certain: bool) -> BackpressureSignals {
+    BackpressureSignals { limit, matches_request: certain, ..BackpressureSignals::default() }
 }
 
-fn named(rate: f64) -> NamedValue<RequestRate> {
-    NamedValue::Named(RequestRate(rate))
+fn named(rate: f64) -> SignalValue<RequestRate> {
+    SignalValue::Present(RequestRate(rate))
 }
 
 #[test_case(word(named(2.0), false), Some(2.0); "another limit")]
-#[test_case(word(NamedValue::Absent, true), None; "an answer without one")]
-#[test_case(word(NamedValue::Absent, false), Some(1.0); "an answer that names no request")]
-#[test_case(word(NamedValue::Unreadable, true), Some(1.0); "a value that can't be read")]
-fn a_limit_is_what_the_last_certain_answer_said(then: TargetWord, limit: Option<f64>) {
+#[test_case(word(SignalValue::Absent, true), None; "an answer without one")]
+#[test_case(word(SignalValue::Absent, false), Some(1.0); "an answer that names no request")]
+#[test_case(word(SignalValue::Unreadable, true), Some(1.0); "a value that can't be read")]
+fn a_limit_is_what_the_last_certain_answer_said(then: BackpressureSignals, limit: Option<f64>) {
     let mut need = TargetNeed::default();
     need.take(&word(named(1.0), true), UnixMillis(1_000), 0.0, UnixMillis(1_000));
     need.take(&then, UnixMillis(2_000), 0.0, UnixMillis(2_000));
@@ -125,7 +127,7 @@
 #[test]
 fn an_answer_to_a_request_from_before_a_limit_was_named_does_not_end_it() {
     let mut need = TargetNeed::default();
-    let (answer, now) = (word(NamedValue::Absent, true), UnixMillis);
+    let (answer, now) = (word(SignalValue::Absent, true), UnixMillis);
     need.take(&word(named(1.0), true), now(900), 0.0, now(1_000));
     need.take(&answer, now(950), 0.0, now(6_000));
     assert!(need.limit().is_some(), "it may have been made before as well");
@@ -153,25 +155,25 @@
 fn others_know_a_limit_before_the_target_has_named_it_to_them() {
     let mut need = TargetNeed::default();
     let noted = need.take_note(&note(Some(1.0), 10_000), UnixMillis(11_000)).unwrap();
-    assert_eq!(noted.change, NeedChange::Limited(RequestRate(1.0)));
+    assert_eq!(noted.change, BackpressureChange::Limited(RequestRate(1.0)));
     assert!(!need.unheard(UnixMillis(13_000)), "another one has asked it just now");
 }
 
 #[test]
 fn a_note_keeps_its_age_on_hosts_with_other_clocks_and_is_told_for_a_while() {
-    let mut board = NoteBoard::default();
-    board.take(note(Some(1.0), 100_000).aged(UnixMillis(100_400)).placed(UnixMillis(7_400)));
-    assert_eq!(board.told(UnixMillis(7_500)), [note(Some(1.0), 7_000)]);
+    let mut board = NoteStore::default();
+    board.take(note(Some(1.0), 100_000).aged(UnixMillis(100_400)).to_local(UnixMillis(7_400)));
+    assert_eq!(board.current(UnixMillis(7_500)), [note(Some(1.0), 7_000)]);
     board.take(note(None, 6_000));
-    assert_eq!(board.told(UnixMillis(8_000)), [note(Some(1.0), 7_000)], "an older one changes nothing");
-    assert_eq!(board.told(UnixMillis(15_000)), []);
+    assert_eq!(board.current(UnixMillis(8_000)), [note(Some(1.0), 7_000)], "an older one changes nothing");
+    assert_eq!(board.current(UnixMillis(15_000)), []);
 }
 
 #[test]
 fn changes_in_quick_succession_are_counted_and_rarely_logged() {
     let mut need = TargetNeed::default();
-    let words = [word(named(1.0), true), word(NamedValue::Absent, true)];
-    let changes: Vec<NotedChange> = (0..100)
+    let words = [word(named(1.0), true), word(SignalValue::Absent, true)];
+    let changes: Vec<ObservedChange> = (0..100)
         .flat_map(|step| {
             need.take(
                 &words[step % 2],
@@ -182,8 +184,8 @@
         })
         .collect();
     assert_eq!((changes.len(), changes.iter().filter(|change| change.logged).count()), (100, 1));
-    assert_eq!(changes[0].change, NeedChange::Limited(RequestRate(1.0)));
-    assert_eq!(changes[1].change, NeedChange::Lifted(9));
+    assert_eq!(changes[0].change, BackpressureChange::Limited(RequestRate(1.0)));
+    assert_eq!(changes[1].change, BackpressureChange::Lifted(9));
 }
 
 fn record(born: u64) -> TargetRecord {
@@ -195,19 +197,19 @@
         zone: "a".parse().unwrap(),
         slots: 12,
         state: TargetState::Ready,
-        cold: ColdWord::Unsaid,
+        cold: ColdStatus::Unknown,
     }
 }
 
-fn board(book: &TargetBook) -> LoadBoard {
-    let settings = BoardSettings::builder().zone("a".parse().unwrap()).per_rank(3).rank_limit(12).seed(1);
-    let mut board = LoadBoard::new(settings.build());
+fn board(book: &TargetRegistry) -> LoadBalancer {
+    let settings = BalancerSettings::builder().zone("a".parse().unwrap()).per_rank(3).rank_limit(12).seed(1);
+    let mut board = LoadBalancer::new(settings.build());
     board.sync(book);
     board
 }
 
 /// Whether the only target gets a request outside of this process's turns.
-fn gets_one(board: &mut LoadBoard, now: u64) -> bool {
+fn gets_one(board: &mut LoadBalancer, now: u64) -> bool {
     let work = RequestWork::default();
     let chosen = board.choose(&"s".parse().unwrap(), true, work, &[], UnixMillis(now));
     chosen.is_some_and(|chosen| chosen.rate.is_none())
@@ -215,36 +217,36 @@
 
 #[test]
 fn neither_a_listing_nor_a_report_lifts_a_limit_and_a_new_life_has_none() {
-    let mut book = TargetBook::default();
-    book.listed([record(1)], None);
+    let mut book = TargetRegistry::default();
+    book.apply_listing([record(1)], None);
     let mut board = board(&book);
     assert!(gets_one(&mut board, 1_000));
     board.told(&record(1).life(), &word(named(0.0), true), UnixMillis(1_100), UnixMillis(1_100));
     assert!(!gets_one(&mut board, 1_200));
-    book.listed([record(1)], None);
+    book.apply_listing([record(1)], None);
     board.sync(&book);
     let rank = RankLoad { host: "10.0.0.1".parse().unwrap(), requests: 1, silent: false };
     let loads = GroupLoads { ranks: vec![rank], ..GroupLoads::default() };
     board.take_loads(&loads, UnixMillis(1_300));
     assert!(!gets_one(&mut board, 1_400));
-    book.changed(vec![record(2).into()], None);
+    book.apply_changes(vec![record(2).into()], None);
     board.sync(&book);
     assert!(gets_one(&mut board, 1_500));
 }
 
-fn rest(millis: u64) -> TargetWord {
-    TargetWord { rest_millis: NamedValue::Named(millis), ..TargetWord::default() }
+fn rest(millis: u64) -> BackpressureSignals {
+    BackpressureSignals { rest_millis: SignalValue::Present(millis), ..BackpressureSignals::default() }
 }
 
 #[test]
 fn a_rest_lasts_until_its_end_whatever_is_said_meanwhile() {
     let mut need = TargetNeed::default();
-    let mut take = |word: TargetWord, at| {
+    let mut take = |word: BackpressureSignals, at| {
         let changes = need.take(&word, UnixMillis(at), 0.0, UnixMillis(at));
         let changes: Vec<&str> = changes.iter().map(|noted| noted.change.as_str()).collect();
         (changes.join(" "), need.rest(UnixMillis(at)).map(|until| until.0.0))
     };
-    let answer = word(NamedValue::Absent, true);
+    let answer = word(SignalValue::Absent, true);
     assert_eq!(take(rest(3_000), 1_000), ("resting".to_owned(), Some(4_000)));
     assert_eq!(take(rest(500), 1_100), (String::new(), Some(4_000)), "a shorter one does not end it");
     assert_eq!(take(answer, 1_200), (String::new(), Some(4_000)), "nor does an answer to an earlier request");
@@ -264,11 +266,11 @@
 
 #[test]
 fn a_target_whose_row_lapses_and_returns_still_rests() {
-    let mut book = TargetBook::default();
-    book.listed([record(1)], None);
+    let mut book = TargetRegistry::default();
+    book.apply_listing([record(1)], None);
     let mut board = board(&book);
     board.told(&record(1).life(), &rest(3_000), UnixMillis(1_000), UnixMillis(1_000));
-    board.sync(&TargetBook::default());
+    board.sync(&TargetRegistry::default());
     board.sync(&book);
     assert!(!gets_one(&mut board, 2_000));
     assert!(gets_one(&mut board, 4_500));
@@ -276,43 +278,43 @@
 
 #[test]
 fn a_target_that_leaves_is_gone_for_this_life() {
-    let mut book = TargetBook::default();
-    book.listed([record(1)], None);
+    let mut book = TargetRegistry::default();
+    book.apply_listing([record(1)], None);
     let mut board = board(&book);
-    let leaving = TargetWord { leaving: true, ..TargetWord::default() };
+    let leaving = BackpressureSignals { leaving: true, ..BackpressureSignals::default() };
     board.told(&record(1).life(), &leaving, UnixMillis(1_000), UnixMillis(1_000));
-    board.told(&record(1).life(), &word(NamedValue::Absent, true), UnixMillis(1_100), UnixMillis(1_100));
+    board.told(&record(1).life(), &word(SignalValue::Absent, true), UnixMillis(1_100), UnixMillis(1_100));
     assert!(!gets_one(&mut board, 60_000), "an answer to an earlier request does not take it back");
-    board.sync(&TargetBook::default());
+    board.sync(&TargetRegistry::default());
     board.sync(&book);
     assert!(!gets_one(&mut board, 61_000), "nor does its row");
     assert_eq!(board.rest_end(&"s".parse().unwrap(), UnixMillis(61_000)), None);
-    book.changed(vec![record(2).into()], None);
+    book.apply_changes(vec![record(2).into()], None);
     board.sync(&book);
     assert!(gets_one(&mut board, 62_000), "another life is another target");
 }
 
 #[test]
 fn those_that_wait_are_refused_once_all_targets_rest() {
-    let mut book = TargetBook::default();
-    book.listed([record(1)], None);
-    let settings = BoardSettings::builder().zone("a".parse().unwrap()).per_rank(3).rank_limit(12).seed(1);
-    let mut desk: PlaceDesk<&str> = PlaceDesk::new(settings.build());
+    let mut book = TargetRegistry::default();
+    book.apply_listing([record(1)], None);
+    let settings = BalancerSettings::builder().zone("a".parse().unwrap()).per_rank(3).rank_limit(12).seed(1);
+    let mut desk: RequestScheduler<&str> = RequestScheduler::new(settings.build());
     desk.sync(&book);
     let service: ServiceName = "s".parse().unwrap();
-    desk.keep(demand(&service, 1_000), "waits");
-    assert!(desk.take_hopeless(&service, UnixMillis(1_100)).is_empty());
-    desk.told(&record(1).life(), &rest(2_000), UnixMillis(1_150), UnixMillis(1_200));
-    assert_eq!(desk.take_hopeless(&service, UnixMillis(1_200)), ["waits"]);
-    assert_eq!(desk.denial(&service, UnixMillis(1_200)).to_string(), "the targets rest");
+    desk.enqueue(demand(&service, 1_000), "waits");
+    assert!(desk.take_unservable(&service, UnixMillis(1_100)).is_empty());
+    desk.apply_signals(&record(1).life(), &rest(2_000), UnixMillis(1_150), UnixMillis(1_200));
+    assert_eq!(desk.take_unservable(&service, UnixMillis(1_200)), ["waits"]);
+    assert_eq!(desk.refusal(&service, UnixMillis(1_200)).to_string(), "the targets rest");
 }
 
 #[test]
 fn a_place_given_before_a_target_asks_for_less_no_longer_stands() {
-    let mut book = TargetBook::default();
-    book.listed([record(1)], None);
+    let mut book = TargetRegistry::default();
+    book.apply_listing([record(1)], None);
     for (word, stands) in
-        [(word(named(1.0), true), false), (rest(2_000), false), (word(NamedValue::Absent, true), true)]
+        [(word(named(1.0), true), false), (rest(2_000), false), (word(SignalValue::Absent, true), true)]
     {
         let mut board = board(&book);
         let work = RequestWork::default();
@@ -322,8 +324,8 @@
     }
 }
 
-fn demand(service: &ServiceName, at: u64) -> PlaceDemand {
-    PlaceDemand {
+fn demand(service: &ServiceName, at: u64) -> SlotRequest {
+    SlotRequest {
         service: service.clone(),
         ranked: true,
         work: RequestWork::default(),
@@ -332,39 +334,40 @@
         arrival: UnixMillis(at),
         latency_millis: 500,
         deadline: UnixDeadline(UnixMillis(at + 9_000)),
-        turn: RequestTurn::First,
+        class: QueueClass::First,
     }
 }
 
 /// Ranks of a group that all rest say nothing of the group: it is not down, and callers come back when the first rest ends.
 #[test]
 fn where_all_rest_callers_are_told_when_the_first_rest_ends() {
-    let mut book = TargetBook::default();
-    book.listed([record(1)], None);
-    let settings = BoardSettings::builder().zone("a".parse().unwrap()).per_rank(3).rank_limit(12).seed(1);
-    let mut desk: PlaceDesk<()> = PlaceDesk::new(settings.build());
+    let mut book = TargetRegistry::default();
+    book.apply_listing([record(1)], None);
+    let settings = BalancerSettings::builder().zone("a".parse().unwrap()).per_rank(3).rank_limit(12).seed(1);
+    let mut desk: RequestScheduler<()> = RequestScheduler::new(settings.build());
     desk.sync(&book);
     let service: ServiceName = "s".parse().unwrap();
-    let ask = |desk: &mut PlaceDesk<()>, at: u64| match desk.ask(&demand(&service, at), UnixMillis(at)) {
-        DeskAnswer::Place(_chosen) => "placed".to_owned(),
-        DeskAnswer::Wait(_until) => "waits".to_owned(),
-        DeskAnswer::Refuse(error) => error.to_string(),
-    };
-    desk.told(&record(1).life(), &rest(2_000), UnixMillis(1_000), UnixMillis(1_000));
+    let ask =
+        |desk: &mut RequestScheduler<()>, at: u64| match desk.decide(&demand(&service, at), UnixMillis(at)) {
+            SlotDecision::Assign(_chosen) => "placed".to_owned(),
+            SlotDecision::Wait(_until) => "waits".to_owned(),
+            SlotDecision::Refuse(error) => error.to_string(),
+        };
+    desk.apply_signals(&record(1).life(), &rest(2_000), UnixMillis(1_000), UnixMillis(1_000));
     assert_eq!(ask(&mut desk, 1_500), "the targets rest");
-    let told = desk.return_millis(&service, UnixDeadline(UnixMillis(10_500)), 0.0, UnixMillis(1_500));
+    let told = desk.retry_after_millis(&service, UnixDeadline(UnixMillis(10_500)), 0.0, UnixMillis(1_500));
     assert!((1_500..=3_000).contains(&told), "{told}");
     assert_eq!(ask(&mut desk, 3_300), "placed");
 }
 
-fn place(index: u32, entries: u32) -> EntryPlace {
-    EntryPlace { index, entries }
+fn place(index: u32, entries: u32) -> EntryPosition {
+    EntryPosition { index, entries }
 }
 
 #[test]
 fn entries_are_counted_once_all_have_asked() {
-    let mut roll = EntryRoll::default();
-    let mut ask = |entry: u64, at: u64| roll.asked(EntryId(entry), UnixMillis(at));
+    let mut roll = EntryRoster::default();
+    let mut ask = |entry: u64, at: u64| roll.record_query(EntryId(entry), UnixMillis(at));
     assert_eq!(ask(5, 100_000), None);
     assert_eq!(ask(9, 101_000), None, "others may not have asked yet");
     assert_eq!(ask(5, 103_000), Some(place(0, 2)));
@@ -376,9 +379,9 @@
 
 #[test]
 fn fewer_entries_are_believed_in_after_a_while() {
-    let mut believed = BelievedPlace::default();
+    let mut believed = PositionTracker::default();
     let mut told = |place, at| {
-        believed.told(place, UnixMillis(at));
+        believed.update(place, UnixMillis(at));
         believed.place()
     };
     assert_eq!(told(None, 1_000), None);
--- a/crates/porthoist-policy/tests/policy/needy_fleet.rs
+++ b/crates/porthoist-policy/tests/policy/needy_fleet.rs
@@ -1,14 +1,14 @@
 //! Entries before targets that ask for less, in virtual time: each entry decides by itself, with the code that is in use.
 
 use porthoist_core::{BirthMillis, RequestRate, ServiceName, UnixDeadline, UnixMillis, ZoneName};
-use porthoist_policy::proxy::cold::ColdWord;
-use porthoist_policy::proxy::desk::{DeskAnswer, PlaceDemand, PlaceDesk, PlaceError};
-use porthoist_policy::proxy::needs::{NamedValue, NeedChange, TargetWord};
-use porthoist_policy::proxy::notes::{NoteBoard, TargetNote};
-use porthoist_policy::proxy::placement::{BoardSettings, ChosenTarget, RequestWork, SendOutcome};
-use porthoist_policy::proxy::targets::{TargetBook, TargetLife, TargetRecord, TargetState};
-use porthoist_policy::proxy::turns::EntryPlace;
-use porthoist_policy::proxy::waiting::RequestTurn;
+use porthoist_policy::proxy::backpressure::{BackpressureChange, BackpressureSignals, SignalValue};
+use porthoist_policy::proxy::balancer::{BalancerSettings, ChosenTarget, RequestWork, SendOutcome};
+use porthoist_policy::proxy::cold::ColdStatus;
+use porthoist_policy::proxy::notes::{NoteStore, TargetNote};
+use porthoist_policy::proxy::scheduler::{RequestScheduler, SlotDecision, SlotError, SlotRequest};
+use porthoist_policy::proxy::targets::{TargetLife, TargetRecord, TargetRegistry, TargetState};
+use porthoist_policy::proxy::turns::EntryPosition;
+use porthoist_policy::proxy::waiting::QueueClass;
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
@@ -133,11 +133,11 @@
 }
 
 struct PlayedEntry {
-    desk: PlaceDesk<u64>,
+    desk: RequestScheduler<u64>,
     clock_ahead: u64,
     frozen_until: u64,
     /// What it tells the others of its zone.
-    notes: NoteBoard,
+    notes: NoteStore,
     /// When each target first told it of its limit.
     told: HashMap<usize, u64>,
     life: u64,
@@ -146,11 +146,11 @@
 struct Fleet {
     settings: FleetSettings,
     entries: Vec<PlayedEntry>,
-    book: TargetBook,
+    book: TargetRegistry,
     targets: BTreeMap<TargetLife, usize>,
     service: ServiceName,
     /// What each zone's entries have told.
-    zones: Vec<NoteBoard>,
+    zones: Vec<NoteStore>,
     events: BinaryHeap<Reverse<(u64, u64, FleetEvent)>>,
     sequence: u64,
     random: Pcg64Mcg,
@@ -193,19 +193,19 @@
             zone: zone_name(index % settings.zones),
             slots: SLOTS,
             state: TargetState::Ready,
-            cold: ColdWord::Unsaid,
+            cold: ColdStatus::Unknown,
         });
         let records: Vec<TargetRecord> = records.collect();
         let targets = records.iter().enumerate().map(|(index, record)| (record.life(), index)).collect();
-        let mut book = TargetBook::default();
-        book.listed(records, None);
+        let mut book = TargetRegistry::default();
+        book.apply_listing(records, None);
         let report = FleetReport { arrivals: vec![Vec::new(); settings.targets], ..FleetReport::default() };
         let mut fleet = Self {
             entries: Vec::new(),
             book,
             targets,
             service,
-            zones: vec![NoteBoard::default(); settings.zones],
+            zones: vec![NoteStore::default(); settings.zones],
             events: BinaryHeap::new(),
             sequence: 0,
             random: Pcg64Mcg::seed_from_u64(settings.seed),
@@ -221,21 +221,21 @@
         let zone = index % zones;
         let in_zone = (entries - zone).div_ceil(zones) as u32;
         let place = match self.settings.count {
-            EntryCount::Known => Some(EntryPlace { index: (index / zones) as u32, entries: in_zone }),
+            EntryCount::Known => Some(EntryPosition { index: (index / zones) as u32, entries: in_zone }),
             EntryCount::Unknown => None,
-            EntryCount::Alone => Some(EntryPlace { index: 0, entries: 1 }),
+            EntryCount::Alone => Some(EntryPosition { index: 0, entries: 1 }),
         };
-        let settings = BoardSettings::builder().zone(zone_name(zone)).per_rank(3).rank_limit(12);
-        let mut desk = PlaceDesk::new(settings.seed(index as u64).build());
+        let settings = BalancerSettings::builder().zone(zone_name(zone)).per_rank(3).rank_limit(12);
+        let mut desk = RequestScheduler::new(settings.seed(index as u64).build());
         desk.sync(&self.book);
-        desk.set_place(place);
+        desk.set_entry_position(place);
         let clock_ahead = self.random.random_range(0..=self.settings.clocks_apart);
         let frozen_until = if index < self.settings.frozen { 12_000 } else { 0 };
         PlayedEntry {
             desk,
             clock_ahead,
             frozen_until,
-            notes: NoteBoard::default(),
+            notes: NoteStore::default(),
             told: HashMap::new(),
             life,
         }
@@ -271,11 +271,11 @@
         }
         let (now, zone_now) = (self.clock(entry, at), UnixMillis(at + 77));
         let zone = entry % self.settings.zones;
-        for note in self.entries[entry].notes.told(now) {
-            self.zones[zone].take(note.aged(now).placed(zone_now));
+        for note in self.entries[entry].notes.current(now) {
+            self.zones[zone].take(note.aged(now).to_local(zone_now));
         }
-        for note in self.zones[zone].told(zone_now) {
-            self.entries[entry].desk.told_by_other(&note.aged(zone_now).placed(now), now);
+        for note in self.zones[zone].current(zone_now) {
+            self.entries[entry].desk.apply_note(&note.aged(zone_now).to_local(now), now);
         }
     }
 
@@ -289,7 +289,7 @@
         let at = if frozen { self.entries[entry].frozen_until } else { at };
         let now = self.clock(entry, at);
         let priority = u8::from(self.random.random::<f64>() > 0.2) + 1;
-        let demand = PlaceDemand {
+        let demand = SlotRequest {
             service: self.service.clone(),
             ranked: false,
             work: RequestWork::default(),
@@ -298,18 +298,18 @@
             arrival: now,
             latency_millis: LATENCY,
             deadline: UnixDeadline::after(now, PATIENCE),
-            turn: RequestTurn::First,
+            class: QueueClass::First,
         };
         let desk = &mut self.entries[entry].desk;
-        match desk.ask(&demand, now) {
-            DeskAnswer::Place(chosen) => self.send(entry, &chosen, priority, at),
-            DeskAnswer::Wait(_until) => {
-                desk.keep(demand, at + LATENCY);
+        match desk.decide(&demand, now) {
+            SlotDecision::Assign(chosen) => self.send(entry, &chosen, priority, at),
+            SlotDecision::Wait(_until) => {
+                desk.enqueue(demand, at + LATENCY);
                 self.next_turn(entry, at);
             }
-            DeskAnswer::Refuse(error) => {
+            SlotDecision::Refuse(error) => {
                 self.report.refused += 1;
-                self.report.refused_limited += usize::from(error == PlaceError::Limited);
+                self.report.refused_limited += usize::from(error == SlotError::Limited);
             }
         }
     }
@@ -325,7 +325,7 @@
         let now = self.clock(entry, at);
         let waits = |until: &u64| *until > at;
         while let Some((_until, chosen, _work)) =
-            self.entries[entry].desk.next_served(&self.service, waits, now)
+            self.entries[entry].desk.next_ready(&self.service, waits, now)
         {
             self.send(entry, &chosen, 0, at);
         }
@@ -353,8 +353,8 @@
             .needs
             .iter()
             .find(|need| need.target == target && (need.from..need.until).contains(&at));
-        let limit = named.map_or(NamedValue::Absent, |need| NamedValue::Named(RequestRate(need.limit)));
-        let word = TargetWord { limit, certain: true, ..TargetWord::default() };
+        let limit = named.map_or(SignalValue::Absent, |need| SignalValue::Present(RequestRate(need.limit)));
+        let word = BackpressureSignals { limit, matches_request: true, ..BackpressureSignals::default() };
         let (clock_sent, now) = (self.clock(entry, sent), self.clock(entry, at));
         let record = self.book.records().find(|record| self.targets[&record.life()] == target);
         let target_life = record.expect("targets stay").life();
@@ -362,8 +362,8 @@
         if named.is_some() {
             played.told.entry(target).or_insert(at);
         }
-        let changes = played.desk.told(&target_life, &word, clock_sent, now);
-        let lifted = changes.iter().any(|noted| matches!(noted.change, NeedChange::Lifted(_)));
+        let changes = played.desk.apply_signals(&target_life, &word, clock_sent, now);
+        let lifted = changes.iter().any(|noted| matches!(noted.change, BackpressureChange::Lifted(_)));
         let limit = named.map(|need| RequestRate(need.limit));
         if limit.is_some() || lifted {
             let as_of = if lifted { clock_sent } else { now };
--- a/crates/porthoist-policy/tests/policy/proxy.rs
+++ b/crates/porthoist-policy/tests/policy/proxy.rs
@@ -1,17 +1,17 @@
 //! Decisions for requests that are passed on as they are.
 
 use porthoist_core::{BirthMillis, ServiceName, TargetName, UnixDeadline, UnixMillis};
-use porthoist_policy::proxy::cold::ColdWord;
+use porthoist_policy::proxy::balancer::{BalancerSettings, LoadBalancer, RequestWork, SendOutcome};
+use porthoist_policy::proxy::cold::ColdStatus;
 use porthoist_policy::proxy::freshness::{FreshnessProof, StampedAnswer};
-use porthoist_policy::proxy::placement::{BoardSettings, LoadBoard, RequestWork, SendOutcome};
-use porthoist_policy::proxy::retry_share::{RetryShare, ShareSettings};
+use porthoist_policy::proxy::retry_share::{RetryShare, RetryShareSettings};
 use porthoist_policy::proxy::routes::{
     CallerLimits, ConfigVersion, RouteError, RouteKind, RouteRule, RouteTable, TeamGrant, WeightedService,
 };
 use porthoist_policy::proxy::targets::{
-    AnswerGap, BeliefBound, TargetBook, TargetChange, TargetLife, TargetRecord, TargetState,
+    AnswerGap, StalenessBound, TargetChange, TargetLife, TargetRecord, TargetRegistry, TargetState,
 };
-use porthoist_policy::proxy::waiting::{RequestTurn, WaitList};
+use porthoist_policy::proxy::waiting::{QueueClass, WaitList};
 use std::collections::HashMap;
 use test_case::test_case;
 
@@ -28,7 +28,7 @@
         kind: RouteKind::Repeatable,
         timeout_millis: 1_000,
         target_latency_millis: 500,
-        pause_aim_millis: 120,
+        target_pause_millis: 120,
         priority: 1,
         max_attempts: 2,
         public: prefix.contains("public"),
@@ -84,33 +84,33 @@
 fn a_long_wait_proves_freshness_up_to_its_end() {
     let mut proof = FreshnessProof::default();
     assert_eq!(proof.age(UnixMillis(5_000)), None);
-    proof.answered(answer(1_000, 1_004, 50));
+    proof.record_answer(answer(1_000, 1_004, 50));
     assert_eq!(proof.age(UnixMillis(1_004)), Some(4));
     // Asked at 1,010, answered by the service at 1,850 of its clock.
-    proof.answered(answer(1_010, 2_804, 1_850));
+    proof.record_answer(answer(1_010, 2_804, 1_850));
     assert_eq!(proof.age(UnixMillis(2_804)), Some(4));
 }
 
 #[test]
 fn an_answer_that_was_long_on_its_way_proves_no_more_than_it_may() {
     let mut proof = FreshnessProof::default();
-    proof.answered(answer(1_000, 1_004, 50));
+    proof.record_answer(answer(1_000, 1_004, 50));
     // The process slept between the service's answer and its reading.
-    proof.answered(answer(1_010, 9_000, 60));
+    proof.record_answer(answer(1_010, 9_000, 60));
     assert_eq!(proof.age(UnixMillis(9_000)), Some(7_990));
 }
 
 #[test]
 fn a_service_whose_clock_began_anew_is_trusted_from_the_question_on() {
     let mut proof = FreshnessProof::default();
-    proof.answered(answer(10_000, 10_004, 9_000));
-    proof.answered(answer(20_000, 20_004, 5));
+    proof.record_answer(answer(10_000, 10_004, 9_000));
+    proof.record_answer(answer(20_000, 20_004, 5));
     assert_eq!(proof.age(UnixMillis(20_004)), Some(4));
 }
 
 #[test]
 fn repeats_stay_within_the_share_of_a_sliding_window() {
-    let mut share = RetryShare::new(ShareSettings { ratio: 0.1, slack: 1.0, window_millis: 1_000 });
+    let mut share = RetryShare::new(RetryShareSettings { ratio: 0.1, slack: 1.0, window_millis: 1_000 });
     for millis in 0..20 {
         share.first(UnixMillis(millis));
     }
@@ -134,43 +134,43 @@
         zone: name("a"),
         slots: 2,
         state,
-        cold: ColdWord::Unsaid,
+        cold: ColdStatus::Unknown,
     }
 }
 
 #[test]
 fn a_newer_life_at_an_address_ends_the_older_one() {
     let row = |id: &str| TargetRecord { id: name(id), ..record("t1", TargetState::Ready) };
-    let mut book = TargetBook::default();
-    book.listed(vec![row("old"), row("newer"), record("t2", TargetState::Ready)], None);
+    let mut book = TargetRegistry::default();
+    book.apply_listing(vec![row("old"), row("newer"), record("t2", TargetState::Ready)], None);
     assert_eq!(ids(&book), ["newer", "t2"]);
-    book.changed(vec![TargetChange::Put(row("newest"))], None);
+    book.apply_changes(vec![TargetChange::Put(row("newest"))], None);
     assert_eq!(ids(&book), ["newest", "t2"]);
     // The older row's end says nothing of the newer one.
-    book.changed(vec![TargetChange::Gone(name("newer"))], None);
+    book.apply_changes(vec![TargetChange::Gone(name("newer"))], None);
     assert_eq!(ids(&book), ["newest", "t2"]);
     // A row that lapses while the table service is away has no grace where another life has its address.
-    book.listed(vec![row("last")], Some(UnixDeadline(UnixMillis(100))));
+    book.apply_listing(vec![row("last")], Some(UnixDeadline(UnixMillis(100))));
     assert_eq!(ids(&book), ["last", "t2"]);
 }
 
 /// Guards against a row from a backup ending the target that has since taken over its address.
 #[test]
 fn backup_row_does_not_end_newer_life_at_its_address() {
-    let mut book = TargetBook::default();
+    let mut book = TargetRegistry::default();
     let row =
         |id: &str| TargetRecord { address: ([10, 0, 0, 9], 80).into(), ..record(id, TargetState::Ready) };
-    book.listed(vec![row("t1")], None);
-    book.changed(vec![row("t2").into()], None);
+    book.apply_listing(vec![row("t1")], None);
+    book.apply_changes(vec![row("t2").into()], None);
     book.restored(UnixMillis(0));
-    book.listed(vec![row("t1")], Some(UnixDeadline(UnixMillis(100))));
+    book.apply_listing(vec![row("t1")], Some(UnixDeadline(UnixMillis(100))));
     assert_eq!(ids(&book), ["t2"]);
-    book.changed(vec![row("t2").into()], None);
-    book.listed(vec![row("t1"), row("t2")], None);
+    book.apply_changes(vec![row("t2").into()], None);
+    book.apply_listing(vec![row("t1"), row("t2")], None);
     assert_eq!(ids(&book), ["t2"]);
 }
 
-fn ids(book: &TargetBook) -> Vec<String> {
+fn ids(book: &TargetRegistry) -> Vec<String> {
     let mut ids: Vec<String> = book.records().map(|record| record.id.to_string()).collect();
     ids.sort();
     ids
@@ -178,24 +178,24 @@
 
 #[test]
 fn a_row_that_is_missing_is_gone_at_once_in_calm_times() {
-    let mut book = TargetBook::default();
-    book.listed(vec![record("t1", TargetState::Ready), record("t2", TargetState::Ready)], None);
-    book.listed(vec![record("t1", TargetState::Ready)], None);
+    let mut book = TargetRegistry::default();
+    book.apply_listing(vec![record("t1", TargetState::Ready), record("t2", TargetState::Ready)], None);
+    book.apply_listing(vec![record("t1", TargetState::Ready)], None);
     assert_eq!(ids(&book), ["t1"]);
-    book.changed(vec![TargetChange::Gone(name("t1"))], None);
+    book.apply_changes(vec![TargetChange::Gone(name("t1"))], None);
     assert_eq!(ids(&book), Vec::<String>::new());
 }
 
 #[test]
 fn a_row_that_is_missing_after_an_outage_has_a_grace() {
     let grace = Some(UnixDeadline(UnixMillis(100)));
-    let mut book = TargetBook::default();
-    book.listed(["t1", "t2", "t3"].map(|id| record(id, TargetState::Ready)), None);
-    book.listed(vec![record("t1", TargetState::Ready)], grace);
-    book.changed(vec![TargetChange::Gone(name("t1"))], grace);
+    let mut book = TargetRegistry::default();
+    book.apply_listing(["t1", "t2", "t3"].map(|id| record(id, TargetState::Ready)), None);
+    book.apply_listing(vec![record("t1", TargetState::Ready)], grace);
+    book.apply_changes(vec![TargetChange::Gone(name("t1"))], grace);
     assert_eq!(ids(&book), ["t1", "t2", "t3"]);
     // A second listing does not extend it, and a row that is back needs none.
-    book.listed(vec![record("t2", TargetState::Ready)], Some(UnixDeadline(UnixMillis(900))));
+    book.apply_listing(vec![record("t2", TargetState::Ready)], Some(UnixDeadline(UnixMillis(900))));
     assert_eq!(book.expire(UnixMillis(99)), Vec::<TargetName>::new());
     let mut expired = book.expire(UnixMillis(100));
     expired.sort();
@@ -211,7 +211,7 @@
 #[test_case(11_700 => None; "removed later")]
 fn grace_after_an_outage_counts_from_the_return(now: u64) -> Option<u64> {
     let gap = AnswerGap { asked: UnixMillis(9_500), returned: UnixMillis(10_000) };
-    gap.grace(BeliefBound::default(), UnixMillis(now)).map(|end| end.0.0)
+    gap.grace(StalenessBound::default(), UnixMillis(now)).map(|end| end.0.0)
 }
 
 /// A question sent at 6 s had no answer until 10 s: its connection may have been silent since 6 s. A target that left at
@@ -220,19 +220,19 @@
 #[test_case(10_400 => None; "removed later")]
 fn grace_ends_when_a_belief_from_before_the_gap_would_be_too_old(now: u64) -> Option<u64> {
     let gap = AnswerGap { asked: UnixMillis(6_000), returned: UnixMillis(10_000) };
-    gap.grace(BeliefBound::default(), UnixMillis(now)).map(|end| end.0.0)
+    gap.grace(StalenessBound::default(), UnixMillis(now)).map(|end| end.0.0)
 }
 
-fn board(records: Vec<TargetRecord>) -> LoadBoard {
-    let mut book = TargetBook::default();
-    book.listed(records, None);
-    let settings = BoardSettings::builder().zone(name("a")).per_rank(3).rank_limit(12).seed(1).build();
-    let mut board = LoadBoard::new(settings);
+fn board(records: Vec<TargetRecord>) -> LoadBalancer {
+    let mut book = TargetRegistry::default();
+    book.apply_listing(records, None);
+    let settings = BalancerSettings::builder().zone(name("a")).per_rank(3).rank_limit(12).seed(1).build();
+    let mut board = LoadBalancer::new(settings);
     board.sync(&book);
     board
 }
 
-fn choose(board: &mut LoadBoard, now: u64) -> Option<String> {
+fn choose(board: &mut LoadBalancer, now: u64) -> Option<String> {
     let service: ServiceName = name("s");
     let chosen = board.choose(&service, false, RequestWork::default(), &[], UnixMillis(now))?;
     Some(chosen.record.id.to_string())
@@ -256,7 +256,7 @@
     assert!(choose(&mut board, 0).is_some() && choose(&mut board, 0).is_some());
     assert!(board.ended(&life("t1"), work, SendOutcome::Gone, UnixMillis(1)));
     board.ended(&life("t2"), work, SendOutcome::Answered(1.0), UnixMillis(1));
-    let later = |board: &mut LoadBoard| choose(board, 60_000);
+    let later = |board: &mut LoadBalancer| choose(board, 60_000);
     assert_eq!(
         [later(&mut board), later(&mut board), later(&mut board)],
         [Some("t2".into()), Some("t2".into()), None]
@@ -272,7 +272,7 @@
 #[test]
 fn a_target_that_fails_in_a_row_rests_and_is_tried_again() {
     let mut board = board(vec![record("t1", TargetState::Ready)]);
-    let fail = |board: &mut LoadBoard, now: u64| {
+    let fail = |board: &mut LoadBalancer, now: u64| {
         assert!(choose(board, now).is_some());
         board.ended(&life("t1"), RequestWork::default(), SendOutcome::Failed, UnixMillis(now))
     };
@@ -296,10 +296,10 @@
 #[test_case(SendOutcome::Gone; "after another target was found at its address")]
 #[test_case(SendOutcome::Answered(9_000.0); "after slow answers")]
 fn a_new_life_under_the_same_identifier_begins_with_nothing(outcome: SendOutcome) {
-    let mut book = TargetBook::default();
-    book.listed([born("t1", 100)], None);
-    let settings = BoardSettings::builder().zone(name("a")).per_rank(3).rank_limit(12).seed(1).build();
-    let mut board = LoadBoard::new(settings);
+    let mut book = TargetRegistry::default();
+    book.apply_listing([born("t1", 100)], None);
+    let settings = BalancerSettings::builder().zone(name("a")).per_rank(3).rank_limit(12).seed(1).build();
+    let mut board = LoadBalancer::new(settings);
     board.sync(&book);
     let old = born("t1", 100).life();
     // As often as it is still chosen.
@@ -311,7 +311,7 @@
     }
     // One more is still under way there.
     let open = choose(&mut board, 0).is_some();
-    book.changed([TargetChange::Put(born("t1", 200))].into(), None);
+    book.apply_changes([TargetChange::Put(born("t1", 200))].into(), None);
     board.sync(&book);
     let new = born("t1", 200).life();
     assert_eq!((board.in_flight(&old), board.in_flight(&new)), (u32::from(open), 0));
@@ -326,30 +326,30 @@
 fn a_row_of_an_unknown_service_ends_nobody() {
     let foreign =
         TargetRecord { id: name("x"), service: name("unnamed"), ..record("t1", TargetState::Ready) };
-    let mut book = TargetBook::default();
-    book.listed([record("t1", TargetState::Ready)], None);
-    assert!(!book.name_services([name("s")]), "all that is known is named");
-    book.changed(vec![TargetChange::Put(foreign.clone())], None);
+    let mut book = TargetRegistry::default();
+    book.apply_listing([record("t1", TargetState::Ready)], None);
+    assert!(!book.set_services([name("s")]), "all that is known is named");
+    book.apply_changes(vec![TargetChange::Put(foreign.clone())], None);
     assert_eq!(ids(&book), ["t1", "x"]);
-    book.changed(
+    book.apply_changes(
         vec![TargetChange::Put(TargetRecord { id: name("t9"), ..record("t1", TargetState::Ready) })],
         None,
     );
     assert_eq!(ids(&book), ["t9"]);
     // Before services are known, it may have ended a target: then all are to be listed anew.
-    let mut early = TargetBook::default();
-    early.listed([record("t1", TargetState::Ready), foreign], None);
-    assert!(early.name_services([name("s")]));
+    let mut early = TargetRegistry::default();
+    early.apply_listing([record("t1", TargetState::Ready), foreign], None);
+    assert!(early.set_services([name("s")]));
 }
 
 #[test]
 fn a_row_that_became_unusable_has_no_grace() {
     let grace = Some(UnixDeadline(UnixMillis(100)));
-    let mut book = TargetBook::default();
-    book.listed(["t1", "t2", "t3"].map(|id| record(id, TargetState::Ready)), None);
-    book.changed(vec![TargetChange::Unusable(name("t1"))], grace);
+    let mut book = TargetRegistry::default();
+    book.apply_listing(["t1", "t2", "t3"].map(|id| record(id, TargetState::Ready)), None);
+    book.apply_changes(vec![TargetChange::Unusable(name("t1"))], grace);
     assert_eq!(ids(&book), ["t2", "t3"]);
-    book.listed([TargetChange::Unusable(name("t2")), record("t3", TargetState::Ready).into()], grace);
+    book.apply_listing([TargetChange::Unusable(name("t2")), record("t3", TargetState::Ready).into()], grace);
     assert_eq!(ids(&book), ["t3"]);
     assert_eq!(book.next_expiry(), None);
 }
@@ -357,15 +357,15 @@
 #[test]
 fn who_waits_is_served_by_priority_then_turn_then_arrival() {
     let mut list = WaitList::default();
-    list.add(2, RequestTurn::First, "low");
-    list.add(1, RequestTurn::Returned, "returned");
-    list.add(1, RequestTurn::First, "first");
-    let gone = list.add(1, RequestTurn::First, "gone");
-    list.add(1, RequestTurn::First, "second");
-    list.add(1, RequestTurn::Repeated, "repeated");
+    list.add(2, QueueClass::First, "low");
+    list.add(1, QueueClass::CallerRetry, "returned");
+    list.add(1, QueueClass::First, "first");
+    let gone = list.add(1, QueueClass::First, "gone");
+    list.add(1, QueueClass::First, "second");
+    list.add(1, QueueClass::Resent, "repeated");
     assert_eq!(list.remove(gone), Some("gone"));
     let ahead =
-        [RequestTurn::Repeated, RequestTurn::First, RequestTurn::Returned].map(|turn| list.ahead(1, turn));
+        [QueueClass::Resent, QueueClass::First, QueueClass::CallerRetry].map(|turn| list.ahead(1, turn));
     assert_eq!(ahead, [1, 3, 4]);
     let order: Vec<&str> = std::iter::from_fn(|| list.pop()).collect();
     assert_eq!(order, ["repeated", "first", "second", "returned", "low"]);
--- a/crates/porthoist-policy/tests/policy/quarantine.rs
+++ b/crates/porthoist-policy/tests/policy/quarantine.rs
@@ -2,8 +2,8 @@
 
 use porthoist_core::{MarkedHead, RequestMark, UnixMillis};
 use porthoist_policy::proxy::quarantine::{
-    CERTAIN_DEATHS, CrashKey, CrashReport, CrashRows, DeathVerdict, HOLD_MILLIS, MOST_MARKS,
-    QUARANTINE_MILLIS, QuarantineBook, QuarantineRules, SendPermit, SuspicionLevel,
+    CERTAIN_DEATHS, CrashKey, CrashReport, CrashRows, DeathOutcome, HOLD_MILLIS, MAX_MARKS,
+    QUARANTINE_MILLIS, QuarantineRules, QuarantineTracker, SendPermit, SuspicionLevel,
 };
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
@@ -26,8 +26,8 @@
     CrashReport { died: at(millis), ranked, by: "a".into() }
 }
 
-fn level(book: &QuarantineBook, body: &str, millis: u64) -> Option<SuspicionLevel> {
-    book.standing(&mark(body), at(millis)).map(|kept| kept.level)
+fn level(book: &QuarantineTracker, body: &str, millis: u64) -> Option<SuspicionLevel> {
+    book.status(&mark(body), at(millis)).map(|kept| kept.level)
 }
 
 #[test_case(false, 0, None, 0; "nothing is known")]
@@ -37,13 +37,13 @@
 #[test_case(false, 3, Some(SuspicionLevel::Quarantined), QUARANTINE_MILLIS; "three targets")]
 #[test_case(true, 4, Some(SuspicionLevel::Quarantined), 2 * QUARANTINE_MILLIS; "four ranks")]
 fn deaths_keep_a_request_back(ranked: bool, deaths: usize, expected: Option<SuspicionLevel>, kept: u64) {
-    let mut book = QuarantineBook::default();
+    let mut book = QuarantineTracker::default();
     for index in 0..deaths {
         book.died(&key("x", &format!("t{index}")), report(0, ranked), at(0));
     }
     assert_eq!(level(&book, "x", 0), expected);
     assert_eq!(level(&book, "another", 0), None);
-    let until = book.standing(&mark("x"), at(0)).map_or(0, |standing| standing.until.0.since(at(0)));
+    let until = book.status(&mark("x"), at(0)).map_or(0, |standing| standing.until.0.since(at(0)));
     if expected == Some(SuspicionLevel::Held) {
         assert!((kept..=kept + kept / 2).contains(&until), "{until}");
     } else {
@@ -65,39 +65,39 @@
 
 #[test]
 fn one_whole_answer_clears_and_trusts_some_time() {
-    let mut book = QuarantineBook::default();
+    let mut book = QuarantineTracker::default();
     book.died(&key("hot", "t0"), report(0, true), at(0));
     assert_eq!(book.answered(&mark("hot"), at(10)), [key("hot", "t0")]);
     assert_eq!(level(&book, "hot", 10), None);
     let verdict = book.died(&key("hot", "t1"), report(19_000, true), at(19_000));
-    assert_eq!(verdict, DeathVerdict::Trusted);
+    assert_eq!(verdict, DeathOutcome::Trusted);
     let verdict = book.died(&key("hot", "t2"), report(30_000, true), at(30_000));
-    assert_eq!(verdict, DeathVerdict::Held { level: SuspicionLevel::Held, deaths: 1 });
+    assert_eq!(verdict, DeathOutcome::Held { level: SuspicionLevel::Held, deaths: 1 });
 }
 
 #[test]
 fn what_others_saw_counts_and_a_removed_row_lifts_it() {
-    let mut book = QuarantineBook::default();
+    let mut book = QuarantineTracker::default();
     let mut rows: CrashRows = CrashRows::new();
     for target in ["t0", "t1", "t2"] {
         rows.insert(key("x", target), report(0, true));
     }
-    let changes = book.told(&rows, true, at(500));
+    let changes = book.apply_rows(&rows, true, at(500));
     assert_eq!(changes.heard, [(mark("x"), SuspicionLevel::Quarantined, 3)]);
     // An operator removes them.
-    let changes = book.told(&CrashRows::new(), false, at(900));
+    let changes = book.apply_rows(&CrashRows::new(), false, at(900));
     assert_eq!(changes.lifted, [mark("x")]);
     assert_eq!(book.begin(&mark("x"), at(900)), Ok(SendPermit::Clear));
 }
 
 #[test]
 fn an_own_death_stands_until_the_table_has_shown_it() {
-    let mut book = QuarantineBook::default();
+    let mut book = QuarantineTracker::default();
     book.died(&key("x", "t0"), report(0, true), at(0));
-    book.told(&CrashRows::new(), true, at(10));
+    book.apply_rows(&CrashRows::new(), true, at(10));
     assert_eq!(level(&book, "x", 10), Some(SuspicionLevel::Held), "the table service was away");
-    book.told(&CrashRows::from([(key("x", "t0"), report(0, true))]), false, at(20));
-    book.told(&CrashRows::new(), false, at(30));
+    book.apply_rows(&CrashRows::from([(key("x", "t0"), report(0, true))]), false, at(20));
+    book.apply_rows(&CrashRows::new(), false, at(30));
     assert_eq!(level(&book, "x", 30), None);
 }
 
@@ -105,42 +105,42 @@
 #[test_case(true, 9_999_999_999, 1_000_500 + HOLD_MILLIS; "but not where it lies ahead")]
 #[test_case(false, 5, 1_000_500 + HOLD_MILLIS; "later, news are of now")]
 fn clocks_of_other_hosts_shift_little(first: bool, died: u64, until: u64) {
-    let mut book = QuarantineBook::default();
+    let mut book = QuarantineTracker::default();
     let report = CrashReport { died: UnixMillis(died), ..report(0, true) };
-    book.told(&CrashRows::from([(key("x", "t0"), report)]), first, at(500));
-    let kept = book.standing(&mark("x"), at(500)).unwrap();
+    book.apply_rows(&CrashRows::from([(key("x", "t0"), report)]), first, at(500));
+    let kept = book.status(&mark("x"), at(500)).unwrap();
     let spread = kept.until.0.since(UnixMillis(until));
     assert!(kept.until.0 >= UnixMillis(until) && spread <= HOLD_MILLIS / 2, "{kept:?}");
 }
 
 #[test]
 fn what_no_longer_counts_is_removed_by_its_writer_and_later_by_others() {
-    let mut book = QuarantineBook::default();
+    let mut book = QuarantineTracker::default();
     let rows = CrashRows::from([(key("x", "t0"), report(0, true))]);
-    book.told(&rows, true, at(0));
-    let forgotten = 2 * book.standing(&mark("x"), at(0)).unwrap().until.0.since(at(0));
-    assert_eq!(book.lapsed("a", 0.5, at(forgotten - 1)), []);
+    book.apply_rows(&rows, true, at(0));
+    let forgotten = 2 * book.status(&mark("x"), at(0)).unwrap().until.0.since(at(0));
+    assert_eq!(book.take_expired("a", 0.5, at(forgotten - 1)), []);
     assert_eq!(book.begin(&mark("x"), at(forgotten)), Ok(SendPermit::Clear));
-    assert_eq!(book.lapsed("b", 0.5, at(forgotten + 29_999)), []);
-    assert_eq!(book.lapsed("a", 0.5, at(forgotten)), [key("x", "t0")]);
-    assert_eq!(book.lapsed("a", 0.5, at(forgotten + 1)), [], "once");
-    let mut other = QuarantineBook::default();
-    other.told(&rows, true, at(0));
-    assert_eq!(other.lapsed("b", 0.5, at(forgotten + 45_000)), [key("x", "t0")]);
+    assert_eq!(book.take_expired("b", 0.5, at(forgotten + 29_999)), []);
+    assert_eq!(book.take_expired("a", 0.5, at(forgotten)), [key("x", "t0")]);
+    assert_eq!(book.take_expired("a", 0.5, at(forgotten + 1)), [], "once");
+    let mut other = QuarantineTracker::default();
+    other.apply_rows(&rows, true, at(0));
+    assert_eq!(other.take_expired("b", 0.5, at(forgotten + 45_000)), [key("x", "t0")]);
 }
 
 #[test]
 fn the_book_is_bounded_and_keeps_what_is_certain() {
-    let mut book = QuarantineBook::default();
+    let mut book = QuarantineTracker::default();
     for target in ["t0", "t1", "t2"] {
         book.died(&key("killer", target), report(0, true), at(0));
     }
     let mut removed = Vec::new();
-    for index in 0..MOST_MARKS + 50 {
+    for index in 0..MAX_MARKS + 50 {
         book.died(&key(&format!("b{index}"), "t9"), report(1 + index as u64, true), at(1));
-        removed.extend(book.drop_beyond());
+        removed.extend(book.evict_excess());
     }
-    assert_eq!(book.len(), MOST_MARKS);
+    assert_eq!(book.len(), MAX_MARKS);
     assert_eq!(removed.len(), 51);
     assert_eq!(removed[0], key("b0", "t9"), "the oldest goes first");
     assert_eq!(level(&book, "killer", 1), Some(SuspicionLevel::Quarantined));
@@ -162,7 +162,7 @@
 /// Several hosts, targets that die of one request or of nothing, and a table that hosts hear of late.
 struct Fleet {
     random: Pcg64Mcg,
-    books: Vec<QuarantineBook>,
+    books: Vec<QuarantineTracker>,
     /// When each host hears of the table again, at most [`HEAR_MILLIS`] after a change.
     hears: Vec<u64>,
     rows: CrashRows,
@@ -187,7 +187,7 @@
     fn new(seed: u64, rules: QuarantineRules) -> Self {
         Self {
             random: Pcg64Mcg::seed_from_u64(seed),
-            books: (0..HOSTS).map(|_host| QuarantineBook::new(rules)).collect(),
+            books: (0..HOSTS).map(|_host| QuarantineTracker::new(rules)).collect(),
             hears: vec![0; HOSTS],
             rows: CrashRows::new(),
             targets: vec![(0, 0); TARGETS],
@@ -201,11 +201,11 @@
     fn tell(&mut self) {
         for host in 0..HOSTS {
             if self.hears[host] <= self.now {
-                let changes = self.books[host].told(&self.rows, false, at(self.now));
+                let changes = self.books[host].apply_rows(&self.rows, false, at(self.now));
                 for row in changes.remove {
                     self.rows.remove(&row);
                 }
-                for row in self.books[host].lapsed("a", 0.0, at(self.now)) {
+                for row in self.books[host].take_expired("a", 0.0, at(self.now)) {
                     self.rows.remove(&row);
                 }
                 self.hears[host] = self.now + self.random.random_range(0..HEAR_MILLIS);
@@ -257,7 +257,7 @@
                 let report = report(self.now, false);
                 let row = CrashKey { mark: mark(body), target: life.as_str().into() };
                 let verdict = self.books[*host].died(&row, report.clone(), at(self.now));
-                if matches!(verdict, DeathVerdict::Held { .. }) {
+                if matches!(verdict, DeathOutcome::Held { .. }) {
                     self.rows.insert(row, report);
                 }
             } else {
@@ -279,8 +279,8 @@
         // A host may begin anew, and knows what the table says.
         if self.random.random_range(0..400) == 0 {
             let host = self.random.random_range(0..HOSTS);
-            self.books[host] = QuarantineBook::default();
-            self.books[host].told(&self.rows, true, at(self.now));
+            self.books[host] = QuarantineTracker::default();
+            self.books[host].apply_rows(&self.rows, true, at(self.now));
         }
     }
 
@@ -336,16 +336,16 @@
 fn rows_lost_in_a_restore_are_rewritten_by_their_writer_and_later_by_others() {
     let rows: CrashRows = [(key("x", "t0"), report(0, true))].into();
     let mut books = ["a", "b", "c"].map(|own| {
-        let mut book = QuarantineBook::default();
-        book.told(&rows, true, at(0));
+        let mut book = QuarantineTracker::default();
+        book.apply_rows(&rows, true, at(0));
         book.schedule_rewrites(&CrashRows::new(), own, 0.5, at(10));
-        book.told(&CrashRows::new(), true, at(10));
+        book.apply_rows(&CrashRows::new(), true, at(10));
         assert_eq!(level(&book, "x", 10), Some(SuspicionLevel::Held));
         book
     });
     assert_eq!(books[0].take_due_rewrites(at(10)), [(key("x", "t0"), report(0, true))]);
     assert_eq!(books[0].take_due_rewrites(at(20)), []);
-    books[1].told(&rows, false, at(20));
+    books[1].apply_rows(&rows, false, at(20));
     assert_eq!(books[1].take_due_rewrites(at(10_000)), []);
     assert_eq!(books[2].take_due_rewrites(at(2_000)), []);
     assert_eq!(books[2].take_due_rewrites(at(3_010)).len(), 1);
--- a/crates/porthoist-proxy/src/broker.rs
+++ b/crates/porthoist-proxy/src/broker.rs
@@ -1,18 +1,18 @@
 //! Gives each request a place at a target, or lets it wait for one, as the desk decides.
 
 use porthoist_core::{ClockSource, ServiceName, UnixDeadline, UnixMillis};
+use porthoist_policy::proxy::backpressure::{BackpressureChange, BackpressureSignals, ObservedChange};
+use porthoist_policy::proxy::balancer::{
+    BalancerSettings, ChosenTarget, ReportedRequests, RequestWork, SendOutcome,
+};
 use porthoist_policy::proxy::cold::ColdRule;
-use porthoist_policy::proxy::desk::{DeskAnswer, PlaceDesk};
 use porthoist_policy::proxy::loads::GroupLoads;
-use porthoist_policy::proxy::moving::{MoveCause, WaitingSend};
-use porthoist_policy::proxy::needs::{NeedChange, NotedChange, TargetWord};
+use porthoist_policy::proxy::moving::{MoveCause, PendingSend};
 use porthoist_policy::proxy::notes::TargetNote;
-use porthoist_policy::proxy::paces::GroupChoice;
-use porthoist_policy::proxy::placement::{
-    BoardSettings, ChosenTarget, ReportedRequests, RequestWork, SendOutcome,
-};
-use porthoist_policy::proxy::targets::{TargetBook, TargetLife, TargetRecord};
-use porthoist_policy::proxy::turns::{EntryPlace, TargetRate};
+use porthoist_policy::proxy::scheduler::{RequestScheduler, SlotDecision};
+use porthoist_policy::proxy::service_groups::GroupSnapshot;
+use porthoist_policy::proxy::targets::{TargetLife, TargetRecord, TargetRegistry};
+use porthoist_policy::proxy::turns::{EntryPosition, TargetRate};
 use porthoist_policy::proxy::zones::EmptiedZones;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -21,10 +21,10 @@
 use std::sync::Arc;
 use tokio::sync::oneshot;
 
-pub use porthoist_policy::proxy::desk::{PlaceDemand, PlaceError};
+pub use porthoist_policy::proxy::scheduler::{SlotError, SlotRequest};
 
 /// Settings of a broker.
-pub type BrokerSettings = BoardSettings;
+pub type BrokerSettings = BalancerSettings;
 
 /// Takes the target of a request that waited; dropped when the request is to be refused.
 type PlaceReply = oneshot::Sender<TargetPlace>;
@@ -32,7 +32,7 @@
 /// The broker; clones share one state.
 #[derive(Clone)]
 pub struct PlaceBroker {
-    desk: Rc<RefCell<PlaceDesk<PlaceReply>>>,
+    desk: Rc<RefCell<RequestScheduler<PlaceReply>>>,
     clock: Arc<dyn ClockSource>,
 }
 
@@ -51,7 +51,7 @@
     /// What engines had reported of the target when it was chosen.
     pub report: Option<ReportedRequests>,
     /// How the target's group did when it was chosen, if it is known to be a rank of one.
-    pub group: Option<GroupChoice>,
+    pub group: Option<GroupSnapshot>,
     /// What bounds the requests that the target takes, within which it was chosen.
     pub rate: Option<TargetRate>,
     /// When it was given.
@@ -83,11 +83,11 @@
 impl PlaceBroker {
     /// A broker without targets.
     pub fn new(settings: BrokerSettings, clock: Arc<dyn ClockSource>) -> Self {
-        Self { desk: Rc::new(RefCell::new(PlaceDesk::new(settings))), clock }
+        Self { desk: Rc::new(RefCell::new(RequestScheduler::new(settings))), clock }
     }
 
     /// Takes the targets believed in now, what operators say of them, and serves those who waited for one.
-    pub fn sync(&self, book: &TargetBook, rules: HashMap<ServiceName, ColdRule>, zones: &EmptiedZones) {
+    pub fn sync(&self, book: &TargetRegistry, rules: HashMap<ServiceName, ColdRule>, zones: &EmptiedZones) {
         let mut desk = self.desk.borrow_mut();
         desk.set_cold_rules(rules);
         desk.set_emptied(zones, self.clock.now());
@@ -101,21 +101,21 @@
 
     /// Targets that count as cold now.
     pub fn cold(&self) -> usize {
-        self.desk.borrow().cold(self.clock.now())
+        self.desk.borrow().cold_targets(self.clock.now())
     }
 
     fn awaited(&self) -> Vec<ServiceName> {
-        self.desk.borrow().awaited()
+        self.desk.borrow().awaited_services()
     }
 
     /// Takes the loads that the engines of a group reported, and serves those who waited for room.
     pub fn take_loads(&self, loads: &GroupLoads) {
-        self.desk.borrow_mut().take_loads(loads, self.clock.now());
+        self.desk.borrow_mut().update_loads(loads, self.clock.now());
         self.serve_all_waiting();
     }
 
     /// The groups that began to stand, or go on again, since the last call.
-    pub fn group_changes(&self) -> Vec<GroupChoice> {
+    pub fn group_changes(&self) -> Vec<GroupSnapshot> {
         let mut desk = self.desk.borrow_mut();
         let services = desk.grouped_services();
         let now = self.clock.now();
@@ -123,18 +123,18 @@
     }
 
     /// A place, at once or after a wait that is expected to be worth it.
-    pub async fn place(&self, demand: PlaceDemand) -> Result<TargetPlace, PlaceError> {
+    pub async fn place(&self, demand: SlotRequest) -> Result<TargetPlace, SlotError> {
         let service = demand.service.clone();
-        let answer = self.desk.borrow_mut().ask(&demand, self.clock.now());
+        let answer = self.desk.borrow_mut().decide(&demand, self.clock.now());
         let (until, receiver) = match answer {
-            DeskAnswer::Place(chosen) => return Ok(self.place_at(chosen, demand.work)),
-            DeskAnswer::Refuse(error) => {
+            SlotDecision::Assign(chosen) => return Ok(self.place_at(chosen, demand.work)),
+            SlotDecision::Refuse(error) => {
                 self.refuse_hopeless(&service);
                 return Err(error);
             }
-            DeskAnswer::Wait(until) => {
+            SlotDecision::Wait(until) => {
                 let (reply, receiver) = oneshot::channel();
-                self.desk.borrow_mut().keep(demand, reply);
+                self.desk.borrow_mut().enqueue(demand, reply);
                 (until, receiver)
             }
         };
@@ -143,7 +143,7 @@
         match self.await_place(&service, until, receiver).await {
             Some(Ok(place)) => Ok(place),
             Some(Err(_dropped)) => Err(self.hopeless(&service)),
-            None => Err(self.desk.borrow().denial(&service, self.clock.now())),
+            None => Err(self.desk.borrow().refusal(&service, self.clock.now())),
         }
     }
 
@@ -167,57 +167,62 @@
     }
 
     /// Takes this process's place among the entries of its zone.
-    pub fn set_place(&self, place: Option<EntryPlace>) {
-        self.desk.borrow_mut().set_place(place);
+    pub fn set_place(&self, place: Option<EntryPosition>) {
+        self.desk.borrow_mut().set_entry_position(place);
     }
 
     /// Whether a request may still be sent to the target that it was given a place at.
     pub fn stands(&self, place: &TargetPlace) -> bool {
-        self.desk.borrow().stands(&place.record.life(), place.rate, self.clock.now())
+        self.desk.borrow().is_still_valid(&place.record.life(), place.rate, self.clock.now())
     }
 
     /// Whether a target has said that it leaves.
     pub fn leaves(&self, target: &TargetLife) -> bool {
-        self.desk.borrow().leaves(target)
+        self.desk.borrow().is_leaving(target)
     }
 
     /// After how many milliseconds a caller that is refused should come back.
     pub fn return_millis(&self, service: &ServiceName, deadline: UnixDeadline) -> u64 {
-        self.desk.borrow_mut().return_millis(service, deadline, rand::random(), self.clock.now())
+        self.desk.borrow_mut().retry_after_millis(service, deadline, rand::random(), self.clock.now())
     }
 
     /// Takes that a stream's first event, or an answer, came from a target so many milliseconds after its request had a
     /// place.
     pub fn began(&self, target: &TargetRecord, millis: f64) {
-        self.desk.borrow_mut().began(target, millis, self.clock.now());
+        self.desk.borrow_mut().first_event_received(target, millis, self.clock.now());
     }
 
     /// Takes what a target says of itself in the answer to a request that was sent at a moment.
-    pub fn told(&self, target: &TargetRecord, word: &TargetWord, sent: UnixMillis) -> Vec<NotedChange> {
-        let changes = self.desk.borrow_mut().told(&target.life(), word, sent, self.clock.now());
-        if changes.iter().any(|noted| matches!(noted.change, NeedChange::Resting(_))) {
+    pub fn told(
+        &self,
+        target: &TargetRecord,
+        word: &BackpressureSignals,
+        sent: UnixMillis,
+    ) -> Vec<ObservedChange> {
+        let changes = self.desk.borrow_mut().apply_signals(&target.life(), word, sent, self.clock.now());
+        if changes.iter().any(|noted| matches!(noted.change, BackpressureChange::Resting(_))) {
             self.refuse_hopeless(&target.service);
         }
         changes
     }
 
     /// Takes what another entry tells of a target.
-    pub fn told_by_other(&self, note: &TargetNote) -> Option<NotedChange> {
-        self.desk.borrow_mut().told_by_other(note, self.clock.now())
+    pub fn told_by_other(&self, note: &TargetNote) -> Option<ObservedChange> {
+        self.desk.borrow_mut().apply_note(note, self.clock.now())
     }
 
     /// Takes that a stream brought an event from a target.
     pub fn heard(&self, target: &TargetRecord) {
-        self.desk.borrow_mut().heard(target, self.clock.now());
+        self.desk.borrow_mut().event_received(target, self.clock.now());
     }
 
     /// Takes that a stream of a service ended with so many events.
     pub fn streamed(&self, service: &ServiceName, events: u64) {
-        self.desk.borrow_mut().streamed(service, events);
+        self.desk.borrow_mut().stream_ended(service, events);
     }
 
     /// Whether a request is to leave the target that has it, to go on at another one.
-    pub fn move_cause(&self, target: &TargetRecord, send: &WaitingSend) -> Option<MoveCause> {
+    pub fn move_cause(&self, target: &TargetRecord, send: &PendingSend) -> Option<MoveCause> {
         self.desk.borrow().move_cause(target, send, self.clock.now())
     }
 
@@ -266,16 +271,16 @@
     }
 
     /// Why those that waited for a service are refused before their time.
-    fn hopeless(&self, service: &ServiceName) -> PlaceError {
-        match self.desk.borrow().denial(service, self.clock.now()) {
-            error @ (PlaceError::Resting | PlaceError::Emptied) => error,
-            _other => PlaceError::Down,
+    fn hopeless(&self, service: &ServiceName) -> SlotError {
+        match self.desk.borrow().refusal(service, self.clock.now()) {
+            error @ (SlotError::Resting | SlotError::Emptied) => error,
+            _other => SlotError::Down,
         }
     }
 
     /// Refuses those that wait for a service that is down, or whose targets may get nothing.
     fn refuse_hopeless(&self, service: &ServiceName) {
-        let hopeless = self.desk.borrow_mut().take_hopeless(service, self.clock.now());
+        let hopeless = self.desk.borrow_mut().take_unservable(service, self.clock.now());
         drop(hopeless);
     }
 
@@ -294,6 +299,6 @@
 
     fn next_served(&self, service: &ServiceName) -> Option<(PlaceReply, ChosenTarget, RequestWork)> {
         let waits = |reply: &PlaceReply| !reply.is_closed();
-        self.desk.borrow_mut().next_served(service, waits, self.clock.now())
+        self.desk.borrow_mut().next_ready(service, waits, self.clock.now())
     }
 }
