--- a/crates/porthoist-proxy/src/control.rs
+++ b/crates/porthoist-proxy/src/control.rs
@@ -11,8 +11,8 @@
 use porthoist_metrics::MetricsHub;
 use porthoist_policy::proxy::freshness::{FreshnessProof, StampedAnswer};
 use porthoist_policy::proxy::routes::RouteTable;
-use porthoist_policy::proxy::targets::{AnswerGap, BeliefBound, TargetBook, TargetChange};
-use porthoist_policy::proxy::zones::{EmptiedZones, ZoneChange, ZoneNews};
+use porthoist_policy::proxy::targets::{AnswerGap, StalenessBound, TargetChange, TargetRegistry};
+use porthoist_policy::proxy::zones::{EmptiedZones, ZoneChange, ZoneUpdate};
 use slog::{Logger, info, warn};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -53,7 +53,7 @@
     /// Zones whose targets get nothing new.
     pub emptied: EmptiedZones,
     /// The targets.
-    pub targets: TargetBook,
+    pub targets: TargetRegistry,
     /// Whether they were listed at all.
     pub targets_listed: bool,
     /// Proof that the routes are the newest.
@@ -67,7 +67,7 @@
 pub struct ControlWatch {
     /// How old what is believed of targets may be.
     #[builder(default)]
-    bound: BeliefBound,
+    bound: StalenessBound,
     /// Answers the questions.
     source: Rc<dyn ControlSource>,
     /// Takes what they bring.
@@ -269,7 +269,7 @@
                     "version" => table.version.0, "routes" => table.route_count(),
                     "revision" => answer.revision.to_string());
                 self.metrics.revision(table.version.0);
-                if state.targets.name_services(table.services.keys().cloned()) {
+                if state.targets.set_services(table.services.keys().cloned()) {
                     // A row of another writer may have ended a target at its address while services were not known.
                     self.breaks.send_modify(|breaks| *breaks += 1);
                 }
@@ -277,15 +277,15 @@
             }
             match answer.origin {
                 AnswerOrigin::Source => {
-                    state.proof.answered(stamped);
-                    state.targets_proof.place_clock(stamped);
+                    state.proof.record_answer(stamped);
+                    state.targets_proof.update_clock_offset(stamped);
                 }
-                AnswerOrigin::Peer { .. } => state.proof.passed_on(stamped),
+                AnswerOrigin::Peer { .. } => state.proof.record_relayed_answer(stamped),
             }
         });
     }
 
-    fn take_zones(&self, state: &mut ControlState, news: ZoneNews) {
+    fn take_zones(&self, state: &mut ControlState, news: ZoneUpdate) {
         let changes = state.emptied.take(news, self.clock.now());
         self.report_zone_changes(&changes);
     }
@@ -319,20 +319,20 @@
                 TargetNews::Listed(rows) => {
                     info!(self.logger, "targets listed"; "event" => "targets_listed", "count" => rows.len(),
                         "after_outage" => grace.is_some(), "age_ms" => state.targets_proof.age(received));
-                    state.targets.listed(rows, grace);
+                    state.targets.apply_listing(rows, grace);
                     state.targets_listed = true;
                 }
                 TargetNews::Changed(changes) => {
                     self.log_changes(&changes, grace);
-                    state.targets.changed(changes, grace);
+                    state.targets.apply_changes(changes, grace);
                 }
             }
             match answer.origin {
                 AnswerOrigin::Source => {
-                    state.targets_proof.answered(stamped);
-                    state.proof.place_clock(stamped);
+                    state.targets_proof.record_answer(stamped);
+                    state.proof.update_clock_offset(stamped);
                 }
-                AnswerOrigin::Peer { .. } => state.targets_proof.passed_on(stamped),
+                AnswerOrigin::Peer { .. } => state.targets_proof.record_relayed_answer(stamped),
             }
         });
     }
--- a/crates/porthoist-proxy/src/course.rs
+++ b/crates/porthoist-proxy/src/course.rs
@@ -15,15 +15,15 @@
     ClockSource, RefusalReason, RetryReason, RunVerdict, ServiceName, UnixDeadline, UnixMillis,
 };
 use porthoist_metrics::MetricsHub;
-use porthoist_policy::proxy::forecast::PatienceBook;
-use porthoist_policy::proxy::freshness::ProofRule;
+use porthoist_policy::proxy::forecast::CallerRetryDetector;
+use porthoist_policy::proxy::freshness::FreshnessRule;
 use porthoist_policy::proxy::loads::GroupLoads;
 use porthoist_policy::proxy::notes::TargetNote;
-use porthoist_policy::proxy::paces::GroupChoice;
-use porthoist_policy::proxy::retry_share::{RetryShare, ShareSettings};
+use porthoist_policy::proxy::retry_share::{RetryShare, RetryShareSettings};
 use porthoist_policy::proxy::routes::RouteError;
+use porthoist_policy::proxy::service_groups::GroupSnapshot;
 use porthoist_policy::proxy::targets::TargetLife;
-use porthoist_policy::proxy::turns::EntryPlace;
+use porthoist_policy::proxy::turns::EntryPosition;
 use slog::{Logger, info};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -62,9 +62,9 @@
 #[derive(Debug, Clone, bon::Builder)]
 pub struct CourseSettings {
     /// Whether requests need proof that the configuration is the newest.
-    pub proof: ProofRule,
+    pub proof: FreshnessRule,
     /// This process's share of repeats.
-    pub share: ShareSettings,
+    pub share: RetryShareSettings,
 }
 
 /// What all courses of a process share.
@@ -76,7 +76,7 @@
     quarantine: Rc<QuarantineDesk>,
     pool: ConnectionPool,
     shares: RefCell<HashMap<ServiceName, RetryShare>>,
-    patience: RefCell<PatienceBook>,
+    patience: RefCell<CallerRetryDetector>,
     /// What is told to the other entries of the zone.
     outlet: RefCell<NoteOutlet>,
     in_flight: Cell<u64>,
@@ -201,8 +201,8 @@
     }
 
     /// Takes this process's place among the entries of its zone.
-    pub fn set_place(&self, place: Option<EntryPlace>) {
-        if let Some(EntryPlace { index, entries }) = place {
+    pub fn set_place(&self, place: Option<EntryPosition>) {
+        if let Some(EntryPosition { index, entries }) = place {
             info!(self.logger, "the entries of the zone are counted"; "event" => "entry_place", "index" => index,
                 "entries" => entries);
         }
@@ -218,8 +218,8 @@
         }
         self.paces_due.set(UnixDeadline::after(now, PACES_MILLIS));
         self.note_cold();
-        for GroupChoice { index, pace } in self.broker.group_changes() {
-            let (group, standing, pass) = (index.place(), pace.standing, pace.millis);
+        for GroupSnapshot { index, status: pace } in self.broker.group_changes() {
+            let (group, standing, pass) = (index.place(), pace.stalled, pace.millis);
             info!(self.logger, "a group stands or goes on again"; "event" => "group_pace", "group" => group,
                 "standing" => standing, "pass_ms" => pass);
         }
--- a/crates/porthoist-proxy/src/course/admission.rs
+++ b/crates/porthoist-proxy/src/course/admission.rs
@@ -55,7 +55,7 @@
 
     /// Logs that a request is allowed, with what makes its answer late; returns whether its caller was refused before.
     fn note_admitted(&self, facts: &RequestFacts, rule: &RouteRule, service: &ServiceName) -> bool {
-        let came_back = self.patience.borrow_mut().came_back(&rule.name, facts.remaining_millis);
+        let came_back = self.patience.borrow_mut().is_retry(&rule.name, facts.remaining_millis);
         let (version, age) = {
             let state = self.state.borrow();
             let version = state.routes.as_ref().map(|routes| routes.version.0);
@@ -63,7 +63,7 @@
         };
         info!(self.logger, "admitted"; "event" => "admitted", "request" => &*facts.attempt,
             "route" => &*rule.name, "service" => service.as_str(), "version" => version, "proof_age_ms" => age,
-            "aim_ms" => rule.target_latency_millis, "pause_aim_ms" => rule.pause_aim_millis,
+            "aim_ms" => rule.target_latency_millis, "pause_aim_ms" => rule.target_pause_millis,
             "returned" => came_back);
         came_back
     }
@@ -87,7 +87,9 @@
         match &decided {
             // What is denied may be allowed by a newer configuration.
             Err(_denial) if !rule.proven(&proof, arrival) => return Err(self.unproven(facts, &routes, age)),
-            Ok(allowed) if routes.keyed() && !allowed.rule.public && !rule.may_run(&proof, arrival) => {
+            Ok(allowed)
+                if routes.requires_keys() && !allowed.rule.public && !rule.may_run(&proof, arrival) =>
+            {
                 return Err(self.unproven(facts, &routes, age));
             }
             _ => {}
--- a/crates/porthoist-proxy/src/course/moving.rs
+++ b/crates/porthoist-proxy/src/course/moving.rs
@@ -5,8 +5,8 @@
 use crate::broker::TargetPlace;
 use crate::exchange::SendFailure;
 use porthoist_core::{UnixDeadline, UnixMillis};
-use porthoist_policy::proxy::moving::{MoveCause, SPREAD_MILLIS, WaitingSend};
-use porthoist_policy::proxy::placement::SendOutcome;
+use porthoist_policy::proxy::balancer::SendOutcome;
+use porthoist_policy::proxy::moving::{MAX_MOVE_JITTER_MILLIS, MoveCause, PendingSend};
 use slog::info;
 use std::future;
 use std::time::Duration;
@@ -30,10 +30,11 @@
         if !attempts_left || admitted.once() || !admitted.ranked || record.suspect.is_some() {
             return future::pending().await;
         }
-        let send = WaitingSend {
+        let send = PendingSend {
             since,
             events,
-            spread_millis: xxhash_rust::xxh3::xxh3_64(admitted.facts.attempt.as_bytes()) % SPREAD_MILLIS,
+            jitter_millis: xxhash_rust::xxh3::xxh3_64(admitted.facts.attempt.as_bytes())
+                % MAX_MOVE_JITTER_MILLIS,
             on_time_until: UnixDeadline::after(admitted.arrival, admitted.rule.target_latency_millis),
             deadline: admitted.deadline,
         };
@@ -44,7 +45,7 @@
             let allowed = self.share_of(&admitted.service, |share| match cause {
                 // What a host that stands still has kept would run after its caller has left.
                 MoveCause::TargetSilent => share.take(now),
-                MoveCause::GroupStands | MoveCause::GroupSlow => share.take_spare(now),
+                MoveCause::GroupStalled | MoveCause::GroupSlow => share.take_optional(now),
             });
             if allowed {
                 return cause;
--- a/crates/porthoist-proxy/src/course/needs.rs
+++ b/crates/porthoist-proxy/src/course/needs.rs
@@ -2,8 +2,10 @@
 
 use super::RequestCourse;
 use porthoist_core::{UnixDeadline, UnixMillis};
-use porthoist_policy::proxy::needs::{NamedValue, NeedChange, NotedChange, TargetWord};
-use porthoist_policy::proxy::notes::{NoteBoard, TargetNote};
+use porthoist_policy::proxy::backpressure::{
+    BackpressureChange, BackpressureSignals, ObservedChange, SignalValue,
+};
+use porthoist_policy::proxy::notes::{NoteStore, TargetNote};
 use porthoist_policy::proxy::targets::{TargetLife, TargetRecord};
 use slog::info;
 use tokio::sync::watch;
@@ -14,34 +16,34 @@
 /// What this entry tells the others of its zone.
 #[derive(Debug)]
 pub(super) struct NoteOutlet {
-    board: NoteBoard,
+    board: NoteStore,
     told: watch::Sender<Vec<TargetNote>>,
     next: UnixDeadline,
 }
 
 impl NoteOutlet {
     pub(super) fn new(told: watch::Sender<Vec<TargetNote>>) -> Self {
-        Self { board: NoteBoard::default(), told, next: UnixDeadline::default() }
+        Self { board: NoteStore::default(), told, next: UnixDeadline::default() }
     }
 
     fn tell(&mut self, note: TargetNote, news: bool, now: UnixMillis) {
         self.board.take(note);
         if news || self.next.passed(now) {
             self.next = UnixDeadline::after(now, NOTE_MILLIS);
-            self.told.send_replace(self.board.told(now));
+            self.told.send_replace(self.board.current(now));
         }
     }
 }
 
 impl RequestCourse {
     /// Takes what a target says of itself. An answer to another request, or of another target at the address, says nothing of it.
-    pub(super) fn note_word(&self, target: &TargetRecord, word: &TargetWord, sent: UnixMillis) {
+    pub(super) fn note_word(&self, target: &TargetRecord, word: &BackpressureSignals, sent: UnixMillis) {
         let changes = self.broker.told(target, word, sent);
         let now = self.clock.now();
-        let lifted = changes.iter().any(|noted| matches!(noted.change, NeedChange::Lifted(_)));
+        let lifted = changes.iter().any(|noted| matches!(noted.change, BackpressureChange::Lifted(_)));
         let limit = match word.limit {
-            NamedValue::Named(rate) => Some((Some(rate), now)),
-            NamedValue::Absent | NamedValue::Unreadable => lifted.then_some((None, sent)),
+            SignalValue::Present(rate) => Some((Some(rate), now)),
+            SignalValue::Absent | SignalValue::Unreadable => lifted.then_some((None, sent)),
         };
         if let Some((limit, as_of)) = limit {
             let note = TargetNote { life: target.life(), limit, as_of };
@@ -61,15 +63,16 @@
         }
     }
 
-    fn log_need(&self, target: &TargetLife, noted: NotedChange, told_by: &'static str) {
-        let NotedChange { change, logged } = noted;
+    fn log_need(&self, target: &TargetLife, noted: ObservedChange, told_by: &'static str) {
+        let ObservedChange { change, logged } = noted;
         self.metrics.need_change(change.as_str());
         if !logged {
             return;
         }
-        let limit = if let NeedChange::Limited(rate) = change { Some(rate.to_string()) } else { None };
-        let rest = if let NeedChange::Resting(millis) = change { Some(millis) } else { None };
-        let lasted = if let NeedChange::Lifted(millis) = change { Some(millis) } else { None };
+        let limit =
+            if let BackpressureChange::Limited(rate) = change { Some(rate.to_string()) } else { None };
+        let rest = if let BackpressureChange::Resting(millis) = change { Some(millis) } else { None };
+        let lasted = if let BackpressureChange::Lifted(millis) = change { Some(millis) } else { None };
         info!(self.logger, "a target says something new of itself"; "event" => "target_need",
             "target" => target.id.to_string(), "change" => change.as_str(), "told_by" => told_by,
             "limit" => limit, "rest_ms" => rest, "lasted_ms" => lasted);
--- a/crates/porthoist-proxy/src/course/parts.rs
+++ b/crates/porthoist-proxy/src/course/parts.rs
@@ -13,7 +13,7 @@
     MarkedHead, RefusalReason, RequestMark, RetryReason, RunVerdict, ServiceName, TargetName, UnixDeadline,
     UnixMillis,
 };
-use porthoist_policy::proxy::placement::RequestWork;
+use porthoist_policy::proxy::balancer::RequestWork;
 use porthoist_policy::proxy::routes::{RouteRule, TeamGrant};
 use std::cell::OnceCell;
 use std::sync::Arc;
--- a/crates/porthoist-proxy/src/course/placing.rs
+++ b/crates/porthoist-proxy/src/course/placing.rs
@@ -2,10 +2,10 @@
 
 use super::RequestCourse;
 use super::parts::{AdmittedRequest, CourseRefusal, SendRecord};
-use crate::broker::{PlaceDemand, PlaceError, TargetPlace};
+use crate::broker::{SlotError, SlotRequest, TargetPlace};
 use hyper::StatusCode;
 use porthoist_core::RefusalReason;
-use porthoist_policy::proxy::waiting::RequestTurn;
+use porthoist_policy::proxy::waiting::QueueClass;
 use slog::info;
 
 impl RequestCourse {
@@ -17,11 +17,11 @@
         let now = self.clock.now();
         let again = !record.tried.is_empty();
         let turn = match (again, admitted.came_back) {
-            (true, _) => RequestTurn::Repeated,
-            (false, true) => RequestTurn::Returned,
-            (false, false) => RequestTurn::First,
+            (true, _) => QueueClass::Resent,
+            (false, true) => QueueClass::CallerRetry,
+            (false, false) => QueueClass::First,
         };
-        let demand = PlaceDemand {
+        let demand = SlotRequest {
             service: admitted.service.clone(),
             ranked: admitted.ranked,
             work: admitted.work(),
@@ -30,7 +30,7 @@
             arrival: if again { now } else { admitted.arrival },
             latency_millis: admitted.rule.target_latency_millis,
             deadline: admitted.deadline,
-            turn,
+            class: turn,
         };
         let placed = self.broker.place(demand).await;
         let waited = self.clock.now().since(now);
@@ -40,7 +40,7 @@
                 info!(self.logger, "placed"; "event" => "placed", "request" => &*admitted.facts.attempt,
                     "target" => place.record.id.to_string(), "zone" => place.record.zone.to_string(),
                     "group" => place.group.map(|group| group.index.place()),
-                    "pass_ms" => place.group.map(|group| group.pace.millis), "in_flight" => place.in_flight,
+                    "pass_ms" => place.group.map(|group| group.status.millis), "in_flight" => place.in_flight,
                     "reported" => place.report.map(|report| report.requests),
                     "report_age_ms" => place.report.map(|report| report.age_millis), "waited_ms" => waited,
                     "rate" => place.rate.map(|rate| rate.to_string()));
@@ -50,14 +50,14 @@
         }
     }
 
-    fn no_place(&self, admitted: &AdmittedRequest, record: &SendRecord, error: PlaceError) -> CourseRefusal {
+    fn no_place(&self, admitted: &AdmittedRequest, record: &SendRecord, error: SlotError) -> CourseRefusal {
         let reason = match error {
-            PlaceError::Busy | PlaceError::Full | PlaceError::Down => RefusalReason::Overloaded,
-            PlaceError::Limited => RefusalReason::TargetLimits,
-            PlaceError::Cold => RefusalReason::TargetsCold,
-            PlaceError::Resting => RefusalReason::TargetsResting,
-            PlaceError::Emptied => RefusalReason::ZonesEmptied,
-            PlaceError::NoTarget => RefusalReason::NoTarget,
+            SlotError::Busy | SlotError::Full | SlotError::Down => RefusalReason::Overloaded,
+            SlotError::Limited => RefusalReason::TargetLimits,
+            SlotError::Cold => RefusalReason::TargetsCold,
+            SlotError::Resting => RefusalReason::TargetsResting,
+            SlotError::Emptied => RefusalReason::ZonesEmptied,
+            SlotError::NoTarget => RefusalReason::NoTarget,
         };
         if record.may_have_run {
             return CourseRefusal::unknown(reason, StatusCode::BAD_GATEWAY);
--- a/crates/porthoist-proxy/src/course/relay.rs
+++ b/crates/porthoist-proxy/src/course/relay.rs
@@ -11,7 +11,7 @@
 use http_body_util::BodyExt as _;
 use hyper::body::Frame;
 use porthoist_core::{RetryReason, UnixMillis};
-use porthoist_policy::proxy::placement::SendOutcome;
+use porthoist_policy::proxy::balancer::SendOutcome;
 use slog::info;
 use std::io;
 use std::rc::Rc;
--- a/crates/porthoist-proxy/src/course/sending.rs
+++ b/crates/porthoist-proxy/src/course/sending.rs
@@ -11,8 +11,8 @@
 use hyper::header::{CONTENT_LENGTH, HeaderValue};
 use hyper::{Request, StatusCode};
 use porthoist_core::{RetryReason, RunVerdict, UnixMillis};
-use porthoist_policy::proxy::needs::NamedValue;
-use porthoist_policy::proxy::placement::SendOutcome;
+use porthoist_policy::proxy::backpressure::SignalValue;
+use porthoist_policy::proxy::balancer::SendOutcome;
 use slog::info;
 
 impl RequestCourse {
@@ -123,8 +123,8 @@
                 whole.map_or_else(|failure| failure.detail, |whole| format!("status {}", whole.status));
             let reason = match (facts.misdirected, facts.word.rest_millis) {
                 (true, _) => RetryReason::Misdirected,
-                (false, NamedValue::Named(_millis)) => RetryReason::Resting,
-                (false, NamedValue::Absent | NamedValue::Unreadable) => RetryReason::Refused,
+                (false, SignalValue::Present(_millis)) => RetryReason::Resting,
+                (false, SignalValue::Absent | SignalValue::Unreadable) => RetryReason::Refused,
             };
             return Err(SendFailure { verdict: RunVerdict::NotRun, reason, detail, closed: false });
         }
--- a/crates/porthoist-proxy/src/quarantine.rs
+++ b/crates/porthoist-proxy/src/quarantine.rs
@@ -6,7 +6,8 @@
 use porthoist_core::{ClockSource, HostName, RequestMark, TargetName};
 use porthoist_metrics::MetricsHub;
 use porthoist_policy::proxy::quarantine::{
-    CrashKey, CrashReport, DeathVerdict, KeptBack, QuarantineBook, QuarantineRules, SendPermit, ToldChanges,
+    CrashKey, CrashReport, DeathOutcome, QuarantineChanges, QuarantineRules, QuarantineTracker, RequestBlock,
+    SendPermit,
 };
 use porthoist_policy::proxy::targets::TargetRecord;
 use slog::{Logger, info, warn};
@@ -36,7 +37,7 @@
 
 /// The desk of one process.
 pub struct QuarantineDesk {
-    book: RefCell<QuarantineBook>,
+    book: RefCell<QuarantineTracker>,
     /// What is known of the table.
     news: RefCell<watch::Receiver<CrashNews>>,
     /// Where changes of the table go.
@@ -105,7 +106,7 @@
         logger: Logger,
     ) -> Rc<Self> {
         Rc::new(Self {
-            book: RefCell::new(QuarantineBook::new(QuarantineRules::default())),
+            book: RefCell::new(QuarantineTracker::new(QuarantineRules::default())),
             news: RefCell::new(news),
             changes,
             occupied: RefCell::default(),
@@ -121,7 +122,7 @@
 
 impl QuarantineDesk {
     /// Asks to send a request; a suspected one gets a run that ends when it is dropped.
-    pub fn begin(self: &Rc<Self>, request: &impl MarkedRequest) -> Result<Option<SuspectRun>, KeptBack> {
+    pub fn begin(self: &Rc<Self>, request: &impl MarkedRequest) -> Result<Option<SuspectRun>, RequestBlock> {
         self.take_news();
         let known = {
             let book = self.book.borrow();
@@ -166,15 +167,15 @@
         let report = CrashReport { died: now, ranked: request.ranked(), by: self.host.as_str().into() };
         let verdict = self.book.borrow_mut().died(&key, report.clone(), now);
         let (level, deaths) = match verdict {
-            DeathVerdict::Held { level, deaths } => (level.as_str(), deaths),
-            DeathVerdict::Trusted => ("trusted", 0),
-            DeathVerdict::Known => return,
+            DeathOutcome::Held { level, deaths } => (level.as_str(), deaths),
+            DeathOutcome::Trusted => ("trusted", 0),
+            DeathOutcome::Known => return,
         };
         info!(self.logger, "a target died under a request"; "event" => "target_died",
             "request" => request.attempt(), "mark" => key.mark.short(), "target" => life.id.to_string(),
             "level" => level, "deaths" => deaths);
         self.metrics.crash_event(level);
-        if verdict != DeathVerdict::Trusted {
+        if verdict != DeathOutcome::Trusted {
             self.tell(CrashChange::Put(key, report));
         }
         self.drop_beyond();
@@ -226,8 +227,8 @@
             );
             self.write_due_rewrites();
         }
-        let changes = self.book.borrow_mut().told(&news.rows, first, self.clock.now());
-        let ToldChanges { heard, lifted, remove } = changes;
+        let changes = self.book.borrow_mut().apply_rows(&news.rows, first, self.clock.now());
+        let QuarantineChanges { heard, lifted, remove } = changes;
         for (mark, level, deaths) in heard {
             info!(self.logger, "deaths under a request were heard of"; "event" => "suspect_heard",
                 "mark" => mark.short(), "level" => level.as_str(), "deaths" => deaths);
@@ -255,7 +256,7 @@
     pub fn remove_lapsed(&self) {
         self.write_due_rewrites();
         let now = self.clock.now();
-        let rows = self.book.borrow_mut().lapsed(self.host.as_str(), rand::random(), now);
+        let rows = self.book.borrow_mut().take_expired(self.host.as_str(), rand::random(), now);
         for row in &rows {
             info!(self.logger, "a death no longer counts"; "event" => "suspect_lapsed",
                 "mark" => row.mark.short(), "target" => &*row.target);
@@ -266,7 +267,7 @@
     }
 
     fn drop_beyond(&self) {
-        let rows = self.book.borrow_mut().drop_beyond();
+        let rows = self.book.borrow_mut().evict_excess();
         for row in &rows {
             warn!(self.logger, "the book of deaths is full"; "event" => "suspect_dropped",
                 "mark" => row.mark.short());
--- a/crates/porthoist-proxy/src/source.rs
+++ b/crates/porthoist-proxy/src/source.rs
@@ -6,7 +6,7 @@
 use futures::future::LocalBoxFuture;
 use porthoist_policy::proxy::routes::RouteTable;
 use porthoist_policy::proxy::targets::TargetChange;
-use porthoist_policy::proxy::zones::ZoneNews;
+use porthoist_policy::proxy::zones::ZoneUpdate;
 use std::fmt;
 use std::time::Duration;
 
@@ -71,7 +71,7 @@
     /// The newest routes, if they are new.
     pub routes: Option<RouteTable>,
     /// Zones that are to get nothing new.
-    pub zones: ZoneNews,
+    pub zones: ZoneUpdate,
 }
 
 impl OperatorNews {
@@ -83,7 +83,7 @@
 
 impl From<Option<RouteTable>> for OperatorNews {
     fn from(routes: Option<RouteTable>) -> Self {
-        Self { routes, zones: ZoneNews::default() }
+        Self { routes, zones: ZoneUpdate::default() }
     }
 }
 
--- a/crates/porthoist-proxy/src/wire.rs
+++ b/crates/porthoist-proxy/src/wire.rs
@@ -3,7 +3,7 @@
 use hyper::StatusCode;
 use hyper::header::HeaderMap;
 use porthoist_core::{TargetName, TeamName};
-use porthoist_policy::proxy::needs::TargetWord;
+use porthoist_policy::proxy::backpressure::BackpressureSignals;
 use std::fmt;
 use std::sync::Arc;
 
@@ -59,7 +59,7 @@
     /// Whether that is because another target has the address.
     pub misdirected: bool,
     /// What the target says of itself.
-    pub word: TargetWord,
+    pub word: BackpressureSignals,
 }
 
 /// Reads and writes the facts. One implementation knows one spelling.
--- a/crates/porthoist-proxy/tests/control.rs
+++ b/crates/porthoist-proxy/tests/control.rs
@@ -2,7 +2,7 @@
 
 use porthoist_core::{BirthMillis, ClockSource, TargetName, UnixMillis};
 use porthoist_metrics::MetricsHub;
-use porthoist_policy::proxy::cold::ColdWord;
+use porthoist_policy::proxy::cold::ColdStatus;
 use porthoist_policy::proxy::targets::{TargetChange, TargetRecord, TargetState};
 use porthoist_proxy::SourceFuture;
 use porthoist_proxy::{
@@ -183,7 +183,7 @@
         zone: "a".parse().unwrap(),
         slots: 6,
         state,
-        cold: ColdWord::Unsaid,
+        cold: ColdStatus::Unknown,
     }
 }
 
--- a/crates/porthoist-proxy/tests/shared/harness.rs
+++ b/crates/porthoist-proxy/tests/shared/harness.rs
@@ -3,10 +3,10 @@
 use futures::future::LocalBoxFuture;
 use porthoist_core::{BirthMillis, ClockSource, UnixMillis, ZoneName};
 use porthoist_metrics::MetricsHub;
-use porthoist_policy::proxy::cold::ColdWord;
+use porthoist_policy::proxy::cold::ColdStatus;
 use porthoist_policy::proxy::routes::{CallerLimits, ConfigVersion, RouteTable};
 use porthoist_policy::proxy::targets::{TargetChange, TargetRecord, TargetState};
-use porthoist_policy::proxy::zones::{ZoneChange, ZoneNews};
+use porthoist_policy::proxy::zones::{ZoneChange, ZoneUpdate};
 use porthoist_proxy::{
     ControlSource, ControlState, ControlTable, ControlWatch, NewsAsk, NewsPeers, OperatorNews, RowSource,
     RowValue, SharedRows, SourceError, SourceFuture, Stamped, TableEra, TableNews, TableReader,
@@ -373,7 +373,7 @@
                 zone: "z".parse().unwrap(),
                 slots: 1,
                 state: if bytes.starts_with(b"leaving") { TargetState::Draining } else { TargetState::Ready },
-                cold: ColdWord::Unsaid,
+                cold: ColdStatus::Unknown,
             }),
             RowValue::Unreadable(_) => TargetChange::Unusable(id),
             RowValue::Removed => TargetChange::Gone(id),
@@ -406,7 +406,7 @@
             let emptied = |rows: &[TableRow]| rows.iter().filter_map(Self::emptied_zone).collect();
             Ok(listed.map(|rows| OperatorNews {
                 routes: Self::routes(&rows),
-                zones: ZoneNews::Listed(emptied(&rows)),
+                zones: ZoneUpdate::Listed(emptied(&rows)),
             }))
         })
     }
@@ -422,7 +422,7 @@
             let changes = |rows: &[TableRow]| rows.iter().filter_map(change).collect();
             Ok(rows.map(|rows| OperatorNews {
                 routes: Self::routes(&rows),
-                zones: ZoneNews::Changed(changes(&rows)),
+                zones: ZoneUpdate::Changed(changes(&rows)),
             }))
         })
     }
--- a/porthoist-cli/src/cmd/quarantine.rs
+++ b/porthoist-cli/src/cmd/quarantine.rs
@@ -4,7 +4,7 @@
 use argh::FromArgs;
 use porthoist_core::{AnchoredClock, ClockSource as _, RequestMark, UnixMillis};
 use porthoist_metrics::MetricsHub;
-use porthoist_policy::proxy::quarantine::{CrashRows, QuarantineBook};
+use porthoist_policy::proxy::quarantine::{CrashRows, QuarantineTracker};
 use porthoist_proxy::crashes::read_row;
 use porthoist_proxy::{ControlTable, RowChange, RowSource, RowWriter, SourceError};
 use porthoist_turist::StoreClient;
@@ -79,8 +79,8 @@
 
 /// The requests for people, those with most deaths first.
 pub fn quarantine_text(rows: &CrashRows, now: UnixMillis) -> String {
-    let mut book = QuarantineBook::default();
-    book.told(rows, true, now);
+    let mut book = QuarantineTracker::default();
+    book.apply_rows(rows, true, now);
     let mut targets: BTreeMap<RequestMark, Vec<&str>> = BTreeMap::new();
     for key in rows.keys() {
         targets.entry(key.mark).or_default().push(&key.target);
@@ -88,7 +88,7 @@
     let mut lines: Vec<(std::cmp::Reverse<usize>, String)> = Vec::new();
     for (mark, mut targets) in targets {
         targets.sort_unstable();
-        let Some(kept) = book.standing(&mark, now) else { continue };
+        let Some(kept) = book.status(&mark, now) else { continue };
         let seconds = kept.until.0.since(now).div_ceil(1_000);
         let (level, deaths) = (kept.level.as_str(), targets.len());
         let line = format!("{}  {level:<11} {deaths:>6}  {seconds:>8}  {}", mark.short(), targets.join(" "));
--- a/porthoistd/src/duty/news.rs
+++ b/porthoistd/src/duty/news.rs
@@ -4,10 +4,10 @@
 use futures::future::LocalBoxFuture;
 use porthoist_core::{ClockSource, HostName, ServiceName, ZoneName};
 use porthoist_fleet::{PeerPool, ZoneNews, ZoneWord};
-use porthoist_policy::proxy::entries::{BelievedPlace, EntryId};
+use porthoist_policy::proxy::entries::{EntryId, PositionTracker};
 use porthoist_policy::proxy::notes::{AgedNote, TargetNote};
 use porthoist_policy::proxy::targets::TargetRecord;
-use porthoist_policy::proxy::turns::EntryPlace;
+use porthoist_policy::proxy::turns::EntryPosition;
 use porthoist_proxy::{ControlState, ControlTable, NewsAsk, NewsPeers, TableNews};
 use std::cell::Cell;
 use std::net::{IpAddr, Ipv4Addr};
@@ -31,13 +31,13 @@
     peers: PeerPool,
     clock: Arc<dyn ClockSource>,
     /// Takes the place of this process among the entries of the zone.
-    place: watch::Sender<Option<EntryPlace>>,
+    place: watch::Sender<Option<EntryPosition>>,
     /// What this process has heard of targets in need.
     own_notes: watch::Receiver<Vec<TargetNote>>,
     /// Takes what others of the zone have heard.
     zone_notes: watch::Sender<Vec<TargetNote>>,
     #[builder(skip)]
-    believed: Cell<BelievedPlace>,
+    believed: Cell<PositionTracker>,
 }
 
 impl ZonePeers {
@@ -87,12 +87,12 @@
             return;
         }
         let now = self.clock.now();
-        self.zone_notes.send_replace(notes.into_iter().map(|note| note.placed(now)).collect());
+        self.zone_notes.send_replace(notes.into_iter().map(|note| note.to_local(now)).collect());
     }
 
-    fn take_place(&self, told: Option<EntryPlace>) {
+    fn take_place(&self, told: Option<EntryPosition>) {
         let mut believed = self.believed.get();
-        if believed.told(told, self.clock.now()) {
+        if believed.update(told, self.clock.now()) {
             self.place.send_replace(believed.place());
         }
         self.believed.set(believed);
--- a/porthoistd/src/duty/rank/telling.rs
+++ b/porthoistd/src/duty/rank/telling.rs
@@ -3,8 +3,8 @@
 use super::{LOADS_MILLIS, RankDuty};
 use porthoist_core::UnixDeadline;
 use porthoist_policy::forward::{RankState, RankView};
-use porthoist_policy::proxy::loads::{GroupLoads, LoadRevision, RankLoad, weighed_requests};
-use porthoist_policy::proxy::pass_time::{GroupPass, PassTimer, SeenGroup};
+use porthoist_policy::proxy::loads::{GroupLoads, LoadRevision, RankLoad, equivalent_requests};
+use porthoist_policy::proxy::pass_time::{GroupPass, GroupSample, PassTimer};
 
 impl RankDuty {
     /// Measures the group's passes by the own rank, which runs each of them with all others.
@@ -14,7 +14,7 @@
         let working = planner.is_some_and(|planner| planner.requests().iter().any(|at| *at > 0));
         let slowest = planner.and_then(|planner| planner.paces().iter().max().copied());
         let slowest = slowest.unwrap_or_default();
-        self.passes.saw(SeenGroup { epoch, step, working, slowest }, self.clock.now());
+        self.passes.observe(GroupSample { epoch, step, busy: working, slowest }, self.clock.now());
     }
 
     /// Plans no more. While the group is not formed, entries are told so once; they hear of it again when it is.
@@ -52,7 +52,7 @@
         let ranks = group.reach.hosts().iter().enumerate().filter_map(|(rank, host)| {
             let (requests, pace) = (*planner.requests().get(rank)?, *planner.paces().get(rank)?);
             let silent = !planner.hears(rank);
-            let requests = weighed_requests(requests, self.step_requests, pace);
+            let requests = equivalent_requests(requests, self.step_requests, pace);
             Some(RankLoad { host: (*host)?, requests, silent })
         });
         // Numbers from the clock rise also from one process that plans to the next.
--- a/porthoistd/src/duty/status.rs
+++ b/porthoistd/src/duty/status.rs
@@ -4,7 +4,7 @@
 use porthoist_core::ClockSource;
 use porthoist_http::{HttpResponse, ServerSettings, serve_until, text_response};
 use porthoist_metrics::MetricsHub;
-use porthoist_policy::proxy::freshness::ProofRule;
+use porthoist_policy::proxy::freshness::FreshnessRule;
 use porthoist_proxy::{ControlState, CrashNews};
 use slog::{Logger, info};
 use std::net::TcpListener as StdListener;
@@ -26,7 +26,7 @@
     /// Whether it stops.
     pub stopping: watch::Receiver<bool>,
     /// Whether requests need proof that the configuration is the newest.
-    pub proof: ProofRule,
+    pub proof: FreshnessRule,
     /// Deaths that are held against requests.
     pub crashes: watch::Receiver<CrashNews>,
     /// The present time.
--- a/porthoistd/src/role/proxy.rs
+++ b/porthoistd/src/role/proxy.rs
@@ -10,12 +10,12 @@
 use porthoist_core::{AnchoredClock, ClockSource};
 use porthoist_fleet::{ControlTraffic, PeerPool};
 use porthoist_metrics::MetricsHub;
-use porthoist_policy::proxy::freshness::ProofRule;
+use porthoist_policy::proxy::balancer::BalancerSettings;
+use porthoist_policy::proxy::freshness::FreshnessRule;
 use porthoist_policy::proxy::loads::GroupLoads;
 use porthoist_policy::proxy::notes::TargetNote;
-use porthoist_policy::proxy::placement::BoardSettings;
-use porthoist_policy::proxy::retry_share::ShareSettings;
-use porthoist_policy::proxy::turns::EntryPlace;
+use porthoist_policy::proxy::retry_share::RetryShareSettings;
+use porthoist_policy::proxy::turns::EntryPosition;
 use porthoist_proxy::{
     ControlState, ControlWatch, CourseSettings, CrashChange, CrashJournal, CrashNews, CrashWatch,
     PlaceBroker, ProxyServer, QuarantineDesk, RequestCourse, RowSource, SharedRows, serve_proxy,
@@ -93,9 +93,9 @@
         place: watch::Sender::new(None),
         own_notes: watch::Sender::new(Vec::new()),
         zone_notes: watch::Sender::new(Vec::new()),
-        proof: ProofRule {
+        proof: FreshnessRule {
             max_age_millis: settings.revoke_millis.saturating_sub(PROOF_MARGIN_MILLIS),
-            needed_to_run: settings.refuse_unproven,
+            required_to_run: settings.refuse_unproven,
         },
         settings,
         stopping,
@@ -116,11 +116,11 @@
     state: watch::Sender<ControlState>,
     crashes: watch::Sender<CrashNews>,
     /// This process's place among the entries of its zone.
-    place: watch::Sender<Option<EntryPlace>>,
+    place: watch::Sender<Option<EntryPosition>>,
     /// What this process has heard of targets in need, and what others of its zone have.
     own_notes: watch::Sender<Vec<TargetNote>>,
     zone_notes: watch::Sender<Vec<TargetNote>>,
-    proof: ProofRule,
+    proof: FreshnessRule,
     stopping: watch::Sender<bool>,
     logger: Logger,
 }
@@ -225,14 +225,14 @@
     }
 
     fn course(&self, crash_changes: mpsc::Sender<CrashChange>) -> Rc<RequestCourse> {
-        let board = BoardSettings::builder()
+        let board = BalancerSettings::builder()
             .zone(self.settings.zone.clone())
             .per_rank(self.settings.per_rank)
             .rank_limit(self.settings.rank_limit)
             .maybe_entries(Some(self.settings.entries).filter(|entries| *entries > 0))
             .seed(xxhash_rust::xxh3::xxh3_64(self.settings.host.as_str().as_bytes()))
             .build();
-        let share = ShareSettings {
+        let share = RetryShareSettings {
             ratio: self.settings.retry_ratio * RATIO_PART,
             slack: self.settings.retry_slack / SLACK_PROCESSES,
             window_millis: self.settings.retry_window_millis,
@@ -286,7 +286,7 @@
 
 /// Tells the course which place this process has among the entries of its zone. What was told before this task began counts
 /// too.
-async fn follow_place(course: Rc<RequestCourse>, mut place: watch::Receiver<Option<EntryPlace>>) {
+async fn follow_place(course: Rc<RequestCourse>, mut place: watch::Receiver<Option<EntryPosition>>) {
     loop {
         let newest = *place.borrow_and_update();
         course.set_place(newest);
--- a/porthoistd/src/settings/proxy.rs
+++ b/porthoistd/src/settings/proxy.rs
@@ -4,7 +4,7 @@
 use super::{ADDRESS, DaemonRole};
 use argh::FromArgs;
 use porthoist_core::{HostName, ZoneName};
-use porthoist_policy::proxy::targets::BeliefBound;
+use porthoist_policy::proxy::targets::StalenessBound;
 use slog::Level;
 use std::net::SocketAddr;
 
@@ -92,7 +92,7 @@
     /// Time in milliseconds within which a key that was taken away must run nothing any more.
     pub revoke_millis: u64,
     /// How old what is believed of targets may be.
-    pub bound: BeliefBound,
+    pub bound: StalenessBound,
     /// Whether requests with a key are refused while the configuration held may be out of date.
     pub refuse_unproven: bool,
     /// Time in milliseconds from the signal to stop to the end.
@@ -147,7 +147,7 @@
             )?,
             table: reader.value("table", args.table, None, ADDRESS)?,
             revoke_millis: reader.millis("revoke-ms", args.revoke_ms, "5000")?,
-            bound: BeliefBound::new(
+            bound: StalenessBound::new(
                 reader.millis("notice-ms", args.notice_ms, "3000")?,
                 reader.millis("leaving-ms", args.leaving_ms, "2000")?,
             ),
--- a/porthoistd/tests/loads.rs
+++ b/porthoistd/tests/loads.rs
@@ -5,7 +5,7 @@
 use porthoist_group::{HeldLink, OrderAnswer, RankFuture, RankLists, RankObservation};
 use porthoist_policy::forward::EngineOrder;
 use porthoist_policy::placement::even::EvenMap;
-use porthoist_policy::proxy::cold::ColdWord;
+use porthoist_policy::proxy::cold::ColdStatus;
 use porthoist_policy::proxy::loads::{GroupLoads, LoadRevision, RankLoad};
 use porthoist_policy::proxy::routes::{CallerLimits, ConfigVersion, EngineModel, RouteTable, ServiceSpec};
 use porthoist_policy::proxy::targets::{TargetRecord, TargetState};
@@ -80,11 +80,11 @@
         zone: "a".parse().expect("a name"),
         slots: 4,
         state: TargetState::Ready,
-        cold: ColdWord::Unsaid,
+        cold: ColdStatus::Unknown,
     };
     let mut state = ControlState { routes: Some(Arc::new(routes)), ..ControlState::default() };
     let places = (0..GROUPS).flat_map(|group| (0..RANKS).map(move |rank| (group, rank)));
-    state.targets.listed(places.map(|(group, rank)| record(group, rank)), None);
+    state.targets.apply_listing(places.map(|(group, rank)| record(group, rank)), None);
     state
 }
 
--- a/porthoistd/tests/rank.rs
+++ b/porthoistd/tests/rank.rs
@@ -8,7 +8,7 @@
 use porthoist_metrics::MetricsHub;
 use porthoist_policy::forward::{EngineOrder, GroupEpoch, OrderSequence, RankPace, RankState, RankView};
 use porthoist_policy::placement::even::EvenMap;
-use porthoist_policy::proxy::cold::ColdWord;
+use porthoist_policy::proxy::cold::ColdStatus;
 use porthoist_policy::proxy::routes::{CallerLimits, ConfigVersion, EngineModel, RouteTable, ServiceSpec};
 use porthoist_policy::proxy::targets::{TargetChange, TargetRecord, TargetState};
 use porthoist_policy::switch::{MapVersion, StepNumber};
@@ -209,10 +209,10 @@
         zone: "a".parse().expect("a name"),
         slots: 4,
         state: TargetState::Ready,
-        cold: ColdWord::Unsaid,
+        cold: ColdStatus::Unknown,
     };
     let mut state = ControlState { routes: Some(Arc::new(routes)), ..ControlState::default() };
-    state.targets.listed((0..RANKS).map(record), None);
+    state.targets.apply_listing((0..RANKS).map(record), None);
     state
 }
 
