--- a/crates/porthoist-fleet/tests/zone.rs
+++ b/crates/porthoist-fleet/tests/zone.rs
@@ -12,7 +12,7 @@
 use porthoist_policy::proxy::entries::EntryId;
 use porthoist_policy::proxy::notes::TargetNote;
 use porthoist_policy::proxy::targets::TargetLife;
-use porthoist_policy::proxy::turns::EntryPlace;
+use porthoist_policy::proxy::turns::EntryPosition;
 use porthoist_policy::roll_forward::EngineOrder;
 use porthoist_proxy::{
     ControlTable, NewsAsk, NewsValue, RowSource, RowValue, SourceFuture, Stamped, TableEra, TableNews,
@@ -129,10 +129,10 @@
         let heard = TargetNote { life, limit: Some(RequestRate(1.5)), as_of: UnixMillis(9_000) };
         let first = ask(&peer, 3, std::slice::from_ref(&heard), 9_300).await;
         let second = ask(&peer, 7, &[], 0).await;
-        assert_eq!(first.position, Some(EntryPlace { index: 0, entries: 2 }));
-        assert_eq!(second.position, Some(EntryPlace { index: 1, entries: 2 }));
+        assert_eq!(first.position, Some(EntryPosition { index: 0, entries: 2 }));
+        assert_eq!(second.position, Some(EntryPosition { index: 1, entries: 2 }));
         let told: Vec<TargetNote> =
-            second.notes.into_iter().map(|note| note.placed(UnixMillis(55_000))).collect();
+            second.notes.into_iter().map(|note| note.to_local(UnixMillis(55_000))).collect();
         assert_eq!(told, [TargetNote { as_of: UnixMillis(54_700), ..heard }]);
     };
     LocalSet::new().run_until(asked).await;
@@ -147,7 +147,7 @@
         ask(&peer, 0, &[], 0).await;
         clock.0.store(104_000, Ordering::Relaxed);
         assert_eq!(ask(&peer, 0, &[], 0).await.position, None);
-        assert_eq!(ask(&peer, 3, &[], 0).await.position, Some(EntryPlace { index: 0, entries: 1 }));
+        assert_eq!(ask(&peer, 3, &[], 0).await.position, Some(EntryPosition { index: 0, entries: 1 }));
     };
     LocalSet::new().run_until(asked).await;
 }
--- a/crates/porthoist-lab/src/overload/groups.rs
+++ b/crates/porthoist-lab/src/overload/groups.rs
@@ -9,7 +9,7 @@
 use crate::report::rounded;
 use entry::{EntryAnswer, EntryDesk, GroupReport};
 use porthoist_core::UnixMillis;
-use porthoist_policy::proxy::pass_time::{PassTimer, SeenGroup};
+use porthoist_policy::proxy::pass_time::{GroupSample, PassTimer};
 use porthoist_policy::roll_forward::{GroupEpoch, RankPace};
 use porthoist_policy::switch::StepNumber;
 use rand::SeedableRng as _;
@@ -252,13 +252,13 @@
         for (index, group) in self.groups.iter_mut().enumerate() {
             let known = group.ranks.known();
             let slow = self.fault.state(index, now).pace;
-            let seen = SeenGroup {
+            let seen = GroupSample {
                 epoch: GroupEpoch(1),
                 step: StepNumber(group.ranks.passes()),
-                working: known.requests.iter().any(|requests| *requests > 0),
+                busy: known.requests.iter().any(|requests| *requests > 0),
                 slowest: RankPace::from_factor(slow),
             };
-            group.timer.saw(seen, now);
+            group.timer.observe(seen, now);
             if known.revision == group.told {
                 continue;
             }
--- a/porthoistd/tests/loads.rs
+++ b/porthoistd/tests/loads.rs
@@ -4,7 +4,7 @@
 use porthoist_fleet::{ControlTraffic, LoadsPublisher, PeerPool, RankService, serve_ranks};
 use porthoist_group::{ExpertLists, OrderAnswer, RankControl, RankFuture, RankObservation};
 use porthoist_policy::placement::equal_shares::EqualShareMap;
-use porthoist_policy::proxy::cold::ColdWord;
+use porthoist_policy::proxy::cold::ColdStatus;
 use porthoist_policy::proxy::loads::{GroupLoads, LoadRevision, RankLoad};
 use porthoist_policy::proxy::routes::{CallerLimits, ConfigVersion, EngineModel, RouteTable, ServiceSpec};
 use porthoist_policy::proxy::targets::{TargetRecord, TargetState};
@@ -84,11 +84,11 @@
         zone: "a".parse().expect("a name"),
         slots: 4,
         state: TargetState::Ready,
-        cold: ColdWord::Unsaid,
+        cold: ColdStatus::Unknown,
     };
     let mut state = ControlState { routes: Some(Arc::new(routes)), ..ControlState::default() };
     let places = (0..GROUPS).flat_map(|group| (0..RANKS).map(move |rank| (group, rank)));
-    state.targets.listed(places.map(|(group, rank)| record(group, rank)), None);
+    state.targets.apply_listing(places.map(|(group, rank)| record(group, rank)), None);
     state
 }
 
