--- a/crates/porthoist-fleet/src/rank/news.rs
+++ b/crates/porthoist-fleet/src/rank/news.rs
@@ -8,7 +8,9 @@
 use porthoist_policy::proxy::entries::EntryId;
 use porthoist_policy::proxy::notes::AgedNote;
 use porthoist_policy::proxy::turns::EntryPlace;
-use porthoist_proxy::{ControlTable, GapAges, NewsAsk, NewsRow, Stamped, TableEra, TableNews, TableRevision};
+use porthoist_proxy::{
+    ControlTable, GapAges, RowUpdate, Stamped, TableEra, TableQuery, TableRevision, TableUpdate,
+};
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -36,7 +38,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct ZoneNews {
     /// What it knows of the table.
-    pub news: TableNews,
+    pub news: TableUpdate,
     /// Which place the entry that asked has among those that ask; nothing while it is not known.
     pub place: Option<EntryPlace>,
     /// What entries have heard of targets in need.
@@ -78,7 +80,7 @@
     Ok((entry != EntryId(0)).then_some(ZoneWord { entry, notes }))
 }
 
-pub(super) fn write_ask(mut builder: news_ask::Builder<'_>, ask: &NewsAsk, word: &ZoneWord) {
+pub(super) fn write_ask(mut builder: news_ask::Builder<'_>, ask: &TableQuery, word: &ZoneWord) {
     builder.set_entry(word.entry.0);
     if !word.notes.is_empty() {
         builder.set_notes(&pack(&word.notes));
@@ -99,14 +101,14 @@
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
 
-pub(super) fn read_ask(reader: news_ask::Reader<'_>) -> Result<NewsAsk, Error> {
+pub(super) fn read_ask(reader: news_ask::Reader<'_>) -> Result<TableQuery, Error> {
     let table = match reader.get_table() {
         0 => ControlTable::Routes,
         1 => ControlTable::Targets,
         2 => ControlTable::Crashes,
         other => return Err(Error::failed(format!("there is no table {other}"))),
     };
-    Ok(NewsAsk {
+    Ok(TableQuery {
         table,
         after: TableRevision::new(TableEra(reader.get_after_era()), reader.get_after()),
         stamp: reader.get_stamp(),
@@ -178,7 +180,7 @@
 }
 
 impl PackedRows {
-    fn compress(&mut self, rows: &[NewsRow]) {
+    fn compress(&mut self, rows: &[RowUpdate]) {
         let packed = pack(&rows);
         if packed != self.packed || self.compressed.is_empty() {
             self.compressed = compress_to_vec_zlib(&packed, COMPRESSION);
@@ -199,14 +201,14 @@
 
 pub(super) fn write_news(
     mut builder: table_news::Builder<'_>,
-    news: &TableNews,
+    news: &TableUpdate,
     piece: PieceAsk,
     packed: &mut PackedRows,
 ) {
     let (rows, keys, gap) = match news {
-        TableNews::Newer { rows, keys, gap } => (rows, keys, gap),
-        TableNews::Nothing { failing } => return builder.set_nothing(*failing),
-        TableNews::TooMuch => return builder.set_too_much(()),
+        TableUpdate::Newer { rows, keys, gap } => (rows, keys, gap),
+        TableUpdate::Nothing { failing } => return builder.set_nothing(*failing),
+        TableUpdate::TooMuch => return builder.set_too_much(()),
     };
     packed.compress(&rows.value);
     let key_bytes: usize = keys.iter().flatten().map(String::len).sum();
@@ -240,11 +242,11 @@
     }
 }
 
-fn read_news(reader: table_news::Reader<'_>, pieces: &mut RowPieces) -> Result<Option<TableNews>, Error> {
+fn read_news(reader: table_news::Reader<'_>, pieces: &mut RowPieces) -> Result<Option<TableUpdate>, Error> {
     let newer = match reader.which()? {
         table_news::Newer(newer) => newer,
-        table_news::Nothing(failing) => return Ok(Some(TableNews::Nothing { failing })),
-        table_news::TooMuch(()) => return Ok(Some(TableNews::TooMuch)),
+        table_news::Nothing(failing) => return Ok(Some(TableUpdate::Nothing { failing })),
+        table_news::TooMuch(()) => return Ok(Some(TableUpdate::TooMuch)),
     };
     let piece = RowPiece {
         bytes: newer.get_rows()?,
@@ -257,7 +259,7 @@
     }
     let packed = decompress_to_vec_zlib_with_limit(&pieces.bytes, MOST_UNPACKED_BYTES)
         .map_err(|error| Error::failed(format!("rows that can't be decompressed: {error}")))?;
-    let rows: Vec<NewsRow> = unpack(&packed)?;
+    let rows: Vec<RowUpdate> = unpack(&packed)?;
     let gap = newer
         .get_has_gap()
         .then(|| GapAges { asked: newer.get_gap_asked(), returned: newer.get_gap_returned() });
@@ -268,5 +270,5 @@
         None
     };
     let revision = TableRevision::new(TableEra(newer.get_era()), newer.get_revision());
-    Ok(Some(TableNews::Newer { rows: Stamped::of(rows, revision, newer.get_stamp()), keys, gap }))
+    Ok(Some(TableUpdate::Newer { rows: Stamped::of(rows, revision, newer.get_stamp()), keys, gap }))
 }
--- a/crates/porthoist-fleet/src/rank/peer.rs
+++ b/crates/porthoist-fleet/src/rank/peer.rs
@@ -20,7 +20,7 @@
 use porthoist_policy::placement::map::ExpertId;
 use porthoist_policy::proxy::loads::{GroupLoads, LoadRevision};
 use porthoist_policy::switch::MapVersion;
-use porthoist_proxy::NewsAsk;
+use porthoist_proxy::TableQuery;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
 use std::fmt;
@@ -165,7 +165,7 @@
     /// time that the question is held and `patience`.
     pub async fn news(
         &self,
-        ask: NewsAsk,
+        ask: TableQuery,
         word: &ZoneWord,
         patience: Duration,
     ) -> Result<ZoneNews, CallError> {
@@ -183,7 +183,7 @@
 
     async fn news_piece(
         &self,
-        ask: &NewsAsk,
+        ask: &TableQuery,
         word: &ZoneWord,
         pieces: &mut RowPieces,
     ) -> Result<NewsAnswer, CallError> {
--- a/crates/porthoist-fleet/src/rank/server.rs
+++ b/crates/porthoist-fleet/src/rank/server.rs
@@ -297,7 +297,7 @@
         let reader = self.serving.reader.as_ref();
         let reader = reader.ok_or_else(|| Error::failed("this process follows no tables".to_owned()))?;
         let place = word.and_then(|word| self.serving.take_word(word));
-        let news = reader.news(ask).await;
+        let news = reader.query(ask).await;
         let mut builder = results.get().init_news();
         write_zone(builder.reborrow(), place, &self.serving.told_notes());
         write_news(builder, &news, read_piece_ask(asked), &mut self.serving.packed.borrow_mut());
--- a/crates/porthoist-fleet/tests/zone.rs
+++ b/crates/porthoist-fleet/tests/zone.rs
@@ -14,8 +14,8 @@
 use porthoist_policy::proxy::targets::TargetLife;
 use porthoist_policy::proxy::turns::EntryPlace;
 use porthoist_proxy::{
-    ControlTable, NewsAsk, NewsValue, RowSource, RowValue, SourceFuture, Stamped, TableEra, TableNews,
-    TableReader, TableRevision, TableRow,
+    ControlTable, RowSource, RowValue, SourceFuture, Stamped, TableEra, TableQuery, TableReader,
+    TableRevision, TableRow, TableUpdate, ValueUpdate,
 };
 use slog::{Discard, Logger, o};
 use std::rc::Rc;
@@ -100,7 +100,7 @@
 }
 
 async fn ask(peer: &RankPeer, entry: u64, notes: &[TargetNote], now: u64) -> ZoneNews {
-    let ask = NewsAsk {
+    let ask = TableQuery {
         table: ControlTable::Targets,
         after: TableRevision::default(),
         stamp: 0,
@@ -168,12 +168,12 @@
         let row = noisy_row(bytes);
         let peer = start_with(&clock, FixedTable(vec![row.clone()])).await;
         match ask(&peer, 3, &[], 0).await.news {
-            TableNews::Newer { rows, .. } => {
+            TableUpdate::Newer { rows, .. } => {
                 assert!(told);
                 assert_eq!(rows.revision, TableRevision::new(TABLE_ERA, 1));
-                assert_eq!(rows.value[0].value, NewsValue::Whole(row.value));
+                assert_eq!(rows.value[0].value, ValueUpdate::Whole(row.value));
             }
-            other => assert_eq!((other, told), (TableNews::TooMuch, false)),
+            other => assert_eq!((other, told), (TableUpdate::TooMuch, false)),
         }
     };
     LocalSet::new().run_until(asked).await;
--- a/crates/porthoist-proxy/src/broker.rs
+++ b/crates/porthoist-proxy/src/broker.rs
@@ -31,14 +31,14 @@
 
 /// The broker; clones share one state.
 #[derive(Clone)]
-pub struct PlaceBroker {
+pub struct RequestDispatcher {
     desk: Rc<RefCell<PlaceDesk<PlaceReply>>>,
     clock: Arc<dyn ClockSource>,
 }
 
-impl fmt::Debug for PlaceBroker {
+impl fmt::Debug for RequestDispatcher {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("PlaceBroker")
+        f.write_str("RequestDispatcher")
     }
 }
 
@@ -58,7 +58,7 @@
     pub placed: UnixMillis,
     work: RequestWork,
     outcome: Cell<SendOutcome>,
-    broker: PlaceBroker,
+    broker: RequestDispatcher,
 }
 
 impl fmt::Debug for TargetPlace {
@@ -80,7 +80,7 @@
     }
 }
 
-impl PlaceBroker {
+impl RequestDispatcher {
     /// A broker without targets.
     pub fn new(settings: BrokerSettings, clock: Arc<dyn ClockSource>) -> Self {
         Self { desk: Rc::new(RefCell::new(PlaceDesk::new(settings))), clock }
@@ -109,7 +109,7 @@
     }
 
     /// Takes the loads that the engines of a group reported, and serves those who waited for room.
-    pub fn take_loads(&self, loads: &GroupLoads) {
+    pub fn update_loads(&self, loads: &GroupLoads) {
         self.desk.borrow_mut().take_loads(loads, self.clock.now());
         self.serve_all_waiting();
     }
@@ -167,7 +167,7 @@
     }
 
     /// Takes this process's place among the entries of its zone.
-    pub fn set_place(&self, place: Option<EntryPlace>) {
+    pub fn set_entry_position(&self, place: Option<EntryPlace>) {
         self.desk.borrow_mut().set_place(place);
     }
 
--- a/crates/porthoist-proxy/src/control.rs
+++ b/crates/porthoist-proxy/src/control.rs
@@ -6,7 +6,7 @@
 use crate::reader::GapAges;
 use crate::revision::TableEra;
 use crate::rows::{ANSWER_MILLIS, answer_within};
-use crate::source::{AnswerOrigin, ControlSource, OperatorNews, SourceError, Stamped};
+use crate::source::{AnswerOrigin, ControlSource, OperatorUpdate, SourceError, Stamped};
 use porthoist_core::{ClockSource, UnixDeadline, UnixMillis};
 use porthoist_metrics::MetricsHub;
 use porthoist_policy::proxy::freshness::{FreshnessProof, StampedAnswer};
@@ -245,9 +245,9 @@
     }
 
     /// Takes what operators say: newer routes come into force, older ones never.
-    fn adopt(&self, answer: Stamped<OperatorNews>, sent: UnixMillis) {
+    fn adopt(&self, answer: Stamped<OperatorUpdate>, sent: UnixMillis) {
         let stamped = StampedAnswer { sent, received: self.clock.now(), stamp: answer.stamp };
-        let OperatorNews { routes, zones } = answer.value;
+        let OperatorUpdate { routes, zones } = answer.value;
         let restored = record_era(&self.routes_era, answer.revision.era);
         self.state.send_modify(|state| {
             if restored {
--- a/crates/porthoist-proxy/src/course.rs
+++ b/crates/porthoist-proxy/src/course.rs
@@ -1,10 +1,10 @@
 //! The course of one request: admitted by routes, key and proof, given a place, sent, and sent again where that is
 //! allowed, until its answer or a refusal that says truthfully whether it may have run.
 
-use crate::broker::{PlaceBroker, TargetPlace};
+use crate::broker::{RequestDispatcher, TargetPlace};
 use crate::control::ControlState;
 use crate::exchange::{ConnectionPool, OpenAnswer, SendFailure};
-use crate::quarantine::QuarantineDesk;
+use crate::quarantine::RequestQuarantine;
 use crate::reply::{Reply, own_reply, piecewise_reply, relayed_headers, whole_reply};
 use crate::wire::WireCodec;
 use hyper::Request;
@@ -60,7 +60,7 @@
 
 /// Settings of all courses.
 #[derive(Debug, Clone, bon::Builder)]
-pub struct CourseSettings {
+pub struct ProxyHandlerSettings {
     /// Whether requests need proof that the configuration is the newest.
     pub proof: ProofRule,
     /// This process's share of repeats.
@@ -68,12 +68,12 @@
 }
 
 /// What all courses of a process share.
-pub struct RequestCourse {
-    settings: CourseSettings,
+pub struct ProxyHandler {
+    settings: ProxyHandlerSettings,
     codec: Rc<dyn WireCodec>,
     state: watch::Receiver<ControlState>,
-    broker: PlaceBroker,
-    quarantine: Rc<QuarantineDesk>,
+    dispatcher: RequestDispatcher,
+    quarantine: Rc<RequestQuarantine>,
     pool: ConnectionPool,
     shares: RefCell<HashMap<ServiceName, RetryShare>>,
     patience: RefCell<PatienceBook>,
@@ -92,15 +92,15 @@
     logger: Logger,
 }
 
-impl std::fmt::Debug for RequestCourse {
+impl std::fmt::Debug for ProxyHandler {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("RequestCourse").field("in_flight", &self.in_flight.get()).finish_non_exhaustive()
+        f.debug_struct("ProxyHandler").field("in_flight", &self.in_flight.get()).finish_non_exhaustive()
     }
 }
 
 /// Says in the log that the caller left, unless the course came to its end.
 struct CourseGuard {
-    course: Rc<RequestCourse>,
+    course: Rc<ProxyHandler>,
     attempt: Arc<str>,
     ended: Cell<bool>,
 }
@@ -116,15 +116,15 @@
 }
 
 #[bon::bon]
-impl RequestCourse {
+impl ProxyHandler {
     /// Joins the parts of a course.
     #[builder]
     pub fn new(
-        settings: CourseSettings,
+        settings: ProxyHandlerSettings,
         codec: Rc<dyn WireCodec>,
         state: watch::Receiver<ControlState>,
-        broker: PlaceBroker,
-        quarantine: Rc<QuarantineDesk>,
+        dispatcher: RequestDispatcher,
+        quarantine: Rc<RequestQuarantine>,
         notes: watch::Sender<Vec<TargetNote>>,
         clock: Arc<dyn ClockSource>,
         metrics: Arc<MetricsHub>,
@@ -135,7 +135,7 @@
             settings,
             codec,
             state,
-            broker,
+            dispatcher,
             quarantine,
             pool,
             shares: RefCell::default(),
@@ -153,7 +153,7 @@
     }
 }
 
-impl RequestCourse {
+impl ProxyHandler {
     /// Requests whose answer is not at its end.
     pub fn in_flight(&self) -> u64 {
         self.in_flight.get()
@@ -175,7 +175,7 @@
         self.targets_taken.set(state.targets_listed);
         let services = state.routes.iter().flat_map(|routes| routes.services.values());
         let rules = services.filter_map(|spec| Some((spec.name.clone(), spec.cold?))).collect();
-        self.broker.sync(&state.targets, rules, &state.emptied);
+        self.dispatcher.sync(&state.targets, rules, &state.emptied);
         let known: HashSet<TargetLife> = state.targets.records().map(|record| record.life()).collect();
         self.pool.tidy(|life| known.contains(life));
         self.note_cold();
@@ -183,7 +183,7 @@
 
     /// Says how many targets count as cold, where that has changed.
     fn note_cold(&self) {
-        let cold = self.broker.cold();
+        let cold = self.dispatcher.cold();
         if self.cold.replace(cold) != cold {
             self.metrics.cold_targets(cold as u64);
             info!(self.logger, "targets count as cold"; "event" => "targets_cold", "count" => cold);
@@ -191,34 +191,34 @@
     }
 
     /// Takes what the table of deaths says.
-    pub fn take_crashes(&self) {
+    pub fn update_crashes(&self) {
         self.quarantine.take_news();
     }
 
     /// Removes deaths that no longer count; to be called now and then.
-    pub fn remove_lapsed(&self) {
-        self.quarantine.remove_lapsed();
+    pub fn remove_expired_crashes(&self) {
+        self.quarantine.remove_expired_crashes();
     }
 
     /// Takes this process's place among the entries of its zone.
-    pub fn set_place(&self, place: Option<EntryPlace>) {
+    pub fn set_entry_position(&self, place: Option<EntryPlace>) {
         if let Some(EntryPlace { index, entries }) = place {
             info!(self.logger, "the entries of the zone are counted"; "event" => "entry_place", "index" => index,
                 "entries" => entries);
         }
-        self.broker.set_place(place);
+        self.dispatcher.set_entry_position(place);
     }
 
     /// Takes the loads that the engines of a group reported.
-    pub fn take_loads(&self, loads: &GroupLoads) {
-        self.broker.take_loads(loads);
+    pub fn update_loads(&self, loads: &GroupLoads) {
+        self.dispatcher.update_loads(loads);
         let now = self.clock.now();
         if !self.paces_due.get().passed(now) {
             return;
         }
         self.paces_due.set(UnixDeadline::after(now, PACES_MILLIS));
         self.note_cold();
-        for GroupChoice { index, pace } in self.broker.group_changes() {
+        for GroupChoice { index, pace } in self.dispatcher.group_changes() {
             let (group, standing, pass) = (index.place(), pace.standing, pace.millis);
             info!(self.logger, "a group stands or goes on again"; "event" => "group_pace", "group" => group,
                 "standing" => standing, "pass_ms" => pass);
--- a/crates/porthoist-proxy/src/course/admission.rs
+++ b/crates/porthoist-proxy/src/course/admission.rs
@@ -1,7 +1,7 @@
 //! Whether a request is allowed: a route, a key, proof that both are current, and a body within bounds.
 
 use super::parts::{AdmittedRequest, CourseRefusal};
-use super::{RequestCourse, UNREADY_RETRY_MILLIS, host_of, key_error};
+use super::{ProxyHandler, UNREADY_RETRY_MILLIS, host_of, key_error};
 use crate::wire::RequestFacts;
 use bytes::Bytes;
 use hyper::StatusCode;
@@ -23,7 +23,7 @@
     body_bytes: usize,
 }
 
-impl RequestCourse {
+impl ProxyHandler {
     pub(super) async fn admit(
         &self,
         facts: RequestFacts,
--- a/crates/porthoist-proxy/src/course/moving.rs
+++ b/crates/porthoist-proxy/src/course/moving.rs
@@ -1,6 +1,6 @@
 //! Requests that leave a target which stands still or is too slow, while it has them.
 
-use super::RequestCourse;
+use super::ProxyHandler;
 use super::parts::{AdmittedRequest, SendRecord};
 use crate::broker::TargetPlace;
 use crate::exchange::SendFailure;
@@ -15,7 +15,7 @@
 /// a group is known to stand.
 const LOOK_TIME: Duration = Duration::from_millis(50);
 
-impl RequestCourse {
+impl ProxyHandler {
     /// Ends when a request should leave its target, with one repeat taken from the share for it. `since` is when the
     /// request was sent or its last event came.
     pub(super) async fn move_due(
@@ -39,7 +39,7 @@
         };
         loop {
             tokio::time::sleep(LOOK_TIME).await;
-            let Some(cause) = self.broker.move_cause(&place.record, &send) else { continue };
+            let Some(cause) = self.dispatcher.move_cause(&place.record, &send) else { continue };
             let now = self.clock.now();
             let allowed = self.share_of(&admitted.service, |share| match cause {
                 // What a host that stands still has kept would run after its caller has left.
@@ -62,7 +62,7 @@
     ) -> SendFailure {
         if cause == MoveCause::TargetSilent {
             place.ended(SendOutcome::Lost);
-            self.broker.died(&place.record.life());
+            self.dispatcher.died(&place.record.life());
         }
         info!(self.logger, "left a target"; "event" => "moved", "request" => &*admitted.facts.attempt,
             "target" => place.record.id.to_string(), "cause" => cause.as_str(),
--- a/crates/porthoist-proxy/src/course/needs.rs
+++ b/crates/porthoist-proxy/src/course/needs.rs
@@ -1,6 +1,6 @@
 //! What targets say of themselves in answers: taken from them, told to the other entries of the zone, and heard from those.
 
-use super::RequestCourse;
+use super::ProxyHandler;
 use porthoist_core::{UnixDeadline, UnixMillis};
 use porthoist_policy::proxy::needs::{NamedValue, NeedChange, NotedChange, TargetWord};
 use porthoist_policy::proxy::notes::{NoteBoard, TargetNote};
@@ -33,10 +33,10 @@
     }
 }
 
-impl RequestCourse {
+impl ProxyHandler {
     /// Takes what a target says of itself. An answer to another request, or of another target at the address, says nothing of it.
     pub(super) fn note_word(&self, target: &TargetRecord, word: &TargetWord, sent: UnixMillis) {
-        let changes = self.broker.told(target, word, sent);
+        let changes = self.dispatcher.told(target, word, sent);
         let now = self.clock.now();
         let lifted = changes.iter().any(|noted| matches!(noted.change, NeedChange::Lifted(_)));
         let limit = match word.limit {
@@ -53,9 +53,9 @@
     }
 
     /// Takes what other entries of the zone tell.
-    pub fn take_notes(&self, notes: &[TargetNote]) {
+    pub fn apply_notes(&self, notes: &[TargetNote]) {
         for note in notes {
-            if let Some(noted) = self.broker.told_by_other(note) {
+            if let Some(noted) = self.dispatcher.told_by_other(note) {
                 self.log_need(&note.life, noted, "zone");
             }
         }
--- a/crates/porthoist-proxy/src/course/permit.rs
+++ b/crates/porthoist-proxy/src/course/permit.rs
@@ -1,6 +1,6 @@
 //! Whether a request may be sent at all: time is left, and no targets died of it.
 
-use super::RequestCourse;
+use super::ProxyHandler;
 use super::parts::{AdmittedRequest, CourseRefusal, SendRecord};
 use crate::broker::TargetPlace;
 use crate::exchange::{SendFailure, TargetLiveness};
@@ -8,7 +8,7 @@
 use porthoist_core::{RefusalReason, TargetName};
 use porthoist_policy::proxy::targets::{TargetRecord, TargetState};
 
-impl RequestCourse {
+impl ProxyHandler {
     /// Permission to send a request, and a place for it. What is heard of it while it waits for one counts too.
     pub(super) async fn permit_and_place(
         &self,
@@ -21,7 +21,7 @@
             self.take_permit(admitted, record)?;
             self.check_deadline(admitted, record)?;
             // The target may have asked for less between the place and now.
-            if self.broker.stands(&place) {
+            if self.dispatcher.stands(&place) {
                 break place;
             }
         };
@@ -40,7 +40,7 @@
         if record.may_have_run {
             return Err(CourseRefusal::unknown(RefusalReason::DeadlinePassed, StatusCode::GATEWAY_TIMEOUT));
         }
-        let retry_millis = self.broker.return_millis(&admitted.service, admitted.deadline);
+        let retry_millis = self.dispatcher.return_millis(&admitted.service, admitted.deadline);
         Err(CourseRefusal::later(RefusalReason::DeadlinePassed, retry_millis))
     }
 
@@ -76,7 +76,7 @@
         }
         let liveness = self.pool.probe(target).await;
         if liveness == TargetLiveness::Dead {
-            self.broker.died(&target.life());
+            self.dispatcher.died(&target.life());
         }
         self.quarantine.lost(admitted, target, liveness);
     }
@@ -84,7 +84,7 @@
     /// Whether a target is known to leave, so that its end is no surprise.
     fn is_leaving(&self, target: &TargetRecord) -> bool {
         let life = target.life();
-        if self.broker.leaves(&life) {
+        if self.dispatcher.leaves(&life) {
             return true;
         }
         let state = self.state.borrow();
--- a/crates/porthoist-proxy/src/course/placing.rs
+++ b/crates/porthoist-proxy/src/course/placing.rs
@@ -1,6 +1,6 @@
-//! A place at a target for a request: what it asks the broker for, and how it ends where there is none.
+//! A place at a target for a request: what it asks the dispatcher for, and how it ends where there is none.
 
-use super::RequestCourse;
+use super::ProxyHandler;
 use super::parts::{AdmittedRequest, CourseRefusal, SendRecord};
 use crate::broker::{PlaceDemand, PlaceError, TargetPlace};
 use hyper::StatusCode;
@@ -8,7 +8,7 @@
 use porthoist_policy::proxy::waiting::RequestTurn;
 use slog::info;
 
-impl RequestCourse {
+impl ProxyHandler {
     pub(super) async fn find_place(
         &self,
         admitted: &AdmittedRequest,
@@ -32,7 +32,7 @@
             deadline: admitted.deadline,
             turn,
         };
-        let placed = self.broker.place(demand).await;
+        let placed = self.dispatcher.place(demand).await;
         let waited = self.clock.now().since(now);
         self.metrics.queue_wait(waited as f64);
         match placed {
@@ -62,6 +62,6 @@
         if record.may_have_run {
             return CourseRefusal::unknown(reason, StatusCode::BAD_GATEWAY);
         }
-        CourseRefusal::later(reason, self.broker.return_millis(&admitted.service, admitted.deadline))
+        CourseRefusal::later(reason, self.dispatcher.return_millis(&admitted.service, admitted.deadline))
     }
 }
--- a/crates/porthoist-proxy/src/course/relay.rs
+++ b/crates/porthoist-proxy/src/course/relay.rs
@@ -1,7 +1,7 @@
 //! Passes a stream on, event by event, and goes on at another target after its last event where that is allowed.
 
 use super::parts::{AdmittedRequest, SendRecord, TargetAnswer};
-use super::{CourseGuard, RequestCourse};
+use super::{CourseGuard, ProxyHandler};
 use crate::broker::TargetPlace;
 use crate::events::{EventSplitter, WholeEvent};
 use crate::exchange::{OpenAnswer, SendFailure};
@@ -18,7 +18,7 @@
 
 /// A stream on its way to a caller.
 pub(super) struct EventRelay {
-    course: Rc<RequestCourse>,
+    course: Rc<ProxyHandler>,
     admitted: Rc<AdmittedRequest>,
     source: Option<EventSource>,
     splitter: EventSplitter,
@@ -46,7 +46,7 @@
 
 impl EventRelay {
     pub(super) fn new(
-        course: Rc<RequestCourse>,
+        course: Rc<ProxyHandler>,
         admitted: Rc<AdmittedRequest>,
         place: TargetPlace,
         answer: OpenAnswer,
@@ -157,7 +157,7 @@
         if self.first_at.is_none() {
             self.first_at = Some(now);
             if let Some(source) = &self.source {
-                self.course.broker.began(&source.place.record, now.since(source.place.placed) as f64);
+                self.course.dispatcher.began(&source.place.record, now.since(source.place.placed) as f64);
             }
             let first = now.since(self.admitted.arrival) as f64;
             self.course.metrics.answer(first);
@@ -166,7 +166,7 @@
             self.longest_pause = self.longest_pause.max(pause);
             self.course.metrics.event_pause(pause as f64);
             if let Some(source) = &self.source {
-                self.course.broker.heard(&source.place.record);
+                self.course.dispatcher.heard(&source.place.record);
             }
         }
         self.last_at = now;
@@ -178,7 +178,7 @@
     fn finish(&mut self) {
         self.guard.ended.set(true);
         self.course.quarantine.answered(&*self.admitted);
-        self.course.broker.streamed(&self.admitted.service, self.passed_on);
+        self.course.dispatcher.streamed(&self.admitted.service, self.passed_on);
         let Some(EventSource { place, answer }) = self.source.take() else { return };
         let first = self.first_at.map(|first| first.since(self.admitted.arrival));
         info!(self.course.logger, "streamed"; "event" => "answered",
--- a/crates/porthoist-proxy/src/course/repeating.rs
+++ b/crates/porthoist-proxy/src/course/repeating.rs
@@ -1,6 +1,6 @@
 //! Whether a request may be sent once more: the route's attempts, its deadline, and this process's share of repeats.
 
-use super::RequestCourse;
+use super::ProxyHandler;
 use super::parts::{AdmittedRequest, CourseRefusal, SendRecord};
 use crate::exchange::SendFailure;
 use hyper::StatusCode;
@@ -8,7 +8,7 @@
 use porthoist_policy::proxy::retry_share::RetryShare;
 use slog::info;
 
-impl RequestCourse {
+impl ProxyHandler {
     /// Whether one more send is within the route's attempts and the deadline.
     pub(super) fn may_repeat(&self, admitted: &AdmittedRequest, record: &SendRecord) -> bool {
         let attempts = record.attempts();
@@ -50,7 +50,10 @@
                     RetryReason::Unreachable => RefusalReason::Unreachable,
                     _ => RefusalReason::Overloaded,
                 };
-                CourseRefusal::later(reason, self.broker.return_millis(&admitted.service, admitted.deadline))
+                CourseRefusal::later(
+                    reason,
+                    self.dispatcher.return_millis(&admitted.service, admitted.deadline),
+                )
             }
         })
     }
--- a/crates/porthoist-proxy/src/course/sending.rs
+++ b/crates/porthoist-proxy/src/course/sending.rs
@@ -1,7 +1,7 @@
 //! One send of a request to a target: what goes out, and what the answer proves.
 
 use super::parts::{AdmittedRequest, SendRecord, TargetAnswer, WholeAnswer};
-use super::{LAST_EVENT_ID, MAX_WHOLE_ANSWER_BYTES, RequestCourse};
+use super::{LAST_EVENT_ID, MAX_WHOLE_ANSWER_BYTES, ProxyHandler};
 use crate::broker::TargetPlace;
 use crate::exchange::{OpenAnswer, SendFailure};
 use crate::reply::strip_hop_headers;
@@ -15,7 +15,7 @@
 use porthoist_policy::proxy::placement::SendOutcome;
 use slog::info;
 
-impl RequestCourse {
+impl ProxyHandler {
     /// One send and what its answer proves.
     pub(super) async fn send(
         &self,
@@ -49,14 +49,14 @@
                 place.ended(SendOutcome::Failed);
             }
             Ok(TargetAnswer::Whole(_whole)) => {
-                self.broker.began(&place.record, millis);
+                self.dispatcher.began(&place.record, millis);
                 place.ended(SendOutcome::Answered(millis));
             }
             Ok(TargetAnswer::Events(_answer)) => place.ended(SendOutcome::Answered(millis)),
             Err(failure) => {
                 // A service whose targets rest is not down.
                 if !matches!(failure.reason, RetryReason::Misdirected | RetryReason::Resting) {
-                    self.broker.refused(&admitted.service);
+                    self.dispatcher.refused(&admitted.service);
                 }
                 place.ended(match failure.reason {
                     RetryReason::Refused | RetryReason::Resting => SendOutcome::Shed,
--- a/crates/porthoist-proxy/src/crashes.rs
+++ b/crates/porthoist-proxy/src/crashes.rs
@@ -46,7 +46,7 @@
 
 /// What is known of the table of deaths.
 #[derive(Debug, Clone, Default)]
-pub struct CrashNews {
+pub struct CrashSnapshot {
     /// Its rows.
     pub rows: Arc<CrashRows>,
     /// Whether it was listed at all.
@@ -81,7 +81,7 @@
     /// Answers the questions.
     source: Rc<dyn RowSource>,
     /// Takes what they bring.
-    news: watch::Sender<CrashNews>,
+    crashes: watch::Sender<CrashSnapshot>,
     /// What is known of routes and targets.
     state: watch::Receiver<ControlState>,
     clock: Arc<dyn ClockSource>,
@@ -146,7 +146,7 @@
         whole: bool,
         unreadable: &mut HashSet<(String, TableRevision)>,
     ) {
-        self.news.send_modify(|news| {
+        self.crashes.send_modify(|news| {
             let known = if whole { CrashRows::new() } else { (*news.rows).clone() };
             let known = answer.value.iter().fold(known, |mut known, row| {
                 match read_row(row) {
@@ -200,7 +200,7 @@
 
 /// Writes what this process noted.
 #[derive(Debug, bon::Builder)]
-pub struct CrashJournal {
+pub struct CrashWriter {
     /// Writes.
     writer: Rc<dyn RowWriter>,
     /// What to write.
@@ -212,7 +212,7 @@
     pending: BTreeMap<CrashKey, Option<CrashReport>>,
 }
 
-impl CrashJournal {
+impl CrashWriter {
     /// Runs until nobody notes anything any more.
     pub async fn run(mut self) {
         let mut pause = PAUSE;
--- a/crates/porthoist-proxy/src/quarantine.rs
+++ b/crates/porthoist-proxy/src/quarantine.rs
@@ -1,6 +1,6 @@
 //! Keeps requests from targets that die of them: what the courses of one process ask of the book, and what they tell it.
 
-use crate::crashes::{CrashChange, CrashNews};
+use crate::crashes::{CrashChange, CrashSnapshot};
 use crate::exchange::TargetLiveness;
 use crate::revision::TableEra;
 use porthoist_core::{ClockSource, HostName, RequestMark, TargetName};
@@ -35,10 +35,10 @@
 }
 
 /// The desk of one process.
-pub struct QuarantineDesk {
+pub struct RequestQuarantine {
     book: RefCell<QuarantineBook>,
     /// What is known of the table.
-    news: RefCell<watch::Receiver<CrashNews>>,
+    crashes: RefCell<watch::Receiver<CrashSnapshot>>,
     /// Where changes of the table go.
     changes: mpsc::Sender<CrashChange>,
     /// Targets at which suspected requests of this process run.
@@ -53,15 +53,17 @@
     logger: Logger,
 }
 
-impl fmt::Debug for QuarantineDesk {
+impl fmt::Debug for RequestQuarantine {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("QuarantineDesk").field("requests", &self.book.borrow().len()).finish_non_exhaustive()
+        f.debug_struct("RequestQuarantine")
+            .field("requests", &self.book.borrow().len())
+            .finish_non_exhaustive()
     }
 }
 
 /// A run of a suspected request; ends when dropped.
 pub struct SuspectRun {
-    desk: Rc<QuarantineDesk>,
+    desk: Rc<RequestQuarantine>,
     mark: RequestMark,
     target: Option<TargetName>,
 }
@@ -93,12 +95,12 @@
 }
 
 #[bon::bon]
-impl QuarantineDesk {
+impl RequestQuarantine {
     /// A desk that holds nothing against any request.
     #[builder]
     pub fn new(
         host: HostName,
-        news: watch::Receiver<CrashNews>,
+        crashes: watch::Receiver<CrashSnapshot>,
         changes: mpsc::Sender<CrashChange>,
         clock: Arc<dyn ClockSource>,
         metrics: Arc<MetricsHub>,
@@ -106,7 +108,7 @@
     ) -> Rc<Self> {
         Rc::new(Self {
             book: RefCell::new(QuarantineBook::new(QuarantineRules::default())),
-            news: RefCell::new(news),
+            crashes: RefCell::new(crashes),
             changes,
             occupied: RefCell::default(),
             listed: Cell::new(false),
@@ -119,7 +121,7 @@
     }
 }
 
-impl QuarantineDesk {
+impl RequestQuarantine {
     /// Asks to send a request; a suspected one gets a run that ends when it is dropped.
     pub fn begin(self: &Rc<Self>, request: &impl MarkedRequest) -> Result<Option<SuspectRun>, KeptBack> {
         self.take_news();
@@ -204,7 +206,7 @@
     /// another task of this thread has run.
     pub fn take_news(&self) {
         let news = {
-            let mut receiver = self.news.borrow_mut();
+            let mut receiver = self.crashes.borrow_mut();
             let changed = receiver.has_changed().unwrap_or(false);
             if self.listed.get() && !changed {
                 return;
@@ -252,7 +254,7 @@
     }
 
     /// Removes rows that no longer count; to be called now and then.
-    pub fn remove_lapsed(&self) {
+    pub fn remove_expired_crashes(&self) {
         self.write_due_rewrites();
         let now = self.clock.now();
         let rows = self.book.borrow_mut().lapsed(self.host.as_str(), rand::random(), now);
--- a/crates/porthoist-proxy/src/reader.rs
+++ b/crates/porthoist-proxy/src/reader.rs
@@ -44,7 +44,7 @@
 
 /// A question to a process that follows the tables.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct NewsAsk {
+pub struct TableQuery {
     /// The table.
     pub table: ControlTable,
     /// The revision after which changes are asked for.
@@ -68,29 +68,29 @@
 
 /// A row as it is told to a process that knows the table as of a revision.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NewsRow {
+pub struct RowUpdate {
     /// Its key.
     pub key: String,
     /// Version number, within the era of the answer.
     pub version: u64,
     /// What it holds.
-    pub value: NewsValue,
+    pub value: ValueUpdate,
 }
 
 /// What a row holds.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum NewsValue {
+pub enum ValueUpdate {
     /// Whole.
     Whole(RowValue),
     /// As changes to what it held before.
     Changed(ValuePatch),
 }
 
-impl NewsRow {
+impl RowUpdate {
     fn of(row: &TableRow, earlier: &EarlierValues, revision: TableRevision) -> Self {
         let value = match earlier.patch(row, revision) {
-            Some(patch) => NewsValue::Changed((*patch).clone()),
-            None => NewsValue::Whole(row.value.clone()),
+            Some(patch) => ValueUpdate::Changed((*patch).clone()),
+            None => ValueUpdate::Whole(row.value.clone()),
         };
         Self { key: row.key.clone(), version: row.version.number, value }
     }
@@ -100,8 +100,8 @@
     pub fn whole(self, era: TableEra, known: Option<&TableRow>) -> Option<TableRow> {
         let Self { key, version, value } = self;
         let value = match value {
-            NewsValue::Whole(value) => value,
-            NewsValue::Changed(patch) => {
+            ValueUpdate::Whole(value) => value,
+            ValueUpdate::Changed(patch) => {
                 let known = known.filter(|known| known.version.number == patch.base)?;
                 let RowValue::Bytes(earlier) = &known.value else { return None };
                 RowValue::Bytes(patch.apply(earlier)?)
@@ -111,13 +111,13 @@
     }
 }
 
-/// An answer to a [`NewsAsk`].
+/// An answer to a [`TableQuery`].
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum TableNews {
+pub enum TableUpdate {
     /// Rows that changed, perhaps none, and a newer clock of the table service.
     Newer {
         /// The rows, the revision up to which they are whole, and the clock.
-        rows: Stamped<Vec<NewsRow>>,
+        rows: Stamped<Vec<RowUpdate>>,
         /// The keys of all rows, where removals since the revision asked about are not known one by one.
         keys: Option<Vec<String>>,
         /// The last time without answers, if there was one.
@@ -218,7 +218,7 @@
     }
 
     /// What there is for a question now; nothing if it is to wait.
-    fn news(&self, ask: &NewsAsk, now: UnixMillis) -> Option<TableNews> {
+    fn news(&self, ask: &TableQuery, now: UnixMillis) -> Option<TableUpdate> {
         let stamp = self.stamp?;
         if self.revision.era < ask.after.era {
             return None;
@@ -231,8 +231,8 @@
         // One that knows nothing has nothing to drop.
         let keys = (ask.after > TableRevision::default() && ask.after < self.floor).then(|| self.live_keys());
         let newer = self.rows.values().filter(|known| known.learnt > ask.after);
-        let mut rows: Vec<NewsRow> =
-            newer.map(|known| NewsRow::of(&known.row, &self.earlier, ask.after)).collect();
+        let mut rows: Vec<RowUpdate> =
+            newer.map(|known| RowUpdate::of(&known.row, &self.earlier, ask.after)).collect();
         if rows.is_empty() && keys.is_none() && !is_later {
             return None;
         }
@@ -241,7 +241,7 @@
         let revision = self.revision.max(ask.after);
         let ages =
             |gap: AnswerGap| GapAges { asked: now.since(gap.asked), returned: now.since(gap.returned) };
-        Some(TableNews::Newer { rows: Stamped::of(rows, revision, stamp), keys, gap: self.gap.map(ages) })
+        Some(TableUpdate::Newer { rows: Stamped::of(rows, revision, stamp), keys, gap: self.gap.map(ages) })
     }
 
     fn live_keys(&self) -> Vec<String> {
@@ -307,7 +307,7 @@
     }
 
     /// Answers a question as soon as there is something newer, or when it was held for as long as it allows.
-    pub async fn news(self: &Rc<Self>, ask: NewsAsk) -> TableNews {
+    pub async fn query(self: &Rc<Self>, ask: TableQuery) -> TableUpdate {
         let table = Rc::clone(self.followed(ask.table));
         table.wanted_until.set(UnixDeadline::after(self.clock.now(), WANTED_MILLIS));
         table.wait.set(table.wait.get().min(ask.wait));
@@ -328,7 +328,7 @@
             }
         };
         let held = tokio::time::timeout(ask.hold, answered).await;
-        held.unwrap_or_else(|_elapsed| TableNews::Nothing { failing: table.known.borrow().failing })
+        held.unwrap_or_else(|_elapsed| TableUpdate::Nothing { failing: table.known.borrow().failing })
     }
 
     /// Follows a table until nobody wants it any more.
--- a/crates/porthoist-proxy/src/server.rs
+++ b/crates/porthoist-proxy/src/server.rs
@@ -1,6 +1,6 @@
 //! The callers' listener: accepts connections, serves their requests, and stops without cutting one off.
 
-use crate::course::RequestCourse;
+use crate::course::ProxyHandler;
 use crate::reply::Reply;
 use hyper::Request;
 use hyper::body::Incoming;
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone)]
 pub struct ProxyServer {
     /// The course of each request.
-    pub course: Rc<RequestCourse>,
+    pub handler: Rc<ProxyHandler>,
     /// Turns `true` when the process should stop.
     pub stopping: watch::Receiver<bool>,
     /// Milliseconds after the stop in which the balancer still sends new connections.
@@ -61,10 +61,10 @@
                 }
             },
             _ = stopping.wait_for(|stopping| *stopping), if stop_at.is_none() => {
-                server.course.stop();
+                server.handler.stop();
                 stop_at = Some(UnixDeadline::after(now(), server.stop_lag_millis));
                 grace_end = Some(UnixDeadline::after(now(), server.grace_millis));
-                info!(server.logger, "stopping"; "event" => "stop", "in_flight" => server.course.in_flight());
+                info!(server.logger, "stopping"; "event" => "stop", "in_flight" => server.handler.in_flight());
             }
             () = sleep_or_never(lag) => break,
         }
@@ -72,7 +72,7 @@
     drop(listener);
     let patience = grace_end.map(|deadline| deadline.remaining(now())).unwrap_or_default();
     let ended = tokio::time::timeout(patience, graceful.shutdown()).await;
-    info!(server.logger, "stopped"; "event" => "stopped", "cut_off" => server.course.in_flight(),
+    info!(server.logger, "stopped"; "event" => "stopped", "cut_off" => server.handler.in_flight(),
         "in_time" => ended.is_ok());
 }
 
@@ -86,10 +86,10 @@
 fn accept(stream: TcpStream, server: &ProxyServer, graceful: &GracefulShutdown) {
     // The work of a caller that is gone without a sign ends with its connection. An error here only costs time.
     drop(bound_silence(&stream, SocketPeer::Caller));
-    let limits = server.course.limits();
+    let limits = server.handler.limits();
     let header_bytes = limits.map_or(MIN_HEADER_BYTES, |limits| limits.header_bytes.max(MIN_HEADER_BYTES));
     let idle_millis = limits.map_or(IDLE_MILLIS, |limits| limits.idle_millis);
-    let course = Rc::clone(&server.course);
+    let course = Rc::clone(&server.handler);
     let service = service_fn(move |request: Request<Incoming>| {
         let answer = Rc::clone(&course).serve(request);
         async move { Ok::<Reply, Infallible>(answer.await) }
--- a/crates/porthoist-proxy/src/shared.rs
+++ b/crates/porthoist-proxy/src/shared.rs
@@ -3,7 +3,7 @@
 //! A process asks itself at its start, where no other one answers, and before what it holds would be too old: calls
 //! then grow with zones and not with entries.
 
-use crate::reader::{NewsAsk, NewsRow, TableNews};
+use crate::reader::{RowUpdate, TableQuery, TableUpdate};
 use crate::revision::{TableEra, TableRevision};
 use crate::rows::{ControlTable, RowSource, RowValue, TableRow, answer_within};
 use crate::source::{AnswerOrigin, SourceError, SourceFuture, Stamped};
@@ -46,17 +46,17 @@
 const MAX_PAUSE: Duration = Duration::from_millis(480);
 
 /// The ways to the processes that may follow the tables for others.
-pub trait NewsPeers: fmt::Debug {
+pub trait TablePeers: fmt::Debug {
     /// Hosts of the processes to ask, in an order that all processes of the zone agree on.
     fn hosts(&self) -> Vec<Ipv4Addr>;
-    /// Asks the process on a host, whose answer must begin to come in the time that the question is held and `patience`; says why
+    /// Asks the process on a host, whose answer must begin to come in the time that the question is held and `answer_timeout`; says why
     /// there is none.
-    fn news(
+    fn query(
         &self,
         host: Ipv4Addr,
-        ask: NewsAsk,
-        patience: Duration,
-    ) -> LocalBoxFuture<'_, Result<TableNews, String>>;
+        query: TableQuery,
+        answer_timeout: Duration,
+    ) -> LocalBoxFuture<'_, Result<TableUpdate, String>>;
 }
 
 /// Why the table service itself is asked.
@@ -110,7 +110,7 @@
     }
 
     /// Rows as they are, with those that are told as changes.
-    fn whole_rows(&self, news: Stamped<Vec<NewsRow>>) -> Option<Stamped<Vec<TableRow>>> {
+    fn whole_rows(&self, news: Stamped<Vec<RowUpdate>>) -> Option<Stamped<Vec<TableRow>>> {
         let known = self.rows.borrow();
         let Stamped { value, revision, stamp, origin } = news;
         let rows: Option<Vec<TableRow>> = value
@@ -160,9 +160,9 @@
 
 /// Rows from the process that follows the tables for the zone, else from the table service.
 #[derive(Debug)]
-pub struct SharedRows {
+pub struct PeerRowSource {
     table_service: Rc<dyn RowSource>,
-    peers: Rc<dyn NewsPeers>,
+    peers: Rc<dyn TablePeers>,
     metrics: Arc<MetricsHub>,
     routes: TableCopy,
     targets: TableCopy,
@@ -188,11 +188,11 @@
     logger: Logger,
 }
 
-impl SharedRows {
+impl PeerRowSource {
     /// Rows that nothing is known of yet.
     pub fn new(
         table_service: Rc<dyn RowSource>,
-        peers: Rc<dyn NewsPeers>,
+        peers: Rc<dyn TablePeers>,
         clock: Arc<dyn ClockSource>,
         metrics: Arc<MetricsHub>,
         logger: Logger,
@@ -260,15 +260,17 @@
                 return Err(reason);
             }
             let Some(host) = self.peer() else { return Err(AskReason::NoPeer) };
-            let ask = NewsAsk { table, after, stamp: copy.stamp.get(), hold: HOLD.min(left), wait };
+            let ask = TableQuery { table, after, stamp: copy.stamp.get(), hold: HOLD.min(left), wait };
             // A long answer comes in pieces; what is known must not get too old meanwhile.
-            let asked = self.peers.news(host, ask, ANSWER_TIME);
+            let asked = self.peers.query(host, ask, ANSWER_TIME);
             match tokio::time::timeout(left + ANSWER_TIME, asked).await {
                 // What is no newer than what is known proves nothing: a process that repeats it must not be asked for ever.
-                Ok(Ok(TableNews::Newer { rows, .. })) if !copy.is_outdated_by(rows.revision, rows.stamp) => {
+                Ok(Ok(TableUpdate::Newer { rows, .. }))
+                    if !copy.is_outdated_by(rows.revision, rows.stamp) =>
+                {
                     self.avoid(host);
                 }
-                Ok(Ok(TableNews::Newer { rows, keys, gap })) => {
+                Ok(Ok(TableUpdate::Newer { rows, keys, gap })) => {
                     // Changes to another value than the one held: the row itself is needed.
                     let Some(rows) = copy.whole_rows(rows) else { return Err(AskReason::History) };
                     let mut rows = Stamped { origin: AnswerOrigin::Peer { gap }, ..rows };
@@ -277,7 +279,7 @@
                     }
                     return Ok(rows);
                 }
-                Ok(Ok(TableNews::Nothing { failing })) => {
+                Ok(Ok(TableUpdate::Nothing { failing })) => {
                     // Another process may reach the table service. Where none does, this one tells at once when it does.
                     if failing && self.peers.hosts().iter().any(|other| *other != host && self.asked(*other))
                     {
@@ -285,7 +287,7 @@
                     }
                     reason = if failing { AskReason::Probe } else { AskReason::Outdated };
                 }
-                Ok(Ok(TableNews::TooMuch)) => return Err(AskReason::History),
+                Ok(Ok(TableUpdate::TooMuch)) => return Err(AskReason::History),
                 Ok(Err(_)) | Err(_) => self.avoid(host),
             }
         }
@@ -508,7 +510,7 @@
     }
 }
 
-impl RowSource for SharedRows {
+impl RowSource for PeerRowSource {
     fn list(&self, table: ControlTable) -> SourceFuture<'_, Vec<TableRow>> {
         Box::pin(self.list_shared(table))
     }
--- a/crates/porthoist-proxy/src/source.rs
+++ b/crates/porthoist-proxy/src/source.rs
@@ -67,21 +67,21 @@
 
 /// What operators say.
 #[derive(Debug, Default)]
-pub struct OperatorNews {
+pub struct OperatorUpdate {
     /// The newest routes, if they are new.
     pub routes: Option<RouteTable>,
     /// Zones that are to get nothing new.
     pub zones: ZoneNews,
 }
 
-impl OperatorNews {
+impl OperatorUpdate {
     /// Whether it says nothing new.
     pub fn is_empty(&self) -> bool {
         self.routes.is_none() && self.zones.is_empty()
     }
 }
 
-impl From<Option<RouteTable>> for OperatorNews {
+impl From<Option<RouteTable>> for OperatorUpdate {
     fn from(routes: Option<RouteTable>) -> Self {
         Self { routes, zones: ZoneNews::default() }
     }
@@ -90,9 +90,9 @@
 /// The service that holds routes and targets.
 pub trait ControlSource: fmt::Debug {
     /// The newest routes, if there are any, and all emptied zones.
-    fn list_routes(&self) -> SourceFuture<'_, OperatorNews>;
+    fn list_routes(&self) -> SourceFuture<'_, OperatorUpdate>;
     /// What operators have changed after a revision, nothing after the wait.
-    fn routes_after(&self, revision: TableRevision, wait: Duration) -> SourceFuture<'_, OperatorNews>;
+    fn routes_after(&self, revision: TableRevision, wait: Duration) -> SourceFuture<'_, OperatorUpdate>;
     /// All rows of targets, older ones first; none of them removed.
     fn list_targets(&self) -> SourceFuture<'_, Vec<TargetChange>>;
     /// Changes of targets after a revision, none after the wait.
--- a/crates/porthoist-proxy/tests/control.rs
+++ b/crates/porthoist-proxy/tests/control.rs
@@ -6,7 +6,7 @@
 use porthoist_policy::proxy::targets::{TargetChange, TargetRecord, TargetState};
 use porthoist_proxy::SourceFuture;
 use porthoist_proxy::{
-    ControlSource, ControlState, ControlWatch, OperatorNews, SourceError, Stamped, TableEra, TableRevision,
+    ControlSource, ControlState, ControlWatch, OperatorUpdate, SourceError, Stamped, TableEra, TableRevision,
 };
 use slog::{Discard, Logger, o};
 use std::cell::{Cell, RefCell};
@@ -139,18 +139,18 @@
 }
 
 impl ControlSource for TableSource {
-    fn list_routes(&self) -> SourceFuture<'_, OperatorNews> {
+    fn list_routes(&self) -> SourceFuture<'_, OperatorUpdate> {
         Box::pin(unless_lost(&self.routes_lost, async {
             self.taken().await?;
-            Ok(self.stamped(OperatorNews::default()))
+            Ok(self.stamped(OperatorUpdate::default()))
         }))
     }
 
-    fn routes_after(&self, _revision: TableRevision, wait: Duration) -> SourceFuture<'_, OperatorNews> {
+    fn routes_after(&self, _revision: TableRevision, wait: Duration) -> SourceFuture<'_, OperatorUpdate> {
         Box::pin(unless_lost(&self.routes_lost, async move {
             self.taken().await?;
             sleep(wait).await;
-            Ok(self.stamped(OperatorNews::default()))
+            Ok(self.stamped(OperatorUpdate::default()))
         }))
     }
 
--- a/crates/porthoist-proxy/tests/quarantine.rs
+++ b/crates/porthoist-proxy/tests/quarantine.rs
@@ -4,7 +4,7 @@
 use porthoist_metrics::MetricsHub;
 use porthoist_policy::proxy::quarantine::{CrashKey, CrashReport, CrashRows, SuspicionLevel};
 use porthoist_proxy::quarantine::MarkedRequest;
-use porthoist_proxy::{CrashChange, CrashNews, QuarantineDesk, TableEra};
+use porthoist_proxy::{CrashChange, CrashSnapshot, RequestQuarantine, TableEra};
 use slog::{Discard, Logger, o};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -51,11 +51,11 @@
     }
 }
 
-fn desk(news: &watch::Sender<CrashNews>) -> (Rc<QuarantineDesk>, mpsc::Receiver<CrashChange>) {
+fn desk(news: &watch::Sender<CrashSnapshot>) -> (Rc<RequestQuarantine>, mpsc::Receiver<CrashChange>) {
     let (changes, noted) = mpsc::channel(16);
-    let desk = QuarantineDesk::builder()
+    let desk = RequestQuarantine::builder()
         .host("h".parse().unwrap())
-        .news(news.subscribe())
+        .crashes(news.subscribe())
         .changes(changes)
         .clock(Arc::new(FixedClock))
         .metrics(Arc::new(MetricsHub::new().unwrap()))
@@ -64,22 +64,22 @@
     (desk, noted)
 }
 
-fn tell(news: &watch::Sender<CrashNews>, deaths: usize) {
+fn tell(news: &watch::Sender<CrashSnapshot>, deaths: usize) {
     tell_in_era(news, "other", deaths, TableEra::default());
 }
 
-fn tell_in_era(news: &watch::Sender<CrashNews>, by: &str, deaths: usize, era: TableEra) {
+fn tell_in_era(news: &watch::Sender<CrashSnapshot>, by: &str, deaths: usize, era: TableEra) {
     let report = CrashReport { died: UnixMillis(1_000_000), ranked: false, by: by.into() };
     let row = |index: usize| {
         (CrashKey { mark: Request("x").mark(), target: format!("t{index}").into() }, report.clone())
     };
     let rows: CrashRows = (0..deaths).map(row).collect();
-    news.send_replace(CrashNews { rows: Arc::new(rows), listed: true, era });
+    news.send_replace(CrashSnapshot { rows: Arc::new(rows), listed: true, era });
 }
 
 #[test]
 fn a_permit_that_is_asked_for_anew_after_a_wait_knows_what_was_heard_since() {
-    let news = watch::Sender::new(CrashNews::default());
+    let news = watch::Sender::new(CrashSnapshot::default());
     let (desk, _noted) = desk(&news);
     tell(&news, 1);
     let run = desk.begin(&Request("x")).unwrap();
@@ -93,7 +93,7 @@
 
 #[test]
 fn a_whole_answer_removes_the_rows_of_a_request() {
-    let news = watch::Sender::new(CrashNews::default());
+    let news = watch::Sender::new(CrashSnapshot::default());
     let (desk, mut noted) = desk(&news);
     tell(&news, 2);
     desk.take_news();
@@ -108,7 +108,7 @@
 #[test_case("h", 3; "noted by this process")]
 #[test_case("other", 0; "noted by another process")]
 fn a_quarantine_survives_a_restore_of_the_table(by: &str, rewritten: usize) {
-    let news = watch::Sender::new(CrashNews::default());
+    let news = watch::Sender::new(CrashSnapshot::default());
     let (desk, mut noted) = desk(&news);
     tell_in_era(&news, by, 3, TableEra(1));
     desk.take_news();
--- a/crates/porthoist-proxy/tests/shared/harness.rs
+++ b/crates/porthoist-proxy/tests/shared/harness.rs
@@ -8,9 +8,9 @@
 use porthoist_policy::proxy::targets::{TargetChange, TargetRecord, TargetState};
 use porthoist_policy::proxy::zones::{ZoneChange, ZoneNews};
 use porthoist_proxy::{
-    ControlSource, ControlState, ControlTable, ControlWatch, NewsAsk, NewsPeers, OperatorNews, RowSource,
-    RowValue, SharedRows, SourceError, SourceFuture, Stamped, TableEra, TableNews, TableReader,
-    TableRevision, TableRow,
+    ControlSource, ControlState, ControlTable, ControlWatch, OperatorUpdate, PeerRowSource, RowSource,
+    RowValue, SourceError, SourceFuture, Stamped, TableEra, TablePeers, TableQuery, TableReader,
+    TableRevision, TableRow, TableUpdate,
 };
 use slog::{Discard, Logger, o};
 use std::cell::{Cell, RefCell};
@@ -277,7 +277,7 @@
     pub reader: RefCell<Rc<TableReader>>,
     pub way: Rc<ServiceWay>,
     pub fault: Cell<ReaderFault>,
-    pub first: RefCell<Option<TableNews>>,
+    pub first: RefCell<Option<TableUpdate>>,
 }
 
 impl ReaderProcess {
@@ -303,12 +303,12 @@
         *self.reader.borrow_mut() = Self::reader(&self.way);
     }
 
-    pub async fn news(&self, ask: NewsAsk) -> Result<TableNews, String> {
+    pub async fn news(&self, ask: TableQuery) -> Result<TableUpdate, String> {
         match self.fault.get() {
             ReaderFault::Frozen => std::future::pending().await,
             ReaderFault::Gone => return Err("connection refused".to_owned()),
             ReaderFault::Slow(millis) => sleep(Duration::from_millis(millis)).await,
-            ReaderFault::Full => return Ok(TableNews::TooMuch),
+            ReaderFault::Full => return Ok(TableUpdate::TooMuch),
             ReaderFault::None | ReaderFault::Repeating => {}
         }
         let first = self.first.borrow().clone();
@@ -319,7 +319,7 @@
             return Ok(first);
         }
         let reader = Rc::clone(&self.reader.borrow());
-        let news = reader.news(ask).await;
+        let news = reader.query(ask).await;
         if self.fault.get() == ReaderFault::Frozen {
             std::future::pending::<()>().await;
         }
@@ -337,21 +337,21 @@
     pub known: Cell<bool>,
 }
 
-impl NewsPeers for Zone {
+impl TablePeers for Zone {
     fn hosts(&self) -> Vec<Ipv4Addr> {
         let readers = if self.known.get() { self.readers.len() } else { 0 };
         (0..readers).map(|index| Ipv4Addr::new(10, 0, 0, index as u8)).collect()
     }
 
-    fn news(
+    fn query(
         &self,
         host: Ipv4Addr,
-        ask: NewsAsk,
-        patience: Duration,
-    ) -> LocalBoxFuture<'_, Result<TableNews, String>> {
-        let asked = self.readers[usize::from(host.octets()[3])].news(ask);
+        query: TableQuery,
+        answer_timeout: Duration,
+    ) -> LocalBoxFuture<'_, Result<TableUpdate, String>> {
+        let asked = self.readers[usize::from(host.octets()[3])].news(query);
         Box::pin(async move {
-            let answered = timeout(ask.hold + patience, asked).await;
+            let answered = timeout(query.hold + answer_timeout, asked).await;
             answered.unwrap_or_else(|_elapsed| Err("no news in time".to_owned()))
         })
     }
@@ -400,18 +400,18 @@
 }
 
 impl ControlSource for PlainSource {
-    fn list_routes(&self) -> SourceFuture<'_, OperatorNews> {
+    fn list_routes(&self) -> SourceFuture<'_, OperatorUpdate> {
         Box::pin(async {
             let listed = self.0.list(ControlTable::Routes).await?;
             let emptied = |rows: &[TableRow]| rows.iter().filter_map(Self::emptied_zone).collect();
-            Ok(listed.map(|rows| OperatorNews {
+            Ok(listed.map(|rows| OperatorUpdate {
                 routes: Self::routes(&rows),
                 zones: ZoneNews::Listed(emptied(&rows)),
             }))
         })
     }
 
-    fn routes_after(&self, revision: TableRevision, wait: Duration) -> SourceFuture<'_, OperatorNews> {
+    fn routes_after(&self, revision: TableRevision, wait: Duration) -> SourceFuture<'_, OperatorUpdate> {
         Box::pin(async move {
             let rows = self.0.after(ControlTable::Routes, revision, wait).await?;
             let change = |row: &TableRow| {
@@ -420,7 +420,7 @@
                 Some(if removed { ZoneChange::Restored(zone) } else { ZoneChange::Emptied(zone) })
             };
             let changes = |rows: &[TableRow]| rows.iter().filter_map(change).collect();
-            Ok(rows.map(|rows| OperatorNews {
+            Ok(rows.map(|rows| OperatorUpdate {
                 routes: Self::routes(&rows),
                 zones: ZoneNews::Changed(changes(&rows)),
             }))
@@ -462,9 +462,9 @@
         let way = ServiceWay::new(service);
         let clock = RuntimeClock::ahead(0);
         let metrics = Arc::new(MetricsHub::new().unwrap());
-        let peers: Rc<dyn NewsPeers> = Rc::<Zone>::clone(zone);
+        let peers: Rc<dyn TablePeers> = Rc::<Zone>::clone(zone);
         let shared_clock: Arc<dyn ClockSource> = Arc::<RuntimeClock>::clone(&clock);
-        let rows = SharedRows::new(
+        let rows = PeerRowSource::new(
             Rc::<ServiceWay>::clone(&way),
             peers,
             shared_clock,
--- a/porthoistd/src/duty/news.rs
+++ b/porthoistd/src/duty/news.rs
@@ -8,7 +8,7 @@
 use porthoist_policy::proxy::notes::{AgedNote, TargetNote};
 use porthoist_policy::proxy::targets::TargetRecord;
 use porthoist_policy::proxy::turns::EntryPlace;
-use porthoist_proxy::{ControlState, ControlTable, NewsAsk, NewsPeers, TableNews};
+use porthoist_proxy::{ControlState, ControlTable, TablePeers, TableQuery, TableUpdate};
 use std::cell::Cell;
 use std::net::{IpAddr, Ipv4Addr};
 use std::sync::Arc;
@@ -99,7 +99,7 @@
     }
 }
 
-impl NewsPeers for ZonePeers {
+impl TablePeers for ZonePeers {
     /// Those of the zone by a hash of their addresses, so that another target changes the choice of few entries. Before the zone has
     /// any, those of others, among which each entry chooses for itself.
     fn hosts(&self) -> Vec<Ipv4Addr> {
@@ -111,15 +111,15 @@
         self.ordered(false, |host| xxh3_64_with_seed(&host.octets(), seed))
     }
 
-    fn news(
+    fn query(
         &self,
         host: Ipv4Addr,
-        ask: NewsAsk,
-        patience: Duration,
-    ) -> LocalBoxFuture<'_, Result<TableNews, String>> {
+        query: TableQuery,
+        answer_timeout: Duration,
+    ) -> LocalBoxFuture<'_, Result<TableUpdate, String>> {
         let peer = self.peers.get(host);
         Box::pin(async move {
-            let answer = peer.news(ask, &self.word(ask.table, host), patience).await;
+            let answer = peer.news(query, &self.word(query.table, host), answer_timeout).await;
             let ZoneNews { news, place, notes } = answer.map_err(|error| error.to_string())?;
             self.take_place(place);
             self.take_notes(notes);
--- a/porthoistd/src/duty/status.rs
+++ b/porthoistd/src/duty/status.rs
@@ -5,7 +5,7 @@
 use porthoist_http::{HttpResponse, ServerSettings, serve_until, text_response};
 use porthoist_metrics::MetricsHub;
 use porthoist_policy::proxy::freshness::ProofRule;
-use porthoist_proxy::{ControlState, CrashNews};
+use porthoist_proxy::{ControlState, CrashSnapshot};
 use slog::{Logger, info};
 use std::net::TcpListener as StdListener;
 use std::sync::Arc;
@@ -28,7 +28,7 @@
     /// Whether requests need proof that the configuration is the newest.
     pub proof: ProofRule,
     /// Deaths that are held against requests.
-    pub crashes: watch::Receiver<CrashNews>,
+    pub crashes: watch::Receiver<CrashSnapshot>,
     /// The present time.
     pub clock: Arc<dyn ClockSource>,
     /// What is counted.
--- a/porthoistd/src/role/proxy.rs
+++ b/porthoistd/src/role/proxy.rs
@@ -17,8 +17,9 @@
 use porthoist_policy::proxy::retry_share::ShareSettings;
 use porthoist_policy::proxy::turns::EntryPlace;
 use porthoist_proxy::{
-    ControlState, ControlWatch, CourseSettings, CrashChange, CrashJournal, CrashNews, CrashWatch,
-    PlaceBroker, ProxyServer, QuarantineDesk, RequestCourse, RowSource, SharedRows, serve_proxy,
+    ControlState, ControlWatch, CrashChange, CrashSnapshot, CrashWatch, CrashWriter, PeerRowSource,
+    ProxyHandler, ProxyHandlerSettings, ProxyServer, RequestDispatcher, RequestQuarantine, RowSource,
+    serve_proxy,
 };
 use porthoist_turist::{READY_PATH, StoreClient, TuristCodec, TuristSource};
 use slog::{Logger, info, o};
@@ -89,7 +90,7 @@
         metrics: Arc::new(MetricsHub::new().map_err(io::Error::other)?),
         clock: Arc::new(AnchoredClock::new()),
         state: watch::Sender::new(ControlState::default()),
-        crashes: watch::Sender::new(CrashNews::default()),
+        crashes: watch::Sender::new(CrashSnapshot::default()),
         place: watch::Sender::new(None),
         own_notes: watch::Sender::new(Vec::new()),
         zone_notes: watch::Sender::new(Vec::new()),
@@ -114,7 +115,7 @@
     metrics: Arc<MetricsHub>,
     clock: Arc<dyn ClockSource>,
     state: watch::Sender<ControlState>,
-    crashes: watch::Sender<CrashNews>,
+    crashes: watch::Sender<CrashSnapshot>,
     /// This process's place among the entries of its zone.
     place: watch::Sender<Option<EntryPlace>>,
     /// What this process has heard of targets in need, and what others of its zone have.
@@ -137,7 +138,7 @@
         let (changes, noted) = mpsc::channel(CRASHES_RING);
         spawn_duty("control", move || async move {
             let store = Rc::new(StoreClient::new(table, Arc::clone(&metrics), logger.clone()));
-            let journal = CrashJournal::builder().writer(Rc::<StoreClient>::clone(&store)).changes(noted);
+            let journal = CrashWriter::builder().writer(Rc::<StoreClient>::clone(&store)).changes(noted);
             let journal = journal.metrics(Arc::clone(&metrics)).logger(logger.clone()).build();
             let store: Rc<dyn RowSource> = store;
             let rows = match rank_port {
@@ -146,7 +147,7 @@
                     let zone_peers = ZonePeers::builder().zone(zone).host(host).state(state.subscribe());
                     let zone_peers = zone_peers.peers(peers).clock(Arc::clone(&clock)).place(place);
                     let zone_peers = zone_peers.own_notes(own_notes).zone_notes(zone_notes).build();
-                    SharedRows::new(
+                    PeerRowSource::new(
                         store,
                         Rc::new(zone_peers),
                         Arc::clone(&clock),
@@ -156,7 +157,7 @@
                 }
                 None => store,
             };
-            let deaths = CrashWatch::builder().source(Rc::clone(&rows)).news(crashes);
+            let deaths = CrashWatch::builder().source(Rc::clone(&rows)).crashes(crashes);
             let deaths =
                 deaths.state(state.subscribe()).clock(Arc::clone(&clock)).logger(logger.clone()).build();
             let source = TuristSource::new(rows, Arc::clone(&clock), logger.clone());
@@ -203,7 +204,7 @@
             let course = self.course(crash_changes);
             let counted = Rc::clone(&course);
             let server = ProxyServer {
-                course: Rc::clone(&course),
+                handler: Rc::clone(&course),
                 stopping: self.stopping.subscribe(),
                 stop_lag_millis: STOP_LAG_MILLIS,
                 grace_millis: self.settings.grace_millis.saturating_sub(GRACE_MARGIN_MILLIS),
@@ -224,7 +225,7 @@
         })
     }
 
-    fn course(&self, crash_changes: mpsc::Sender<CrashChange>) -> Rc<RequestCourse> {
+    fn course(&self, crash_changes: mpsc::Sender<CrashChange>) -> Rc<ProxyHandler> {
         let board = BoardSettings::builder()
             .zone(self.settings.zone.clone())
             .per_rank(self.settings.per_rank)
@@ -237,20 +238,20 @@
             slack: self.settings.retry_slack / SLACK_PROCESSES,
             window_millis: self.settings.retry_window_millis,
         };
-        let quarantine = QuarantineDesk::builder()
+        let quarantine = RequestQuarantine::builder()
             .host(self.settings.host.clone())
-            .news(self.crashes.subscribe())
+            .crashes(self.crashes.subscribe())
             .changes(crash_changes)
             .clock(Arc::clone(&self.clock))
             .metrics(Arc::clone(&self.metrics))
             .logger(self.logger.clone())
             .build();
-        let settings = CourseSettings::builder().proof(self.proof).share(share).build();
-        RequestCourse::builder()
+        let settings = ProxyHandlerSettings::builder().proof(self.proof).share(share).build();
+        ProxyHandler::builder()
             .settings(settings)
             .codec(Rc::new(TuristCodec))
             .state(self.state.subscribe())
-            .broker(PlaceBroker::new(board, Arc::clone(&self.clock)))
+            .dispatcher(RequestDispatcher::new(board, Arc::clone(&self.clock)))
             .quarantine(quarantine)
             .notes(self.own_notes.clone())
             .clock(Arc::clone(&self.clock))
@@ -261,7 +262,7 @@
 }
 
 /// Tells the course of the targets now, and of each change. What was listed before this task began counts too.
-async fn follow_targets(course: Rc<RequestCourse>, mut state: watch::Receiver<ControlState>) {
+async fn follow_targets(course: Rc<ProxyHandler>, mut state: watch::Receiver<ControlState>) {
     loop {
         state.mark_unchanged();
         course.sync_targets();
@@ -272,24 +273,24 @@
 }
 
 /// Tells the course of deaths that are held against requests, and lets it remove those that no longer count.
-async fn follow_crashes(course: Rc<RequestCourse>, mut crashes: watch::Receiver<CrashNews>) {
+async fn follow_crashes(course: Rc<ProxyHandler>, mut crashes: watch::Receiver<CrashSnapshot>) {
     loop {
         crashes.mark_unchanged();
-        course.take_crashes();
+        course.update_crashes();
         let changed = tokio::time::timeout(LAPSE_LOOK, crashes.changed()).await;
         if matches!(changed, Ok(Err(_))) {
             return;
         }
-        course.remove_lapsed();
+        course.remove_expired_crashes();
     }
 }
 
 /// Tells the course which place this process has among the entries of its zone. What was told before this task began counts
 /// too.
-async fn follow_place(course: Rc<RequestCourse>, mut place: watch::Receiver<Option<EntryPlace>>) {
+async fn follow_place(course: Rc<ProxyHandler>, mut place: watch::Receiver<Option<EntryPlace>>) {
     loop {
         let newest = *place.borrow_and_update();
-        course.set_place(newest);
+        course.set_entry_position(newest);
         if place.changed().await.is_err() {
             return;
         }
@@ -297,16 +298,16 @@
 }
 
 /// Tells the course what other entries of the zone have heard of targets in need.
-async fn follow_notes(course: Rc<RequestCourse>, mut notes: watch::Receiver<Vec<TargetNote>>) {
+async fn follow_notes(course: Rc<ProxyHandler>, mut notes: watch::Receiver<Vec<TargetNote>>) {
     while notes.changed().await.is_ok() {
         let newest = notes.borrow_and_update().clone();
-        course.take_notes(&newest);
+        course.apply_notes(&newest);
     }
 }
 
 /// Tells the course of the loads that groups report.
-async fn follow_loads(course: Rc<RequestCourse>, mut loads: mpsc::Receiver<GroupLoads>) {
+async fn follow_loads(course: Rc<ProxyHandler>, mut loads: mpsc::Receiver<GroupLoads>) {
     while let Some(newest) = loads.recv().await {
-        course.take_loads(&newest);
+        course.update_loads(&newest);
     }
 }
--- a/porthoistd/tests/rank.rs
+++ b/porthoistd/tests/rank.rs
@@ -12,7 +12,7 @@
 use porthoist_policy::proxy::routes::{CallerLimits, ConfigVersion, EngineModel, RouteTable, ServiceSpec};
 use porthoist_policy::proxy::targets::{TargetChange, TargetRecord, TargetState};
 use porthoist_policy::switch::{MapVersion, StepNumber};
-use porthoist_proxy::{ControlSource, OperatorNews, SourceFuture, TableRevision};
+use porthoist_proxy::{ControlSource, OperatorUpdate, SourceFuture, TableRevision};
 use porthoist_proxy::{ControlState, ControlWatch};
 use porthoistd::duty::rank::{OwnRank, RankDuty};
 use porthoistd::settings::rank::{RankArgs, RankSettings};
@@ -225,11 +225,11 @@
 struct NoSource;
 
 impl ControlSource for NoSource {
-    fn list_routes(&self) -> SourceFuture<'_, OperatorNews> {
+    fn list_routes(&self) -> SourceFuture<'_, OperatorUpdate> {
         futures::future::pending().boxed_local()
     }
 
-    fn routes_after(&self, _revision: TableRevision, _wait: Duration) -> SourceFuture<'_, OperatorNews> {
+    fn routes_after(&self, _revision: TableRevision, _wait: Duration) -> SourceFuture<'_, OperatorUpdate> {
         futures::future::pending().boxed_local()
     }
 
