--- a/crates/porthoist-proxy/src/broker.rs
+++ b/crates/porthoist-proxy/src/broker.rs
@@ -1,4 +1,4 @@
-//! Gives each request a place at a target, or lets it wait for one, as the desk decides.
+//! Dispatches requests to targets: assigns each a slot, or queues it until the scheduler finds one.
 
 use porthoist_core::{ClockSource, ServiceName, UnixDeadline, UnixMillis};
 use porthoist_policy::proxy::backpressure::{BackpressureChange, BackpressureSignals, ObservedChange};
@@ -23,13 +23,13 @@
 
 pub use porthoist_policy::proxy::scheduler::{SlotError, SlotRequest};
 
-/// Settings of a broker.
+/// Settings of a [`RequestDispatcher`].
 pub type BrokerSettings = BalancerSettings;
 
-/// Takes the target of a request that waited; dropped when the request is to be refused.
+/// Receives the slot of a queued request; dropped if the request is refused.
 type PlaceReply = oneshot::Sender<TargetPlace>;
 
-/// The broker; clones share one state.
+/// Assigns slots at targets to requests. Clones share one state.
 #[derive(Clone)]
 pub struct RequestDispatcher {
     desk: Rc<RefCell<RequestScheduler<PlaceReply>>>,
@@ -42,19 +42,19 @@
     }
 }
 
-/// A place at a target, free again when dropped.
+/// A slot at a target for one request, released on drop.
 pub struct TargetPlace {
     /// The target.
     pub record: Arc<TargetRecord>,
-    /// Requests of this process at the target before this one.
+    /// Requests of this process that were in flight at the target before this one.
     pub in_flight: u32,
-    /// What engines had reported of the target when it was chosen.
+    /// Load that engines had reported for the target when it was chosen.
     pub report: Option<ReportedRequests>,
-    /// How the target's group did when it was chosen, if it is known to be a rank of one.
+    /// State of the target's group when it was chosen, if the target is a rank of a known group.
     pub group: Option<GroupSnapshot>,
-    /// What bounds the requests that the target takes, within which it was chosen.
+    /// Rate limit of the target under which it was chosen.
     pub rate: Option<TargetRate>,
-    /// When it was given.
+    /// When the slot was assigned.
     pub placed: UnixMillis,
     work: RequestWork,
     outcome: Cell<SendOutcome>,
@@ -68,7 +68,7 @@
 }
 
 impl TargetPlace {
-    /// Says how the send ended; without this it counts as abandoned by the caller.
+    /// Records how the attempt ended. Without this call it counts as abandoned by the caller.
     pub fn ended(&self, outcome: SendOutcome) {
         self.outcome.set(outcome);
     }
@@ -81,12 +81,12 @@
 }
 
 impl RequestDispatcher {
-    /// A broker without targets.
+    /// Creates a dispatcher without targets.
     pub fn new(settings: BrokerSettings, clock: Arc<dyn ClockSource>) -> Self {
         Self { desk: Rc::new(RefCell::new(RequestScheduler::new(settings))), clock }
     }
 
-    /// Takes the targets believed in now, what operators say of them, and serves those who waited for one.
+    /// Applies the known targets and the operators' settings for them, and serves queued requests.
     pub fn sync(&self, book: &TargetRegistry, rules: HashMap<ServiceName, ColdRule>, zones: &EmptiedZones) {
         let mut desk = self.desk.borrow_mut();
         desk.set_cold_rules(rules);
@@ -99,7 +99,7 @@
         self.serve_all_waiting();
     }
 
-    /// Targets that count as cold now.
+    /// Returns the number of cold targets.
     pub fn cold(&self) -> usize {
         self.desk.borrow().cold_targets(self.clock.now())
     }
@@ -108,13 +108,13 @@
         self.desk.borrow().awaited_services()
     }
 
-    /// Takes the loads that the engines of a group reported, and serves those who waited for room.
+    /// Applies the loads that the engines of a group reported, and serves requests queued for capacity.
     pub fn update_loads(&self, loads: &GroupLoads) {
         self.desk.borrow_mut().update_loads(loads, self.clock.now());
         self.serve_all_waiting();
     }
 
-    /// The groups that began to stand, or go on again, since the last call.
+    /// Returns the groups that stalled or resumed since the last call.
     pub fn group_changes(&self) -> Vec<GroupSnapshot> {
         let mut desk = self.desk.borrow_mut();
         let services = desk.grouped_services();
@@ -122,7 +122,7 @@
         services.iter().flat_map(|service| desk.group_changes(service, now)).collect()
     }
 
-    /// A place, at once or after a wait that is expected to be worth it.
+    /// Returns a slot at once, or after a wait if one can be expected in time.
     pub async fn place(&self, demand: SlotRequest) -> Result<TargetPlace, SlotError> {
         let service = demand.service.clone();
         let answer = self.desk.borrow_mut().decide(&demand, self.clock.now());
@@ -138,7 +138,7 @@
                 (until, receiver)
             }
         };
-        // A target whose time out has ended may be free although nothing was released.
+        // A target's backoff may have ended without any slot having been released.
         self.serve_waiting(&service);
         match self.await_place(&service, until, receiver).await {
             Some(Ok(place)) => Ok(place),
@@ -147,7 +147,8 @@
         }
     }
 
-    /// Waits for a place until a deadline. Where something bounds what all targets take, time alone makes one free.
+    /// Waits for a slot until a deadline. If a rate limit bounds all targets, a slot becomes free by time
+    /// alone, so the queue is checked again at the next permitted send.
     async fn await_place(
         &self,
         service: &ServiceName,
@@ -166,33 +167,32 @@
         }
     }
 
-    /// Takes this process's place among the entries of its zone.
+    /// Sets this process's position among the entries of its zone.
     pub fn set_entry_position(&self, place: Option<EntryPosition>) {
         self.desk.borrow_mut().set_entry_position(place);
     }
 
-    /// Whether a request may still be sent to the target that it was given a place at.
+    /// Whether a request may still be sent to the target of its slot.
     pub fn stands(&self, place: &TargetPlace) -> bool {
         self.desk.borrow().is_still_valid(&place.record.life(), place.rate, self.clock.now())
     }
 
-    /// Whether a target has said that it leaves.
+    /// Whether a target has announced that it is draining.
     pub fn leaves(&self, target: &TargetLife) -> bool {
         self.desk.borrow().is_leaving(target)
     }
 
-    /// After how many milliseconds a caller that is refused should come back.
+    /// Returns the time in milliseconds after which a refused caller should retry.
     pub fn return_millis(&self, service: &ServiceName, deadline: UnixDeadline) -> u64 {
         self.desk.borrow_mut().retry_after_millis(service, deadline, rand::random(), self.clock.now())
     }
 
-    /// Takes that a stream's first event, or an answer, came from a target so many milliseconds after its request had a
-    /// place.
+    /// Records the time in milliseconds from slot to first stream event or response.
     pub fn began(&self, target: &TargetRecord, millis: f64) {
         self.desk.borrow_mut().first_event_received(target, millis, self.clock.now());
     }
 
-    /// Takes what a target says of itself in the answer to a request that was sent at a moment.
+    /// Applies the backpressure signals in a target's response to a request sent at the given time.
     pub fn told(
         &self,
         target: &TargetRecord,
@@ -206,43 +206,43 @@
         changes
     }
 
-    /// Takes what another entry tells of a target.
+    /// Applies a note about a target from another entry.
     pub fn told_by_other(&self, note: &TargetNote) -> Option<ObservedChange> {
         self.desk.borrow_mut().apply_note(note, self.clock.now())
     }
 
-    /// Takes that a stream brought an event from a target.
+    /// Records that a stream from a target delivered an event.
     pub fn heard(&self, target: &TargetRecord) {
         self.desk.borrow_mut().event_received(target, self.clock.now());
     }
 
-    /// Takes that a stream of a service ended with so many events.
+    /// Records the number of events of a finished stream.
     pub fn streamed(&self, service: &ServiceName, events: u64) {
         self.desk.borrow_mut().stream_ended(service, events);
     }
 
-    /// Whether a request is to leave the target that has it, to go on at another one.
+    /// Returns why a request should move from its current target to another one, if it should.
     pub fn move_cause(&self, target: &TargetRecord, send: &PendingSend) -> Option<MoveCause> {
         self.desk.borrow().move_cause(target, send, self.clock.now())
     }
 
-    /// Takes that a target's process has ended.
+    /// Records that a target's process has ended.
     pub fn died(&self, life: &TargetLife) {
         self.desk.borrow_mut().died(life, self.clock.now());
     }
 
-    /// Takes that a service refused or failed a request.
+    /// Records that a service refused or failed a request.
     pub fn refused(&self, service: &ServiceName) {
         self.desk.borrow_mut().refused(service, self.clock.now());
         self.refuse_hopeless(service);
     }
 
-    /// Requests that wait now.
+    /// Number of queued requests.
     pub fn waiting(&self) -> usize {
         self.desk.borrow().waiting()
     }
 
-    /// Requests of this process at a target.
+    /// Number of this process's requests in flight at a target.
     pub fn in_flight(&self, target: &TargetLife) -> u32 {
         self.desk.borrow().in_flight(target)
     }
@@ -270,7 +270,7 @@
         self.serve_waiting(&record.service);
     }
 
-    /// Why those that waited for a service are refused before their time.
+    /// Why queued requests of a service are refused before their deadline.
     fn hopeless(&self, service: &ServiceName) -> SlotError {
         match self.desk.borrow().refusal(service, self.clock.now()) {
             error @ (SlotError::Resting | SlotError::Emptied) => error,
@@ -278,7 +278,7 @@
         }
     }
 
-    /// Refuses those that wait for a service that is down, or whose targets may get nothing.
+    /// Refuses queued requests of a service that is down or whose targets may receive none.
     fn refuse_hopeless(&self, service: &ServiceName) {
         let hopeless = self.desk.borrow_mut().take_unservable(service, self.clock.now());
         drop(hopeless);
@@ -292,7 +292,8 @@
 
     fn serve_waiting(&self, service: &ServiceName) {
         while let Some((reply, chosen, work)) = self.next_served(service) {
-            // A caller that left drops the place at once, which frees it for the next.
+            // If the caller has left, the send fails and drops the slot, which frees it for the next
+            // request.
             drop(reply.send(self.place_at(chosen, work)));
         }
     }
--- a/crates/porthoist-proxy/src/control.rs
+++ b/crates/porthoist-proxy/src/control.rs
@@ -1,7 +1,7 @@
-//! Where routes and targets come from, and how they are kept current.
+//! Keeps routes and targets up to date from a control source.
 //!
-//! One watch follows the routes, another the targets. Each lists once and then waits for changes; when the source has
-//! forgotten its history, was silent, or answered with an error, it lists anew.
+//! One task watches routes, another targets. Each lists all rows once and then long-polls for changes. It
+//! lists again if the source no longer has the history, does not answer, or returns an error.
 
 use crate::reader::GapAges;
 use crate::revision::TableEra;
@@ -20,86 +20,92 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// How long the question about routes waits for a change, in milliseconds, after which the source answers that there is none.
+/// Long-poll timeout for routes, in milliseconds.
 ///
-/// With [`ANSWER_MILLIS`] it leaves 0.4 s for another question before a proof of 4.6 s no longer counts.
+/// Together with [`ANSWER_MILLIS`], it leaves 0.4 s for another poll before a freshness proof of 4.6 s
+/// expires.
 const ROUTES_WAIT_MILLIS: u64 = 3_300;
-/// The least that the question about targets waits, in milliseconds; each has its price.
+/// Minimum long-poll timeout for targets, in milliseconds. Each call has a cost.
 const MIN_TARGETS_WAIT_MILLIS: u64 = 500;
-/// The most that it waits, in milliseconds: the table service takes up to 30,000.
+/// Maximum long-poll timeout for targets, in milliseconds. The table service accepts up to 30,000.
 const MAX_TARGETS_WAIT_MILLIS: u64 = 25_000;
-/// Kept of the bound of a belief about targets, in milliseconds: to list them anew.
+/// Time reserved within the staleness bound for listing targets again, in milliseconds.
 const LIST_MILLIS: u64 = 100;
-/// Pause after a change of the routes, in milliseconds: versions may come every 80, and each must be in force within
-/// 2,000.
+/// Pause after a change of routes, in milliseconds. Versions can come every 80, and each must be in force
+/// within 2,000.
 const ROUTES_PAUSE_MILLIS: u64 = 100;
-/// Pause after a change of the targets, in milliseconds, so that many changes cost one question: a target that leaves
-/// must get nothing new after 2,000.
+/// Pause after a change of targets, in milliseconds, so that many changes cost one poll. A draining target
+/// must receive nothing new after 2,000.
 const TARGETS_PAUSE_MILLIS: u64 = 800;
-/// First pause after a failed question, in milliseconds; it doubles up to [`MAX_PAUSE_MILLIS`].
+/// Initial backoff after a failed call, in milliseconds. It doubles up to [`MAX_PAUSE_MILLIS`].
 const PAUSE_MILLIS: u64 = 60;
-/// Longest pause after a failed question: readiness must return within a second of the source's return.
+/// Maximum backoff, in milliseconds. The process must be ready again within a second of the source's
+/// recovery.
 const MAX_PAUSE_MILLIS: u64 = 480;
-/// Changes of targets in one answer that have a line each in the log: the lines of a fleet that starts would be hosts times targets.
+/// Maximum number of target changes in one response that are logged individually. When a fleet starts, the
+/// number of lines would be hosts times targets.
 const MOST_LINES: usize = 16;
-/// Pause between two looks at graces that end and at the age of what is believed, in milliseconds.
+/// Interval at which expired grace periods and the age of the known state are checked, in milliseconds.
 const LOOK_MILLIS: u64 = 100;
 
-/// What a process believes now.
+/// Routes and targets as this process knows them.
 #[derive(Debug, Clone, Default)]
 pub struct ControlState {
-    /// The routes in force.
+    /// Routes in force.
     pub routes: Option<Arc<RouteTable>>,
-    /// Zones whose targets get nothing new.
+    /// Zones whose targets receive no new requests.
     pub emptied: EmptiedZones,
-    /// The targets.
+    /// Known targets.
     pub targets: TargetRegistry,
-    /// Whether they were listed at all.
+    /// Whether the targets have been listed at least once.
     pub targets_listed: bool,
-    /// Proof that the routes are the newest.
+    /// Proof that the routes are up to date.
     pub proof: FreshnessProof,
-    /// Proof that the targets are the newest.
+    /// Proof that the targets are up to date.
     pub targets_proof: FreshnessProof,
 }
 
 /// Keeps a [`ControlState`] current.
 #[derive(Debug, bon::Builder)]
 pub struct ControlWatch {
-    /// How old what is believed of targets may be.
+    /// Maximum age of the known targets.
     #[builder(default)]
     bound: StalenessBound,
-    /// Answers the questions.
+    /// Source of routes and targets.
     source: Rc<dyn ControlSource>,
-    /// Takes what they bring.
+    /// Receives the updates.
     state: watch::Sender<ControlState>,
     clock: Arc<dyn ClockSource>,
     metrics: Arc<MetricsHub>,
     logger: Logger,
-    /// Counts reasons to list targets anew: failures of the routes' questions, and news of services.
+    /// Incremented to make the target task list again: after a failed call for routes, or if the set of
+    /// known services changes.
     #[builder(skip = watch::Sender::new(0))]
     breaks: watch::Sender<u64>,
-    /// When the last question that failed was sent, until an answer comes.
+    /// When the latest failed call was sent, until a response arrives.
     #[builder(skip)]
     unanswered: Cell<Option<UnixMillis>>,
-    /// Era of the last answer about routes. A later era means that the service was restored from a backup.
+    /// Era of the last response about routes. A later era means that the service was restored from a
+    /// backup.
     #[builder(skip)]
     routes_era: Cell<Option<TableEra>>,
-    /// Era of the last answer about targets. A later era means that the service was restored from a backup.
+    /// Era of the last response about targets. A later era means that the service was restored from a
+    /// backup.
     #[builder(skip)]
     targets_era: Cell<Option<TableEra>>,
-    /// The last time without answers that has ended.
+    /// The latest outage that has ended.
     #[builder(skip)]
     gap: Cell<Option<AnswerGap>>,
-    /// Whether what is believed of targets was too old when that was last looked at.
+    /// Whether the known targets were too old at the last check.
     #[builder(skip)]
     outdated: Cell<bool>,
-    /// Pause after the next failed question, in milliseconds.
+    /// Backoff after the next failed call, in milliseconds.
     #[builder(skip = Cell::new(PAUSE_MILLIS))]
     pause: Cell<u64>,
 }
 
 impl ControlWatch {
-    /// Runs for ever.
+    /// Runs until dropped.
     pub async fn run(&self) {
         tokio::join!(self.watch_routes(), self.watch_targets(), self.expire_targets());
     }
@@ -127,7 +133,7 @@
                     }
                 }
                 Err(SourceError::HistoryGone) => {
-                    info!(self.logger, "routes are listed anew"; "event" => "history_gone");
+                    info!(self.logger, "listing routes again"; "event" => "history_gone");
                     revision = None;
                 }
                 Err(error) => {
@@ -163,7 +169,7 @@
             };
             let answer = tokio::select! {
                 answer = question => answer,
-                // Where the routes' question failed, this one may hang on a connection that is gone.
+                // If the routes call failed, this one may be waiting on a lost connection.
                 _changed = breaks.changed(), if revision.is_some() => {
                     revision = None;
                     continue;
@@ -181,7 +187,7 @@
                     tokio::time::sleep(paused).await;
                 }
                 Err(SourceError::HistoryGone) => {
-                    info!(self.logger, "targets are listed anew"; "event" => "history_gone");
+                    info!(self.logger, "listing targets again"; "event" => "history_gone");
                     revision = None;
                 }
                 Err(error) => {
@@ -192,20 +198,20 @@
         }
     }
 
-    /// How long the question about targets waits for a change.
+    /// Returns the long-poll timeout for targets.
     ///
-    /// A connection that fell silent passes for "no change" until the wait is over, and everything is listed anew when an
-    /// answer is then missing: in time for what the bound allows. With the longest wait that the
-    /// source takes, requests would reach targets that have left. The connection may have fallen silent in the pause before the
-    /// question, which is taken off.
+    /// A silent connection is indistinguishable from "no change" until the wait is over. Targets are then
+    /// listed again, which must happen within the staleness bound: with the longest wait that the source
+    /// accepts, requests would reach targets that have left. The connection may have failed during the
+    /// pause before the poll, so the pause is subtracted.
     fn targets_wait(&self, paused: Duration) -> Duration {
         let wait = self.bound.millis.saturating_sub(ANSWER_MILLIS + LIST_MILLIS);
         let wait = Duration::from_millis(wait.min(MAX_TARGETS_WAIT_MILLIS)).saturating_sub(paused);
         wait.max(Duration::from_millis(MIN_TARGETS_WAIT_MILLIS))
     }
 
-    /// Drops targets whose grace has ended, takes back emptied zones whose grace after a restore has ended, and records how
-    /// old the known state is.
+    /// Drops targets whose grace period has ended, stops treating zones as emptied whose grace period after
+    /// a restore has ended, and records the age of the known state.
     async fn expire_targets(&self) {
         loop {
             tokio::time::sleep(Duration::from_millis(LOOK_MILLIS)).await;
@@ -222,13 +228,13 @@
             self.state.send_modify(|state| {
                 self.report_zone_changes(&state.emptied.expire(now));
                 for id in state.targets.expire(now) {
-                    info!(self.logger, "target is gone"; "event" => "target_expired", "target" => id.to_string());
+                    info!(self.logger, "target expired"; "event" => "target_expired", "target" => id.to_string());
                 }
             });
         }
     }
 
-    /// Records how old what is believed of routes and of targets is, and says when that of targets gets too old.
+    /// Records the age of routes and targets, and logs when the targets become too old or recover.
     fn record_ages(&self, now: UnixMillis) {
         let state = self.state.borrow();
         for (table, proof) in [("routes", state.proof), ("targets", state.targets_proof)] {
@@ -239,12 +245,12 @@
         let Some(age) = state.targets_proof.age(now) else { return };
         let too_old = age > self.bound.millis;
         if self.outdated.replace(too_old) != too_old {
-            info!(self.logger, "age of what is believed of targets"; "event" => "targets_age", "age_ms" => age,
+            info!(self.logger, "known targets became outdated or current"; "event" => "targets_age", "age_ms" => age,
                 "outdated" => too_old);
         }
     }
 
-    /// Takes what operators say: newer routes come into force, older ones never.
+    /// Applies an operator update. Only routes with a higher version come into force.
     fn adopt(&self, answer: Stamped<OperatorUpdate>, sent: UnixMillis) {
         let stamped = StampedAnswer { sent, received: self.clock.now(), stamp: answer.stamp };
         let OperatorUpdate { routes, zones } = answer.value;
@@ -270,7 +276,8 @@
                     "revision" => answer.revision.to_string());
                 self.metrics.revision(table.version.0);
                 if state.targets.set_services(table.services.keys().cloned()) {
-                    // A row of another writer may have ended a target at its address while services were not known.
+                    // A row of another writer may have replaced a target with the same address while the
+                    // services were unknown.
                     self.breaks.send_modify(|breaks| *breaks += 1);
                 }
                 state.routes = Some(Arc::new(table));
@@ -297,7 +304,7 @@
                 ZoneChange::Restored(zone) => (zone, false),
             };
             self.metrics.zone_emptied(zone.as_str(), if emptied { self.clock.now().0 } else { 0 });
-            info!(self.logger, "operators empty a zone or take it back"; "event" => "zone_emptied",
+            info!(self.logger, "zone emptied or restored"; "event" => "zone_emptied",
                 "zone" => zone.as_str(), "emptied" => emptied);
         }
     }
@@ -307,7 +314,8 @@
         let stamped = StampedAnswer { sent, received, stamp: answer.stamp };
         let restored = record_era(&self.targets_era, answer.revision.era);
         if restored && self.grace().is_none() {
-            // Starts the grace for missing rows: a restore can lose rows of active targets without a noticed outage.
+            // Starts the grace period for missing rows: a restore can lose rows of active targets without a
+            // noticed outage.
             self.gap.set(Some(AnswerGap { asked: received, returned: received }));
         }
         let grace = self.grace();
@@ -337,7 +345,7 @@
         });
     }
 
-    /// Says what changed: each target by itself, unless a whole fleet starts.
+    /// Logs each changed target, or only totals if there are many.
     fn log_changes(&self, changes: &[TargetChange], grace: Option<UnixDeadline>) {
         if changes.len() <= MOST_LINES {
             return changes.iter().for_each(|change| self.log_change(change, grace));
@@ -359,19 +367,20 @@
                     "grace" => grace.is_some());
             }
             TargetChange::Unusable(id) => {
-                info!(self.logger, "target names nothing to use"; "event" => "target_unusable",
+                info!(self.logger, "target row is unusable"; "event" => "target_unusable",
                     "target" => id.to_string());
             }
         }
     }
 
-    /// The end of the grace for rows that vanish now; nothing unless the source has just come back.
+    /// Returns the end of the grace period for rows that disappear now, if the source has recently
+    /// recovered.
     fn grace(&self) -> Option<UnixDeadline> {
         self.gap.get()?.grace(self.bound, self.clock.now())
     }
 
-    /// Notes an answer. Either question's ends a gap, before what it brought is taken: rows that lapsed in an outage were
-    /// dropped at once where the listing of targets came before the routes.
+    /// Records a response. A response to either call ends an outage before its rows are applied. Otherwise,
+    /// if targets were listed before routes, rows that expired during the outage would be dropped at once.
     fn heard(&self) {
         self.pause.set(PAUSE_MILLIS);
         if let Some(asked) = self.unanswered.take() {
@@ -381,7 +390,8 @@
         }
     }
 
-    /// Takes the last time without answers of a process that passes the table on: rows that it saw vanish may have lapsed.
+    /// Applies the latest outage seen by a peer: rows that the peer saw disappear may have expired during
+    /// it.
     fn take_gap(&self, origin: AnswerOrigin) {
         let AnswerOrigin::Peer { gap: Some(GapAges { asked, returned }) } = origin else { return };
         let now = self.clock.now().0;
@@ -402,14 +412,14 @@
         }
         let pause = self.pause.get();
         self.pause.set((pause * 2).min(MAX_PAUSE_MILLIS));
-        // Processes that failed together must not ask again together.
+        // Processes that failed together must not retry together.
         let jitter = rand::random::<f64>().mul_add(0.5, 0.75);
         tokio::time::sleep(Duration::from_millis((pause as f64 * jitter) as u64)).await;
     }
 }
 
-/// Records the era of an answer. Returns whether it is later than the era of the previous answer, that is, whether the table
-/// service was restored from a backup in between.
+/// Records the era of a response. Returns whether it is later than the previous one, that is, whether the
+/// table service was restored from a backup in between.
 fn record_era(last: &Cell<Option<TableEra>>, era: TableEra) -> bool {
     last.replace(last.get().max(Some(era))).is_some_and(|previous| previous < era)
 }
--- a/crates/porthoist-proxy/src/course.rs
+++ b/crates/porthoist-proxy/src/course.rs
@@ -1,5 +1,5 @@
-//! The course of one request: admitted by routes, key and proof, given a place, sent, and sent again where that is
-//! allowed, until its answer or a refusal that says truthfully whether it may have run.
+//! Handles one request: admission, target selection, sending and retries, up to the response or a refusal
+//! that states whether the request may have run.
 
 use crate::broker::{RequestDispatcher, TargetPlace};
 use crate::control::ControlState;
@@ -46,28 +46,28 @@
 use parts::{AdmittedRequest, CourseRefusal, SendRecord, TargetAnswer, WholeAnswer};
 use relay::EventRelay;
 
-/// Where a resumed stream goes on; also what callers send.
+/// Event after which a stream resumes; callers send it too.
 const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
-/// Longest answer that is kept in memory before it is passed on, in bytes.
+/// Maximum size of a response that is buffered before it is forwarded, in bytes.
 const MAX_WHOLE_ANSWER_BYTES: usize = 8 * 1024 * 1024;
-/// When a caller should come back to a process without configuration or proof, in milliseconds. The balancer needs
-/// two questions, a second apart, to take the process out.
+/// Retry delay for callers of a process without a configuration or a current freshness proof, in
+/// milliseconds. The balancer needs two health checks, one second apart, to remove the process.
 const UNREADY_RETRY_MILLIS: u64 = 1_000;
 
-/// Time in milliseconds between two looks for groups that begin to stand, which go through all targets: 1,500 with reports
-/// of 23 groups would be gone through 230 times a second.
+/// Minimum interval between two checks for stalled groups, in milliseconds. A check visits all targets:
+/// with 1,500 targets and reports from 23 groups, there would be 230 checks a second.
 const PACES_MILLIS: u64 = 200;
 
-/// Settings of all courses.
+/// Settings of a [`ProxyHandler`].
 #[derive(Debug, Clone, bon::Builder)]
 pub struct ProxyHandlerSettings {
-    /// Whether requests need proof that the configuration is the newest.
+    /// Whether requests require a freshness proof of the configuration.
     pub proof: FreshnessRule,
-    /// This process's share of repeats.
+    /// This process's retry budget.
     pub share: RetryShareSettings,
 }
 
-/// What all courses of a process share.
+/// State shared by all requests of a process.
 pub struct ProxyHandler {
     settings: ProxyHandlerSettings,
     codec: Rc<dyn WireCodec>,
@@ -77,15 +77,15 @@
     pool: ConnectionPool,
     shares: RefCell<HashMap<ServiceName, RetryShare>>,
     patience: RefCell<CallerRetryDetector>,
-    /// What is told to the other entries of the zone.
+    /// Notes for the other entries of the zone.
     outlet: RefCell<NoteOutlet>,
     in_flight: Cell<u64>,
-    /// Whether targets that were listed have been taken.
+    /// Whether listed targets have been applied.
     targets_taken: Cell<bool>,
     stopping: Cell<bool>,
-    /// Targets that counted as cold when that was last looked at.
+    /// Number of cold targets at the last check.
     cold: Cell<usize>,
-    /// When changes of groups are looked for again.
+    /// When stalled groups are checked again.
     paces_due: Cell<UnixDeadline>,
     clock: Arc<dyn ClockSource>,
     metrics: Arc<MetricsHub>,
@@ -98,7 +98,7 @@
     }
 }
 
-/// Says in the log that the caller left, unless the course came to its end.
+/// Logs that the caller left unless the request completed.
 struct CourseGuard {
     course: Rc<ProxyHandler>,
     attempt: Arc<str>,
@@ -117,7 +117,7 @@
 
 #[bon::bon]
 impl ProxyHandler {
-    /// Joins the parts of a course.
+    /// Creates a handler.
     #[builder]
     pub fn new(
         settings: ProxyHandlerSettings,
@@ -154,22 +154,22 @@
 }
 
 impl ProxyHandler {
-    /// Requests whose answer is not at its end.
+    /// Requests whose response is not complete.
     pub fn in_flight(&self) -> u64 {
         self.in_flight.get()
     }
 
-    /// From now on every answer asks its caller to leave the connection.
+    /// Makes every further response ask the caller to close the connection.
     pub fn stop(&self) {
         self.stopping.set(true);
     }
 
-    /// Bounds on callers by the configuration in force.
+    /// Limits on callers in the configuration in force.
     pub fn limits(&self) -> Option<porthoist_policy::proxy::routes::CallerLimits> {
         self.state.borrow().routes.as_ref().map(|routes| routes.limits)
     }
 
-    /// Takes the targets believed in now.
+    /// Applies the known targets.
     pub fn sync_targets(&self) {
         let state = self.state.borrow();
         self.targets_taken.set(state.targets_listed);
@@ -181,35 +181,35 @@
         self.note_cold();
     }
 
-    /// Says how many targets count as cold, where that has changed.
+    /// Logs the number of cold targets if it has changed.
     fn note_cold(&self) {
         let cold = self.dispatcher.cold();
         if self.cold.replace(cold) != cold {
             self.metrics.cold_targets(cold as u64);
-            info!(self.logger, "targets count as cold"; "event" => "targets_cold", "count" => cold);
+            info!(self.logger, "number of cold targets changed"; "event" => "targets_cold", "count" => cold);
         }
     }
 
-    /// Takes what the table of deaths says.
+    /// Applies updates of the crash table.
     pub fn update_crashes(&self) {
         self.quarantine.take_news();
     }
 
-    /// Removes deaths that no longer count; to be called now and then.
+    /// Removes expired crashes. Call periodically.
     pub fn remove_expired_crashes(&self) {
         self.quarantine.remove_expired_crashes();
     }
 
-    /// Takes this process's place among the entries of its zone.
+    /// Sets this process's position among the entries of its zone.
     pub fn set_entry_position(&self, place: Option<EntryPosition>) {
         if let Some(EntryPosition { index, entries }) = place {
-            info!(self.logger, "the entries of the zone are counted"; "event" => "entry_place", "index" => index,
+            info!(self.logger, "position among the entries of the zone changed"; "event" => "entry_place", "index" => index,
                 "entries" => entries);
         }
         self.dispatcher.set_entry_position(place);
     }
 
-    /// Takes the loads that the engines of a group reported.
+    /// Applies the loads that the engines of a group reported.
     pub fn update_loads(&self, loads: &GroupLoads) {
         self.dispatcher.update_loads(loads);
         let now = self.clock.now();
@@ -220,7 +220,7 @@
         self.note_cold();
         for GroupSnapshot { index, status } in self.dispatcher.group_changes() {
             let (group, standing, pass) = (index.place(), status.stalled, status.millis);
-            info!(self.logger, "a group stands or goes on again"; "event" => "group_pace", "group" => group,
+            info!(self.logger, "group stalled or resumed"; "event" => "group_pace", "group" => group,
                 "standing" => standing, "pass_ms" => pass);
         }
     }
@@ -228,8 +228,8 @@
     /// Serves one request.
     pub async fn serve(self: Rc<Self>, request: Request<Incoming>) -> Reply {
         let arrival = self.clock.now();
-        // The process may say that it is ready before this thread has learnt of the first listing, and its first callers
-        // would be refused for want of a target.
+        // The process can report ready before this thread has applied the first list of targets; its first
+        // callers would be refused without a target.
         if !self.targets_taken.get() {
             self.sync_targets();
         }
@@ -266,7 +266,7 @@
 
     fn refuse(&self, refusal: CourseRefusal, attempt: &str, arrival: UnixMillis) -> Reply {
         let CourseRefusal { reason, status, verdict, retry_millis } = refusal;
-        info!(self.logger, "refused"; "event" => "refused", "request" => attempt, "reason" => reason.as_str(),
+        info!(self.logger, "request refused"; "event" => "refused", "request" => attempt, "reason" => reason.as_str(),
             "status" => status.as_u16(), "verdict" => verdict.as_str(), "retry_ms" => retry_millis,
             "held_ms" => self.clock.now().since(arrival));
         self.metrics.refusal(reason, verdict);
@@ -275,7 +275,7 @@
         reply
     }
 
-    /// Sends a request until it is answered or nothing more is allowed.
+    /// Sends a request until it is answered or no further attempt is allowed.
     async fn run(
         self: &Rc<Self>,
         admitted: Rc<AdmittedRequest>,
@@ -345,7 +345,7 @@
         piecewise_reply(status, headers, relay.pieces())
     }
 
-    /// A pause that ends at the deadline.
+    /// Time left until a deadline.
     fn patience(&self, deadline: UnixDeadline) -> Duration {
         deadline.remaining(self.clock.now())
     }
--- a/crates/porthoist-proxy/src/course/admission.rs
+++ b/crates/porthoist-proxy/src/course/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a request is allowed: a route, a key, proof that both are current, and a body within bounds.
+//! Admission of requests: route, key, freshness proof and body size.
 
 use super::parts::{AdmittedRequest, CourseRefusal};
 use super::{ProxyHandler, UNREADY_RETRY_MILLIS, host_of, key_error};
@@ -14,7 +14,7 @@
 use std::cell::OnceCell;
 use std::sync::Arc;
 
-/// What the routes in force say of a request.
+/// Result of matching a request against the routes in force.
 struct RoutedRequest {
     rule: Arc<RouteRule>,
     grant: Option<TeamGrant>,
@@ -53,7 +53,7 @@
         })
     }
 
-    /// Logs that a request is allowed, with what makes its answer late; returns whether its caller was refused before.
+    /// Logs an admitted request. Returns whether its caller was refused before.
     fn note_admitted(&self, facts: &RequestFacts, rule: &RouteRule, service: &ServiceName) -> bool {
         let came_back = self.patience.borrow_mut().is_retry(&rule.name, facts.remaining_millis);
         let (version, age) = {
@@ -85,7 +85,7 @@
         let rule = self.settings.proof;
         let decided = Self::decide(&routes, facts, head);
         match &decided {
-            // What is denied may be allowed by a newer configuration.
+            // A newer configuration may allow what this one denies.
             Err(_denial) if !rule.proven(&proof, arrival) => return Err(self.unproven(facts, &routes, age)),
             Ok(allowed)
                 if routes.requires_keys() && !allowed.rule.public && !rule.may_run(&proof, arrival) =>
--- a/crates/porthoist-proxy/src/course/moving.rs
+++ b/crates/porthoist-proxy/src/course/moving.rs
@@ -1,4 +1,4 @@
-//! Requests that leave a target which stands still or is too slow, while it has them.
+//! Moves requests away from a target that stalls or is too slow while it has them.
 
 use super::ProxyHandler;
 use super::parts::{AdmittedRequest, SendRecord};
@@ -11,13 +11,13 @@
 use std::future;
 use std::time::Duration;
 
-/// Time between two looks whether a request should leave its target: half of what is left of a usual target latency once
-/// a group is known to stand.
+/// Interval at which a request in flight is checked. It is half of the time that remains of a typical
+/// latency target once a group is known to have stalled.
 const LOOK_TIME: Duration = Duration::from_millis(50);
 
 impl ProxyHandler {
-    /// Ends when a request should leave its target, with one repeat taken from the share for it. `since` is when the
-    /// request was sent or its last event came.
+    /// Completes when a request should move to another target, after taking one retry from the budget.
+    /// `since` is when the request was sent or its last event arrived.
     pub(super) async fn move_due(
         &self,
         admitted: &AdmittedRequest,
@@ -43,7 +43,7 @@
             let Some(cause) = self.dispatcher.move_cause(&place.record, &send) else { continue };
             let now = self.clock.now();
             let allowed = self.share_of(&admitted.service, |share| match cause {
-                // What a host that stands still has kept would run after its caller has left.
+                // A stalled host would run the requests that it holds after their callers have left.
                 MoveCause::TargetSilent => share.take(now),
                 MoveCause::GroupStalled | MoveCause::GroupSlow => share.take_optional(now),
             });
@@ -53,7 +53,8 @@
         }
     }
 
-    /// Notes that a request leaves its target. A target that is silent alone gets nothing for a while.
+    /// Records that a request moves away from its target. A target that is silent while its group is not
+    /// receives no requests for a while.
     pub(super) fn note_moved(
         &self,
         admitted: &AdmittedRequest,
@@ -65,7 +66,7 @@
             place.ended(SendOutcome::Lost);
             self.dispatcher.died(&place.record.life());
         }
-        info!(self.logger, "left a target"; "event" => "moved", "request" => &*admitted.facts.attempt,
+        info!(self.logger, "request moved away from a target"; "event" => "moved", "request" => &*admitted.facts.attempt,
             "target" => place.record.id.to_string(), "cause" => cause.as_str(),
             "waited_ms" => self.clock.now().since(since));
         SendFailure::moved(cause.as_str())
--- a/crates/porthoist-proxy/src/course/needs.rs
+++ b/crates/porthoist-proxy/src/course/needs.rs
@@ -1,4 +1,4 @@
-//! What targets say of themselves in answers: taken from them, told to the other entries of the zone, and heard from those.
+//! Backpressure signals in responses of targets, and their exchange with the other entries of the zone.
 
 use super::ProxyHandler;
 use porthoist_core::{UnixDeadline, UnixMillis};
@@ -10,10 +10,11 @@
 use slog::info;
 use tokio::sync::watch;
 
-/// Time in milliseconds between two notes of a limit that stays; others hear of it every second.
+/// Minimum interval between two notes of an unchanged limit, in milliseconds. Other entries fetch notes
+/// every second.
 const NOTE_MILLIS: u64 = 500;
 
-/// What this entry tells the others of its zone.
+/// Publishes notes to the other entries of the zone.
 #[derive(Debug)]
 pub(super) struct NoteOutlet {
     board: NoteStore,
@@ -36,7 +37,8 @@
 }
 
 impl ProxyHandler {
-    /// Takes what a target says of itself. An answer to another request, or of another target at the address, says nothing of it.
+    /// Applies the backpressure signals of a response. A response to another request, or from another
+    /// target at the same address, must not be passed here.
     pub(super) fn note_word(&self, target: &TargetRecord, word: &BackpressureSignals, sent: UnixMillis) {
         let changes = self.dispatcher.told(target, word, sent);
         let now = self.clock.now();
@@ -54,7 +56,7 @@
         }
     }
 
-    /// Takes what other entries of the zone tell.
+    /// Applies notes from other entries of the zone.
     pub fn apply_notes(&self, notes: &[TargetNote]) {
         for note in notes {
             if let Some(noted) = self.dispatcher.told_by_other(note) {
@@ -73,7 +75,7 @@
             if let BackpressureChange::Limited(rate) = change { Some(rate.to_string()) } else { None };
         let rest = if let BackpressureChange::Resting(millis) = change { Some(millis) } else { None };
         let lasted = if let BackpressureChange::Lifted(millis) = change { Some(millis) } else { None };
-        info!(self.logger, "a target says something new of itself"; "event" => "target_need",
+        info!(self.logger, "backpressure signals of a target changed"; "event" => "target_need",
             "target" => target.id.to_string(), "change" => change.as_str(), "told_by" => told_by,
             "limit" => limit, "rest_ms" => rest, "lasted_ms" => lasted);
     }
--- a/crates/porthoist-proxy/src/course/parts.rs
+++ b/crates/porthoist-proxy/src/course/parts.rs
@@ -1,4 +1,4 @@
-//! What the parts of a course hand to each other.
+//! Types shared by the stages of request handling.
 
 use super::host_of;
 use crate::exchange::{OpenAnswer, SendFailure};
@@ -18,10 +18,11 @@
 use std::cell::OnceCell;
 use std::sync::Arc;
 
-/// Sends that don't count against the route's attempts, at most.
+/// Maximum number of attempts per request that don't count against the route's limit because a target asked
+/// for backoff.
 const MAX_RESTED: u32 = 3;
 
-/// A request that is allowed, with its body read.
+/// An admitted request with its body.
 pub(super) struct AdmittedRequest {
     pub(super) facts: RequestFacts,
     pub(super) head: Parts,
@@ -32,9 +33,9 @@
     pub(super) ranked: bool,
     pub(super) arrival: UnixMillis,
     pub(super) deadline: UnixDeadline,
-    /// Whether its caller was refused before.
+    /// Whether the caller was refused before and is retrying.
     pub(super) came_back: bool,
-    /// Its mark, once it was needed.
+    /// Digest of the request, computed on demand.
     pub(super) marked: OnceCell<RequestMark>,
 }
 
@@ -85,7 +86,7 @@
     }
 }
 
-/// An end without a target's answer.
+/// A response of the proxy itself, without an answer from a target.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct CourseRefusal {
     pub(super) reason: RefusalReason,
@@ -95,13 +96,13 @@
 }
 
 impl CourseRefusal {
-    /// A refusal of a request that the caller must change.
+    /// Refuses a request that fails unless the caller changes it.
     pub(super) fn denied(reason: RefusalReason) -> Self {
         let status = StatusCode::from_u16(reason.status()).unwrap_or(StatusCode::BAD_REQUEST);
         Self { reason, status, verdict: RunVerdict::NotRun, retry_millis: None }
     }
 
-    /// A refusal of a request that did not run and may come back.
+    /// Refuses a request that did not run and may be retried.
     pub(super) fn later(reason: RefusalReason, retry_millis: u64) -> Self {
         Self {
             reason,
@@ -111,34 +112,34 @@
         }
     }
 
-    /// The end of a request that may have run.
+    /// Ends a request that may have run.
     pub(super) fn unknown(reason: RefusalReason, status: StatusCode) -> Self {
         Self { reason, status, verdict: RunVerdict::MayHaveRun, retry_millis: None }
     }
 }
 
-/// An answer of a target that was read to its end.
+/// A complete response of a target.
 pub(super) struct WholeAnswer {
     pub(super) status: StatusCode,
     pub(super) headers: HeaderMap,
     pub(super) body: Bytes,
 }
 
-/// A target's answer to one send.
+/// A target's response to one attempt.
 pub(super) enum TargetAnswer {
     Whole(WholeAnswer),
     Events(OpenAnswer),
 }
 
-/// Sends of one request so far.
+/// Attempts of one request so far.
 #[derive(Debug, Default)]
 pub(super) struct SendRecord {
     pub(super) tried: Vec<TargetName>,
     pub(super) may_have_run: bool,
-    /// Sends that targets turned away which asked for rest.
+    /// Attempts rejected by targets that asked for backoff.
     rested: u32,
     pub(super) last_reason: Option<RetryReason>,
-    /// The run of a suspected request.
+    /// The exclusive run of a suspected request.
     pub(super) suspect: Option<SuspectRun>,
 }
 
@@ -149,8 +150,8 @@
         self.rested += u32::from(failure.reason == RetryReason::Resting);
     }
 
-    /// Sends that count against the route's attempts. Targets that begin to rest together would otherwise use up the attempts of
-    /// callers whom others have room for.
+    /// Attempts that count against the route's limit. If several targets begin to back off at the same
+    /// time, their rejections would otherwise use up the attempts although other targets have capacity.
     pub(super) fn attempts(&self) -> u32 {
         self.tried.len() as u32 - self.rested.min(MAX_RESTED)
     }
--- a/crates/porthoist-proxy/src/course/permit.rs
+++ b/crates/porthoist-proxy/src/course/permit.rs
@@ -1,4 +1,4 @@
-//! Whether a request may be sent at all: time is left, and no targets died of it.
+//! Checks before each send: the deadline and the crash quarantine.
 
 use super::ProxyHandler;
 use super::parts::{AdmittedRequest, CourseRefusal, SendRecord};
@@ -9,7 +9,8 @@
 use porthoist_policy::proxy::targets::{TargetRecord, TargetState};
 
 impl ProxyHandler {
-    /// Permission to send a request, and a place for it. What is heard of it while it waits for one counts too.
+    /// Waits for permission to send a request and for a slot. Crashes reported during the wait are taken
+    /// into account.
     pub(super) async fn permit_and_place(
         &self,
         admitted: &AdmittedRequest,
@@ -20,7 +21,7 @@
             let place = self.find_place(admitted, record).await?;
             self.take_permit(admitted, record)?;
             self.check_deadline(admitted, record)?;
-            // The target may have asked for less between the place and now.
+            // The target may have sent backpressure signals since the slot was assigned.
             if self.dispatcher.stands(&place) {
                 break place;
             }
@@ -31,8 +32,8 @@
         Ok(place)
     }
 
-    /// Whether there is time left. The end of a wait for a place does not tell: the runtime's timers stand still while the host
-    /// is suspended.
+    /// Returns an error if the deadline has passed. The end of a wait for a slot is not sufficient: the
+    /// runtime's timers stop while the host is suspended.
     fn check_deadline(&self, admitted: &AdmittedRequest, record: &SendRecord) -> Result<(), CourseRefusal> {
         if !admitted.deadline.passed(self.clock.now()) {
             return Ok(());
@@ -45,7 +46,8 @@
     }
 
     fn take_permit(&self, admitted: &AdmittedRequest, record: &mut SendRecord) -> Result<(), CourseRefusal> {
-        // A run that was permitted before a wait ends, so that it is asked for anew with what was heard since.
+        // A permit from before a wait ends here, so that crashes reported since then are taken into
+        // account.
         record.suspect = None;
         match self.quarantine.begin(admitted) {
             Ok(run) => {
@@ -62,7 +64,8 @@
         }
     }
 
-    /// Finds out whether a target whose connection ended has died, which is held against the request.
+    /// After a lost connection, checks whether the target crashed, and records the crash against the
+    /// request.
     pub(super) async fn note_lost(
         &self,
         admitted: &AdmittedRequest,
@@ -81,7 +84,7 @@
         self.quarantine.lost(admitted, target, liveness);
     }
 
-    /// Whether a target is known to leave, so that its end is no surprise.
+    /// Whether a target is known to be draining, in which case its end is no crash.
     fn is_leaving(&self, target: &TargetRecord) -> bool {
         let life = target.life();
         if self.dispatcher.leaves(&life) {
@@ -92,7 +95,8 @@
         known.is_none_or(|record| record.state == TargetState::Draining)
     }
 
-    /// Targets that a request was sent to, and for a suspected one those with others of its kind, unless there are no more.
+    /// Targets to avoid: those already tried and, for a suspected request, those that run another suspected
+    /// one, unless no others are left.
     pub(super) fn places_to_avoid(&self, admitted: &AdmittedRequest, record: &SendRecord) -> Vec<TargetName> {
         let tried = record.tried.clone();
         if record.suspect.is_none() {
--- a/crates/porthoist-proxy/src/course/placing.rs
+++ b/crates/porthoist-proxy/src/course/placing.rs
@@ -1,4 +1,4 @@
-//! A place at a target for a request: what it asks the dispatcher for, and how it ends where there is none.
+//! Requests a slot from the dispatcher and turns a refusal into a response.
 
 use super::ProxyHandler;
 use super::parts::{AdmittedRequest, CourseRefusal, SendRecord};
--- a/crates/porthoist-proxy/src/course/relay.rs
+++ b/crates/porthoist-proxy/src/course/relay.rs
@@ -1,4 +1,5 @@
-//! Passes a stream on, event by event, and goes on at another target after its last event where that is allowed.
+//! Relays a stream event by event, and resumes it at another target after the last event where the route
+//! allows it.
 
 use super::parts::{AdmittedRequest, SendRecord, TargetAnswer};
 use super::{CourseGuard, ProxyHandler};
@@ -16,7 +17,7 @@
 use std::io;
 use std::rc::Rc;
 
-/// A stream on its way to a caller.
+/// A stream being relayed to a caller.
 pub(super) struct EventRelay {
     course: Rc<ProxyHandler>,
     admitted: Rc<AdmittedRequest>,
@@ -37,7 +38,7 @@
     answer: OpenAnswer,
 }
 
-/// What a stream brings next.
+/// The next step of a stream.
 enum RelayStep {
     Event(WholeEvent),
     End,
@@ -71,7 +72,7 @@
         }
     }
 
-    /// The stream as body of an answer.
+    /// Returns the stream as a response body.
     pub(super) fn pieces(self) -> PieceStream {
         futures::stream::unfold(Some(self), |relay| async move {
             let mut relay = relay?;
@@ -84,7 +85,8 @@
         .boxed_local()
     }
 
-    /// The next event's bytes; nothing at the orderly end; an error where the stream must end unfinished.
+    /// Returns the next event's bytes, nothing at the regular end, or an error if the stream must end
+    /// incomplete.
     async fn next_piece(&mut self) -> Option<io::Result<Bytes>> {
         loop {
             let step = match self.next_step().await {
@@ -129,7 +131,7 @@
                 }
             };
             match frame {
-                Err(_elapsed) => return RelayStep::Broken(SendFailure::lost("not whole in time")),
+                Err(_elapsed) => return RelayStep::Broken(SendFailure::lost("stream not complete in time")),
                 Ok(Some(Ok(frame))) => {
                     if let Ok(bytes) = frame.into_data() {
                         self.splitter.push(&bytes);
@@ -137,14 +139,14 @@
                 }
                 Ok(Some(Err(error))) => return RelayStep::Broken(SendFailure::closed(error)),
                 Ok(None) if self.splitter.has_rest() => {
-                    return RelayStep::Broken(SendFailure::closed("it ended within an event"));
+                    return RelayStep::Broken(SendFailure::closed("connection ended within an event"));
                 }
                 Ok(None) => return RelayStep::End,
             }
         }
     }
 
-    /// Identifiers must rise by one.
+    /// Checks that event identifiers increase by one.
     fn check(&self, event: &WholeEvent) -> Result<(), String> {
         match (self.last_id, event.id) {
             (Some(last), Some(id)) if id != last + 1 => Err(format!("event {id} came after {last}")),
@@ -189,7 +191,7 @@
         answer.lease.give_back(&answer.head.headers);
     }
 
-    /// Goes on at another target, or ends the stream unfinished.
+    /// Resumes the stream at another target, or ends it incomplete.
     async fn resume(&mut self, broken: SendFailure) -> io::Result<()> {
         let mut failure = broken;
         let mut target = None;
@@ -197,7 +199,7 @@
             if failure.reason != RetryReason::Moved {
                 source.place.ended(SendOutcome::Lost);
             }
-            info!(self.course.logger, "stream broke"; "event" => "stream_broken",
+            info!(self.course.logger, "stream broken"; "event" => "stream_broken",
                 "request" => &*self.admitted.facts.attempt, "target" => source.place.record.id.to_string(),
                 "events" => self.passed_on, "last_id" => self.last_id, "detail" => &failure.detail);
             target = Some(source.place.record.clone());
@@ -216,7 +218,7 @@
             }
             let placed = self.course.permit_and_place(&self.admitted, &mut self.record).await;
             let Ok(place) = placed else {
-                return Err(self.give_up("no place to go on"));
+                return Err(self.give_up("no slot to resume at"));
             };
             let sent = self.course.send(&self.admitted, &place, self.last_id, &mut self.record).await;
             match sent {
@@ -238,9 +240,9 @@
     fn give_up(&self, detail: &str) -> io::Error {
         self.guard.ended.set(true);
         self.course.metrics.broken_stream();
-        info!(self.course.logger, "stream ends unfinished"; "event" => "stream_unfinished",
+        info!(self.course.logger, "stream ended incomplete"; "event" => "stream_unfinished",
             "request" => &*self.admitted.facts.attempt, "events" => self.passed_on, "last_id" => self.last_id,
             "detail" => detail, "took_ms" => self.course.clock.now().since(self.admitted.arrival));
-        io::Error::other("the stream can't go on")
+        io::Error::other("the stream can't be resumed")
     }
 }
--- a/crates/porthoist-proxy/src/course/repeating.rs
+++ b/crates/porthoist-proxy/src/course/repeating.rs
@@ -1,4 +1,4 @@
-//! Whether a request may be sent once more: the route's attempts, its deadline, and this process's share of repeats.
+//! Retries: the route's attempt limit, the deadline and this process's retry budget.
 
 use super::ProxyHandler;
 use super::parts::{AdmittedRequest, CourseRefusal, SendRecord};
@@ -9,7 +9,8 @@
 use slog::info;
 
 impl ProxyHandler {
-    /// Whether one more send is within the route's attempts and the deadline.
+    /// Whether another attempt is within the route's limit, the deadline and the retry budget. Takes it
+    /// from the budget.
     pub(super) fn may_repeat(&self, admitted: &AdmittedRequest, record: &SendRecord) -> bool {
         let attempts = record.attempts();
         let in_time = !admitted.deadline.passed(self.clock.now());
@@ -21,11 +22,11 @@
 
     pub(super) fn repeat(&self, admitted: &AdmittedRequest, failure: &SendFailure) {
         self.metrics.retry(failure.reason);
-        info!(self.logger, "sent again"; "event" => "sent_again", "request" => &*admitted.facts.attempt,
+        info!(self.logger, "request sent again"; "event" => "sent_again", "request" => &*admitted.facts.attempt,
             "reason" => failure.reason.as_str());
     }
 
-    /// Allows one more send after a failure, or says how the request ends.
+    /// Allows another attempt after a failure, or returns the refusal that ends the request.
     pub(super) fn allow_repeat(
         &self,
         admitted: &AdmittedRequest,
@@ -33,7 +34,7 @@
         failure: &SendFailure,
     ) -> Result<(), CourseRefusal> {
         let repeatable = !record.may_have_run || !admitted.once();
-        // A move has taken its repeat already.
+        // A move has already taken its retry from the budget.
         let moved = failure.reason == RetryReason::Moved;
         if moved || repeatable && self.may_repeat(admitted, record) {
             self.repeat(admitted, failure);
--- a/crates/porthoist-proxy/src/course/sending.rs
+++ b/crates/porthoist-proxy/src/course/sending.rs
@@ -1,4 +1,4 @@
-//! One send of a request to a target: what goes out, and what the answer proves.
+//! Sends a request to a target once and classifies the response.
 
 use super::parts::{AdmittedRequest, SendRecord, TargetAnswer, WholeAnswer};
 use super::{LAST_EVENT_ID, MAX_WHOLE_ANSWER_BYTES, ProxyHandler};
@@ -16,7 +16,7 @@
 use slog::info;
 
 impl ProxyHandler {
-    /// One send and what its answer proves.
+    /// Sends a request once and classifies the response.
     pub(super) async fn send(
         &self,
         admitted: &AdmittedRequest,
@@ -54,7 +54,7 @@
             }
             Ok(TargetAnswer::Events(_answer)) => place.ended(SendOutcome::Answered(millis)),
             Err(failure) => {
-                // A service whose targets rest is not down.
+                // A service whose targets back off is not down.
                 if !matches!(failure.reason, RetryReason::Misdirected | RetryReason::Resting) {
                     self.dispatcher.refused(&admitted.service);
                 }
@@ -112,7 +112,7 @@
         let status = answer.head.status;
         let facts = self.codec.answer_facts(&admitted.facts.attempt, status, &answer.head.headers);
         if facts.own == Some(false) {
-            return Err(SendFailure::lost("the answer names another request"));
+            return Err(SendFailure::lost("response names another request"));
         }
         if !facts.misdirected {
             self.note_word(&place.record, &facts.word, sent);
@@ -129,7 +129,7 @@
             return Err(SendFailure { verdict: RunVerdict::NotRun, reason, detail, closed: false });
         }
         if status.is_success() && !(facts.signed && facts.own == Some(true)) {
-            return Err(SendFailure::lost("a success without signature or request"));
+            return Err(SendFailure::lost("success without a signature or the request's identifier"));
         }
         if status.is_success() && admitted.rule.kind.streams() {
             return Ok(TargetAnswer::Events(answer));
@@ -139,7 +139,8 @@
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS | StatusCode::REQUEST_TIMEOUT
         );
         if promise {
-            // Callers take these for a promise that the target has not given.
+            // Callers treat these statuses as a statement that the request did not run, which the target
+            // has not made.
             return Err(SendFailure::lost(format!("status {} without proof", status.as_u16())));
         }
         self.read_whole(admitted, answer).await.map(TargetAnswer::Whole)
@@ -155,7 +156,7 @@
         let reading = Limited::new(body, MAX_WHOLE_ANSWER_BYTES).collect();
         let collected = tokio::time::timeout(patience, reading).await;
         let body = collected
-            .map_err(|_elapsed| SendFailure::lost("the answer was not whole in time"))?
+            .map_err(|_elapsed| SendFailure::lost("response not complete in time"))?
             .map_err(SendFailure::closed)?
             .to_bytes();
         lease.give_back(&head.headers);
--- a/crates/porthoist-proxy/src/crashes.rs
+++ b/crates/porthoist-proxy/src/crashes.rs
@@ -1,7 +1,7 @@
-//! Deaths of targets that are held against requests, as all entries hear of them and tell them.
+//! Crashes of targets that are recorded against requests, shared between all entries.
 //!
-//! Each is a row of a table of our own at the table service, so that it outlives every process. One watch follows the table as
-//! others follow routes and targets; one journal writes what this process noted.
+//! Each crash is a row in a table of our own in the table service, so that it survives the processes.
+//! [`CrashWatch`] follows the table, and [`CrashWriter`] writes the crashes that this process observed.
 
 use crate::control::ControlState;
 use crate::revision::{TableEra, TableRevision};
@@ -18,53 +18,58 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// How long the question about deaths waits for a change, in milliseconds. A connection that fell silent passes for "no change"
-/// until [`ANSWER_MILLIS`](crate::rows::ANSWER_MILLIS) later; operators allow 3 s from such a loss, and 3 s more to hear.
+/// Long-poll timeout. A silent connection is indistinguishable from "no change" until
+/// [`ANSWER_MILLIS`](crate::rows::ANSWER_MILLIS) later. Operators allow 3 s from such a loss, and 3 s more
+/// to learn of a crash.
 const WAIT: Duration = Duration::from_millis(3_300);
-/// Pause after a change: a target that dies is noted by each entry that had a request there, within milliseconds.
+/// Pause after a change: each entry with a request at a crashed target records the crash within
+/// milliseconds.
 const CHANGE_PAUSE: Duration = Duration::from_millis(50);
-/// First pause after a failed question or write; that of writes doubles up to [`MAX_WRITE_PAUSE`].
+/// Initial backoff after a failed call or write. That of writes doubles up to [`MAX_WRITE_PAUSE`].
 const PAUSE: Duration = Duration::from_millis(60);
-/// The longest wait for an answer about routes after a failed question. They are asked about all the time, each question for 3.3 s at
-/// most.
+/// Maximum wait for a response about routes after a failed call. Routes are polled continuously, each poll
+/// for 3.3 s at most.
 const RETRY: Duration = Duration::from_secs(10);
-/// Longest pause after a failed write: each try has its price, and others must know within 3 s of the service's return.
+/// Maximum backoff after a failed write. Each attempt has a cost, and others must know within 3 s of the
+/// service's recovery.
 const MAX_WRITE_PAUSE: Duration = Duration::from_secs(2);
-/// How long deaths are gathered before they are written: those of one target are noted within milliseconds, and each
-/// write has its price.
+/// How long crashes are collected before they are written. Those of one target are observed within
+/// milliseconds, and each write has a cost.
 const GATHER: Duration = Duration::from_millis(20);
-/// Pause between two writes: 149 entries that all note deaths make 745 a second, where 3,200 are allowed.
+/// Pause between two writes. If 149 entries all record crashes, they make 745 writes a second; 3,200 are
+/// allowed.
 const WRITE_PAUSE: Duration = Duration::from_millis(200);
-/// How long a write may take. One without an answer may be done later, which changes nothing: it writes the same.
+/// Timeout of a write. A write that times out may still be applied later, which is harmless because it
+/// writes the same rows again.
 const WRITE_TIME: Duration = Duration::from_millis(900);
-/// Changes of one write at most.
+/// Maximum number of changes per write.
 const WRITE_ROWS: usize = 100;
-/// Changes that wait at most, some 200 bytes each: those of ten zones at once.
+/// Maximum number of pending changes, of some 200 bytes each. Enough for crashes in ten zones at once.
 const MOST_PENDING: usize = 2_000;
-/// Rows that could not be read and are remembered, so that each is logged once.
+/// Maximum number of unreadable rows that are remembered in order to log each only once.
 const MOST_UNREADABLE: usize = 1_000;
 
-/// What is known of the table of deaths.
+/// State of the crash table.
 #[derive(Debug, Clone, Default)]
 pub struct CrashSnapshot {
-    /// Its rows.
+    /// Rows of the table.
     pub rows: Arc<CrashRows>,
-    /// Whether it was listed at all.
+    /// Whether the table has been listed at least once.
     pub listed: bool,
-    /// Era of the answer that last updated the rows.
+    /// Era of the response that last updated the rows.
     pub era: TableEra,
 }
 
-/// A change to write.
+/// A change to be written to the crash table.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CrashChange {
-    /// A death was noted.
+    /// Adds a crash.
     Put(CrashKey, CrashReport),
-    /// A death no longer counts.
+    /// Removes a crash that no longer counts.
     Remove(CrashKey),
 }
 
-/// A row's value: its layout's version first, so that a later one can tell.
+/// Stored form of a row: the report with the version of its layout.
 #[derive(Debug, Serialize, Deserialize)]
 struct WireReport {
     layout: u32,
@@ -72,24 +77,24 @@
     report: CrashReport,
 }
 
-/// The layout of rows.
+/// Layout version of stored rows.
 const LAYOUT: u32 = 1;
 
-/// Follows the table of deaths.
+/// Follows the crash table.
 #[derive(Debug, bon::Builder)]
 pub struct CrashWatch {
-    /// Answers the questions.
+    /// Source of the rows.
     source: Rc<dyn RowSource>,
-    /// Takes what they bring.
+    /// Receives the state of the table.
     crashes: watch::Sender<CrashSnapshot>,
-    /// What is known of routes and targets.
+    /// Routes and targets, used to detect that the service has recovered.
     state: watch::Receiver<ControlState>,
     clock: Arc<dyn ClockSource>,
     logger: Logger,
 }
 
 impl CrashWatch {
-    /// Runs for ever.
+    /// Runs until dropped.
     pub async fn run(&self) {
         let mut revision = None;
         let mut failing = false;
@@ -109,7 +114,7 @@
                 Err(error) => {
                     revision = None;
                     if !std::mem::replace(&mut failing, true) {
-                        info!(self.logger, "deaths are not told"; "event" => "crashes_unheard",
+                        info!(self.logger, "crash table is unavailable"; "event" => "crashes_unheard",
                             "error" => error.to_string());
                     }
                     self.until_routes_answer().await;
@@ -118,8 +123,7 @@
         }
     }
 
-    /// Waits until the service has answered a question about routes that is asked anyway, so that an outage costs no further
-    /// calls.
+    /// Waits until the service has answered a poll for routes, so that an outage costs no additional calls.
     async fn until_routes_answer(&self) {
         let failed = self.clock.now();
         let answered = |state: &ControlState| state.proof.proven().is_some_and(|proven| proven > failed);
@@ -162,16 +166,17 @@
         });
     }
 
-    /// A row of another writer accuses nobody, and keeps no other from being heard.
+    /// An unreadable row is skipped; the other rows still apply.
     fn say_unreadable(&self, row: &TableRow, problem: &str, said: &mut HashSet<(String, TableRevision)>) {
         if said.len() < MOST_UNREADABLE && said.insert((row.key.clone(), row.version)) {
-            warn!(self.logger, "unusable row of deaths"; "event" => "crash_unreadable", "key" => &row.key,
+            warn!(self.logger, "unreadable crash row"; "event" => "crash_unreadable", "key" => &row.key,
                 "error" => problem);
         }
     }
 }
 
-/// Reads a row of the table: a death, or that it was removed; says why it can't be read.
+/// Parses a row into its crash, or nothing if it was removed. Returns a description of the problem if the
+/// row is unreadable.
 pub fn read_row(row: &TableRow) -> Result<(CrashKey, Option<CrashReport>), String> {
     let key = row.key.parse::<CrashKey>().map_err(|error| error.to_string())?;
     match &row.value {
@@ -194,37 +199,37 @@
 }
 
 fn jittered(pause: Duration) -> Duration {
-    // Processes that failed together must not ask again together.
+    // Processes that failed together must not retry together.
     pause.mul_f64(rand::random::<f64>().mul_add(0.5, 0.75))
 }
 
-/// Writes what this process noted.
+/// Writes the crashes that this process observed.
 #[derive(Debug, bon::Builder)]
 pub struct CrashWriter {
-    /// Writes.
+    /// Writes the rows.
     writer: Rc<dyn RowWriter>,
-    /// What to write.
+    /// Changes to write.
     changes: mpsc::Receiver<CrashChange>,
     metrics: Arc<MetricsHub>,
     logger: Logger,
-    /// What waits, the latest of each row.
+    /// Pending changes, the latest of each row.
     #[builder(skip)]
     pending: BTreeMap<CrashKey, Option<CrashReport>>,
 }
 
 impl CrashWriter {
-    /// Runs until nobody notes anything any more.
+    /// Runs until all senders of changes are dropped.
     pub async fn run(mut self) {
         let mut pause = PAUSE;
         while self.gather().await {
             match self.write().await {
                 Ok(rows) => {
                     pause = PAUSE;
-                    info!(self.logger, "deaths were written"; "event" => "crashes_written", "rows" => rows);
+                    info!(self.logger, "crashes written"; "event" => "crashes_written", "rows" => rows);
                     tokio::time::sleep(WRITE_PAUSE).await;
                 }
                 Err(error) => {
-                    warn!(self.logger, "deaths were not written"; "event" => "crashes_unwritten",
+                    warn!(self.logger, "failed to write crashes"; "event" => "crashes_unwritten",
                         "error" => error.to_string(), "rows" => self.pending.len());
                     tokio::time::sleep(jittered(pause)).await;
                     pause = (pause * 2).min(MAX_WRITE_PAUSE);
@@ -233,7 +238,7 @@
         }
     }
 
-    /// Waits until there is something to write; whether there is.
+    /// Waits until changes are pending. Returns `false` once all senders are dropped.
     async fn gather(&mut self) -> bool {
         if self.pending.is_empty() {
             let Some(change) = self.changes.recv().await else { return false };
@@ -249,7 +254,7 @@
     fn add(&mut self, change: CrashChange) {
         if self.pending.len() >= MOST_PENDING {
             self.metrics.crash_event("unwritten");
-            warn!(self.logger, "too many deaths wait to be written"; "event" => "crash_dropped");
+            warn!(self.logger, "too many pending crashes, one dropped"; "event" => "crash_dropped");
             return;
         }
         match change {
@@ -258,13 +263,13 @@
         };
     }
 
-    /// Writes the first rows that wait; returns how many.
+    /// Writes the first pending rows. Returns their number.
     async fn write(&mut self) -> Result<usize, SourceError> {
         let first = self.pending.iter().take(WRITE_ROWS);
         let changes: Vec<RowChange> = first.map(|(key, report)| written(key, report.as_ref())).collect();
         let rows = changes.len();
         let writing = tokio::time::timeout(WRITE_TIME, self.writer.write(changes)).await;
-        writing.map_err(|_elapsed| SourceError::Unavailable("no answer in time".to_owned()))??;
+        writing.map_err(|_elapsed| SourceError::Unavailable("no response in time".to_owned()))??;
         for _row in 0..rows {
             self.pending.pop_first();
         }
--- a/crates/porthoist-proxy/src/earlier.rs
+++ b/crates/porthoist-proxy/src/earlier.rs
@@ -1,4 +1,4 @@
-//! Earlier values of large rows, so that changes can be told to processes that have them.
+//! Earlier values of large rows, from which changes can be sent as patches.
 
 use crate::patch::ValuePatch;
 use crate::revision::TableRevision;
@@ -7,14 +7,15 @@
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
-/// Bytes from which on a row is large: what is less is told whole.
+/// Size in bytes from which a row is sent as a patch.
 const LARGE_BYTES: usize = 4 * 1024;
-/// Earlier values of a row at most: changes that come in quick succession, of which a process may have missed some.
+/// Maximum number of earlier values per row. Covers changes in quick succession of which a process may have
+/// missed some.
 const MOST_VALUES: usize = 12;
-/// Bytes of earlier values of a row at most, beside the last one.
+/// Maximum size in bytes of the earlier values of a row, not counting the latest one.
 const MOST_VALUE_BYTES: usize = 4 * 1024 * 1024;
 
-/// A value that a row held, from a version on.
+/// A value of a row, valid from a version on.
 #[derive(Debug, Clone)]
 struct EarlierValue {
     version: TableRevision,
@@ -25,12 +26,12 @@
 #[derive(Debug, Default)]
 pub(crate) struct EarlierValues {
     values: HashMap<String, VecDeque<EarlierValue>>,
-    /// Patches that were made, by row, version and earlier version: most processes of a zone lack the same.
+    /// Cached patches by key, version and earlier version. Most processes of a zone need the same ones.
     patches: RefCell<HashMap<(String, TableRevision, TableRevision), Rc<ValuePatch>>>,
 }
 
 impl EarlierValues {
-    /// Takes a row that another one takes the place of.
+    /// Records the previous state of a row that is replaced.
     pub(crate) fn replaced(&mut self, row: TableRow) {
         let RowValue::Bytes(bytes) = row.value else { return };
         if bytes.len() < LARGE_BYTES {
@@ -46,8 +47,8 @@
         }
     }
 
-    /// What changed in a row for a process that knows the table as of a revision; nothing if that is not known, or no less than
-    /// the row.
+    /// Returns the patch of a row for a process that knows the table as of a revision. Returns `None` if
+    /// the earlier value is unknown or the patch would not be less than half of the row's size.
     pub(crate) fn patch(&self, row: &TableRow, revision: TableRevision) -> Option<Rc<ValuePatch>> {
         let RowValue::Bytes(bytes) = &row.value else { return None };
         let known = self.values.get(&row.key)?.iter().rev().find(|value| value.version <= revision)?;
--- a/crates/porthoist-proxy/src/events.rs
+++ b/crates/porthoist-proxy/src/events.rs
@@ -1,27 +1,27 @@
-//! Cuts a stream of server-sent events into whole events.
+//! Splits a stream of server-sent events into events.
 //!
-//! Events are passed on byte for byte; only their boundaries and identifiers are read.
+//! Events are forwarded byte for byte; only their boundaries and identifiers are parsed.
 
 use bytes::{Bytes, BytesMut};
 
-/// Bytes of one event at most. Real ones have some hundred.
+/// Maximum size of an event in bytes. Typical events have a few hundred.
 pub const MAX_EVENT_BYTES: usize = 256 * 1024;
 
-/// One whole event with its empty last line.
+/// A complete event, including its terminating empty line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WholeEvent {
-    /// The event as it came.
+    /// The event's bytes, unchanged.
     pub bytes: Bytes,
-    /// Its identifier, if it has a numeric one.
+    /// The event's identifier if it is numeric.
     pub id: Option<u64>,
 }
 
-/// A stream that is not made of events.
+/// Error returned when a stream does not consist of events.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("an event is longer than {MAX_EVENT_BYTES} bytes")]
 pub struct EventError;
 
-/// Collects bytes until events are whole.
+/// Buffers bytes until events are complete.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
@@ -29,15 +29,15 @@
 }
 
 impl EventSplitter {
-    /// Takes the next bytes of the stream.
+    /// Appends bytes of the stream.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole event, if there is one.
+    /// Returns the next complete event, if there is one.
     pub fn next_event(&mut self) -> Result<Option<WholeEvent>, EventError> {
         let Some(end) = self.boundary() else {
-            // A boundary of up to four bytes may have begun at the end.
+            // A boundary of up to four bytes may start at the end of the buffer.
             self.searched = self.buffer.len().saturating_sub(3);
             return if self.buffer.len() > MAX_EVENT_BYTES { Err(EventError) } else { Ok(None) };
         };
@@ -47,18 +47,18 @@
         Ok(Some(WholeEvent { bytes, id }))
     }
 
-    /// Whether part of an event is left over.
+    /// Whether the buffer holds part of an event.
     pub fn has_rest(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Forgets part of an event that will never be whole.
+    /// Discards an incomplete event.
     pub fn clear(&mut self) {
         self.buffer.clear();
         self.searched = 0;
     }
 
-    /// Where the first event ends, behind its empty line.
+    /// Returns the end of the first event, after its empty line.
     fn boundary(&self) -> Option<usize> {
         let tail = &self.buffer[self.searched..];
         let bare = find(tail, b"\n\n").map(|at| at + 2);
--- a/crates/porthoist-proxy/src/exchange.rs
+++ b/crates/porthoist-proxy/src/exchange.rs
@@ -1,7 +1,7 @@
-//! One send of a request to one target: a pooled connection, the request, and the head of its answer.
+//! Sends a request to a target over a pooled connection and returns the head of the response.
 //!
-//! Every failure says whether the request may have run. A connection whose exchange did not end in order is closed at
-//! once, which also ends the work at its target, and is never used again.
+//! Every failure states whether the request may have run. A connection whose exchange did not complete is
+//! closed at once, which also cancels the work at its target, and is never reused.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -26,33 +26,35 @@
 use tokio::sync::OnceCell;
 use tokio::task::AbortHandle;
 
-/// Time in milliseconds for a new connection; some hundred times the way between availability zones.
+/// Connect timeout in milliseconds, some hundred times the latency between availability zones.
 const CONNECT_MILLIS: u64 = 400;
-/// Time in milliseconds for a connection that shows whether a target lives: a refusal takes two ways through the network.
+/// Timeout in milliseconds of the connection that checks whether a target is alive. A refusal takes one
+/// round trip.
 const PROBE_MILLIS: u64 = 200;
-/// How long an idle connection is used again where its target announces no limit, in milliseconds.
+/// How long an idle connection is reused if its target announces no limit, in milliseconds.
 const IDLE_MILLIS: u64 = 4_000;
-/// Kept from an announced limit, in milliseconds, for the way and for rounding to whole seconds.
+/// Safety margin subtracted from an announced limit, in milliseconds, for latency and for rounding to whole
+/// seconds.
 const IDLE_MARGIN_MILLIS: u64 = 1_000;
-/// A request that may run once goes only over a connection that was used so many milliseconds ago at most: a target
-/// that closes an idle connection would leave it unknown whether the request ran.
+/// Maximum idle time in milliseconds of a connection for a request that may run only once. If the target
+/// closes an idle connection, it is unknown whether the request ran.
 const ONCE_IDLE_MILLIS: u64 = 1_500;
-/// Idle connections kept for one target.
+/// Maximum number of idle connections per target.
 const MAX_IDLE: usize = 16;
 
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// Why a send brought no answer.
+/// A failed attempt.
 #[derive(Debug, Clone, thiserror::Error)]
 #[error("{reason} ({verdict}): {detail}")]
 pub struct SendFailure {
     /// Whether the request may have run.
     pub verdict: RunVerdict,
-    /// The reason to count.
+    /// Reason for the retry metric.
     pub reason: RetryReason,
-    /// What happened.
+    /// Description for the log.
     pub detail: String,
-    /// Whether the target's side ended the connection, as it does when the target dies.
+    /// Whether the target closed the connection, as it does when it crashes.
     pub closed: bool,
 }
 
@@ -66,7 +68,7 @@
         }
     }
 
-    /// The connection broke, or the answer can't be used, after the request was written.
+    /// The connection broke after the request was written, or the response is unusable.
     pub fn lost(detail: impl fmt::Display) -> Self {
         Self {
             verdict: RunVerdict::MayHaveRun,
@@ -76,25 +78,25 @@
         }
     }
 
-    /// The request left the target, which may have run it.
+    /// The request was moved away from the target, which may have run it.
     pub fn moved(detail: impl fmt::Display) -> Self {
         Self { reason: RetryReason::Moved, ..Self::lost(detail) }
     }
 
-    /// The target's side ended the connection after the request was written.
+    /// The target closed the connection after the request was written.
     pub fn closed(detail: impl fmt::Display) -> Self {
         Self { closed: true, ..Self::lost(detail) }
     }
 }
 
-/// Whether a target that closed a connection is still there.
+/// Whether a target that closed a connection is still running.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TargetLiveness {
-    /// It takes connections.
+    /// The target accepts connections.
     Alive,
-    /// Nothing listens at its address: its process has ended.
+    /// Nothing listens at the target's address: its process has ended.
     Dead,
-    /// It can't be told: the way there may be cut, or its host down.
+    /// Undetermined: the network may be partitioned, or the host may be down.
     Unknown,
 }
 
@@ -105,11 +107,11 @@
     usable: UnixDeadline,
 }
 
-/// Connections to targets that wait for their next request.
+/// Pool of idle connections to targets.
 #[derive(Clone)]
 pub struct ConnectionPool {
     idle: Rc<RefCell<HashMap<TargetLife, Vec<IdleConnection>>>>,
-    /// Probes that are under way: requests that were lost together share one.
+    /// Probes in progress. Requests that fail together share one.
     probes: Rc<RefCell<HashMap<TargetLife, Rc<OnceCell<TargetLiveness>>>>>,
     clock: Arc<dyn ClockSource>,
     metrics: Arc<MetricsHub>,
@@ -144,7 +146,7 @@
 }
 
 impl ConnectionLease {
-    /// Returns a connection whose answer was read to its end.
+    /// Returns the connection to the pool after a complete response.
     pub fn give_back(mut self, headers: &HeaderMap) {
         let Some(idle_millis) = reusable_millis(headers) else { return };
         let Some(sender) = self.sender.take() else { return };
@@ -167,7 +169,8 @@
     }
 }
 
-/// How long a connection may be used again after an answer with these headers; nothing if it may not.
+/// Returns how long a connection may be reused after a response with these headers, or `None` if it may
+/// not.
 fn reusable_millis(headers: &HeaderMap) -> Option<u64> {
     let text = |name: &HeaderName| headers.get(name).and_then(|value| value.to_str().ok());
     if text(&CONNECTION).is_some_and(|value| value.to_ascii_lowercase().contains("close")) {
@@ -186,24 +189,24 @@
     }
 }
 
-/// An answer whose body is still to be read.
+/// A response whose body has not been read.
 #[derive(Debug)]
 pub struct OpenAnswer {
     /// Status and headers.
     pub head: Parts,
-    /// The body.
+    /// Body.
     pub body: Incoming,
-    /// The connection it comes over.
+    /// The connection.
     pub lease: ConnectionLease,
 }
 
 impl ConnectionPool {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new(clock: Arc<dyn ClockSource>, metrics: Arc<MetricsHub>) -> Self {
         Self { idle: Rc::default(), probes: Rc::default(), clock, metrics }
     }
 
-    /// Sends a request and waits for the head of its answer until the deadline.
+    /// Sends a request and waits for the response head until the deadline.
     pub async fn send(
         &self,
         target: &TargetRecord,
@@ -213,7 +216,7 @@
     ) -> Result<OpenAnswer, SendFailure> {
         let mut request = request;
         let life = target.life();
-        // An idle connection that its target has closed hands the request back unsent.
+        // If the target has closed an idle connection, the request is returned unsent.
         while let Some(mut lease) = self.idle_lease(&life, once) {
             match self.exchange(&mut lease, request, deadline).await {
                 Ok(answer) => return Ok(open(answer, lease)),
@@ -224,12 +227,14 @@
         let mut lease = self.connect(target, deadline).await?;
         match self.exchange(&mut lease, request, deadline).await {
             Ok(answer) => Ok(open(answer, lease)),
-            Err(ExchangeFailure::Unsent(_request)) => Err(SendFailure::not_sent("closed before the request")),
+            Err(ExchangeFailure::Unsent(_request)) => {
+                Err(SendFailure::not_sent("connection closed before the request was sent"))
+            }
             Err(ExchangeFailure::Failed(failure)) => Err(failure),
         }
     }
 
-    /// Closes what has been idle too long, and all connections to targets that are not kept.
+    /// Closes expired idle connections, and all connections to targets for which `keep` returns `false`.
     pub fn tidy(&self, keep: impl Fn(&TargetLife) -> bool) {
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
@@ -278,13 +283,15 @@
         self.handshake(target, stream).await
     }
 
-    /// Whether a target whose connection ended is still there: a process that has died refuses connections, one that just
-    /// closed a connection or dropped a request takes the next. That one is kept for the next request.
+    /// Checks whether a target is still running after its connection ended. The address of a crashed
+    /// process refuses connections; a target that only closed a connection or dropped a request accepts a
+    /// new one, which is kept for the next request.
     pub async fn probe(&self, target: &TargetRecord) -> TargetLiveness {
         let life = target.life();
         let liveness = Rc::clone(self.probes.borrow_mut().entry(life.clone()).or_default());
         let found = *liveness.get_or_init(|| self.connect_probe(target)).await;
-        // The next loss asks anew: another process may have begun under the same life where targets tell no birth.
+        // The next failure probes again: where targets announce no start time, another process may run
+        // under the same identity by then.
         self.probes.borrow_mut().remove(&life);
         found
     }
@@ -310,16 +317,16 @@
         target: &TargetRecord,
         stream: TcpStream,
     ) -> Result<ConnectionLease, SendFailure> {
-        // An error here only costs latency, and time until a silent target is noticed.
+        // Best effort: on error, only latency and the detection of silent targets suffer.
         drop(configure_socket(&stream, SocketPeer::Target));
-        // A close resets the connection: what a cut link or a frozen host still holds up of a request that was given up is
-        // dropped then, and not delivered seconds later. An error here only loses that.
+        // Closing then resets the connection: data of an abandoned request that is still buffered at a
+        // partitioned link or a suspended host is dropped, not delivered seconds later. Best effort.
         drop(stream.set_zero_linger());
         let handshake = http1::Builder::new().handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(SendFailure::not_sent)?;
         self.metrics.connection();
         let task = tokio::task::spawn_local(async move {
-            // A broken connection shows in the exchange that uses it.
+            // Errors are reported by the exchange that uses the connection.
             drop(connection.await);
         });
         Ok(ConnectionLease {
@@ -345,12 +352,12 @@
                 Some(unsent) => Err(ExchangeFailure::Unsent(Box::new(unsent))),
                 None => Err(ExchangeFailure::Failed(read_failure(&failure.into_error()))),
             },
-            Err(_elapsed) => Err(ExchangeFailure::Failed(SendFailure::lost("no answer in time"))),
+            Err(_elapsed) => Err(ExchangeFailure::Failed(SendFailure::lost("no response in time"))),
         }
     }
 }
 
-/// Bytes that are no answer come from a target that lives.
+/// A response that can't be parsed comes from a running target.
 fn read_failure(error: &hyper::Error) -> SendFailure {
     if error.is_parse() { SendFailure::lost(error) } else { SendFailure::closed(error) }
 }
--- a/crates/porthoist-proxy/src/lib.rs
+++ b/crates/porthoist-proxy/src/lib.rs
@@ -1,7 +1,7 @@
-//! Requests that are passed on as they are: any method, path and body, by routes of host and path prefix.
+//! Reverse proxy for requests of any method, path and body, routed by host and path prefix.
 //!
-//! One duty accepts callers, finds a place at a target for each request, and relays its answer or its stream of
-//! events. How facts stand in headers is behind [`wire::WireCodec`], and where routes and targets come from behind
+//! It accepts callers, selects a target for each request, and relays the target's response or event stream.
+//! Header formats are defined by a [`wire::WireCodec`], and routes and targets come from a
 //! [`control::ControlSource`].
 
 pub mod broker;
--- a/crates/porthoist-proxy/src/patch.rs
+++ b/crates/porthoist-proxy/src/patch.rs
@@ -1,7 +1,8 @@
-//! Values of large rows as changes to an earlier value that the receiver has.
+//! Patches that express a large row as changes to an earlier value.
 //!
-//! A configuration of thousands of teams changes by a few hundred bytes at a time. Values are cut where their content says so, so that
-//! what is inserted moves no other cut, and parts that the earlier value has are named by their place in it.
+//! A configuration of thousands of teams changes by a few hundred bytes at a time. Values are split into
+//! content-defined chunks, so that an insertion moves no other boundary, and chunks that the earlier value
+//! contains are referenced by offset.
 
 use fastcdc::v2020::FastCDC;
 use serde::{Deserialize, Serialize};
@@ -9,30 +10,30 @@
 use std::ops::Range;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Bytes of a part at least, on average, and at most.
+/// Minimum, average and maximum chunk size in bytes.
 const PART_BYTES: [u32; 3] = [64, 256, 1_024];
 
 /// A part of a value.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 enum ValuePart {
-    /// So many bytes of the earlier value, from a place on.
+    /// A range of the earlier value.
     Kept { from: u32, bytes: u32 },
-    /// Bytes that it does not have.
+    /// Bytes that are not in the earlier value.
     New(Vec<u8>),
 }
 
-/// A value as changes to an earlier one.
+/// A value expressed as changes to an earlier one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ValuePatch {
     /// Version number of the row that held the earlier value, within its era.
     pub base: u64,
-    /// Digest of the value: an earlier value that differs is noticed.
+    /// Digest of the resulting value, to detect a different earlier value.
     digest: u64,
     parts: Vec<ValuePart>,
 }
 
 impl ValuePatch {
-    /// The changes from an earlier value, which a row held at a version.
+    /// Computes the patch from the earlier value, which the row held at version `base`.
     pub fn new(base: u64, earlier: &[u8], value: &[u8]) -> Self {
         let known: HashMap<&[u8], usize> =
             cuts(earlier).map(|range| (&earlier[range.clone()], range.start)).collect();
@@ -47,7 +48,7 @@
         Self { base, digest: xxh3_64(value), parts }
     }
 
-    /// The value; nothing if the earlier value is not the one that the changes were made from.
+    /// Applies the patch. Returns `None` if `earlier` is not the value that the patch was made from.
     pub fn apply(&self, earlier: &[u8]) -> Option<Vec<u8>> {
         let mut value = Vec::new();
         for part in &self.parts {
@@ -63,7 +64,7 @@
         (xxh3_64(&value) == self.digest).then_some(value)
     }
 
-    /// Bytes that it brings, and some for each part.
+    /// Approximate size in bytes.
     pub fn bytes(&self) -> usize {
         let bytes = |part: &ValuePart| match part {
             ValuePart::Kept { .. } => 8,
--- a/crates/porthoist-proxy/src/quarantine.rs
+++ b/crates/porthoist-proxy/src/quarantine.rs
@@ -1,4 +1,5 @@
-//! Keeps requests from targets that die of them: what the courses of one process ask of the book, and what they tell it.
+//! Quarantines requests that crash targets, and exchanges crashes with the other entries through the crash
+//! table.
 
 use crate::crashes::{CrashChange, CrashSnapshot};
 use crate::exchange::TargetLiveness;
@@ -17,36 +18,37 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, watch};
 
-/// Longest body, in bytes, whose whole answer is remembered although nothing is held against its request. Its digest takes
-/// 13 microseconds of a core; requests that come many times a second have small bodies.
+/// Maximum body size in bytes for which a complete response is remembered although the request is not
+/// suspected. Computing its digest takes 13 microseconds of a core; requests that come many times a second
+/// have small bodies.
 const TRUSTED_BODY_BYTES: usize = 16 * 1024;
 
-/// A request that can be marked.
+/// A request that can be identified by a digest.
 pub trait MarkedRequest {
-    /// Digest of all but its body's bytes.
+    /// Digest of everything but the body's bytes.
     fn head_digest(&self) -> u64;
-    /// Its mark, which reads the body.
+    /// Digest of the whole request; reads the body.
     fn mark(&self) -> RequestMark;
-    /// Bytes of its body.
+    /// Size of the body in bytes.
     fn body_bytes(&self) -> usize;
-    /// Its attempt, for logs.
+    /// Identifier of the attempt, for logs.
     fn attempt(&self) -> &str;
-    /// Whether its targets are ranks of a group.
+    /// Whether the request's targets are ranks of a group.
     fn ranked(&self) -> bool;
 }
 
-/// The desk of one process.
+/// Quarantine of one process.
 pub struct RequestQuarantine {
     book: RefCell<QuarantineTracker>,
-    /// What is known of the table.
+    /// State of the crash table.
     crashes: RefCell<watch::Receiver<CrashSnapshot>>,
-    /// Where changes of the table go.
+    /// Receives changes to be written to the crash table.
     changes: mpsc::Sender<CrashChange>,
     /// Targets at which suspected requests of this process run.
     occupied: RefCell<Vec<TargetName>>,
-    /// Whether the book was told of the table.
+    /// Whether the tracker has received the table.
     listed: Cell<bool>,
-    /// Era of the rows that the book was last told.
+    /// Era of the rows that the tracker last received.
     era: Cell<TableEra>,
     host: HostName,
     clock: Arc<dyn ClockSource>,
@@ -70,7 +72,7 @@
 }
 
 impl SuspectRun {
-    /// Takes where it runs.
+    /// Records the target of the run.
     pub fn at(&mut self, target: &TargetName) {
         if self.target.replace(target.clone()).is_none() {
             self.desk.occupied.borrow_mut().push(target.clone());
@@ -97,7 +99,7 @@
 
 #[bon::bon]
 impl RequestQuarantine {
-    /// A desk that holds nothing against any request.
+    /// Creates a quarantine without any suspected request.
     #[builder]
     pub fn new(
         host: HostName,
@@ -123,7 +125,8 @@
 }
 
 impl RequestQuarantine {
-    /// Asks to send a request; a suspected one gets a run that ends when it is dropped.
+    /// Asks for permission to send a request. A suspected request gets a [`SuspectRun`] that ends when it
+    /// is dropped.
     pub fn begin(self: &Rc<Self>, request: &impl MarkedRequest) -> Result<Option<SuspectRun>, RequestBlock> {
         self.take_news();
         let known = {
@@ -138,12 +141,12 @@
         match permit {
             Ok(SendPermit::Clear) => Ok(None),
             Ok(SendPermit::Suspected) => {
-                info!(self.logger, "a suspected request is sent alone"; "event" => "suspect_sent",
+                info!(self.logger, "suspected request sent"; "event" => "suspect_sent",
                     "request" => request.attempt(), "mark" => mark.short());
                 Ok(Some(SuspectRun { desk: Rc::clone(self), mark, target: None }))
             }
             Err(kept) => {
-                info!(self.logger, "a request is kept from targets"; "event" => "kept_back",
+                info!(self.logger, "suspected request refused"; "event" => "kept_back",
                     "request" => request.attempt(), "mark" => mark.short(), "level" => kept.level.as_str(),
                     "deaths" => kept.deaths);
                 self.metrics.crash_event("refused");
@@ -152,13 +155,14 @@
         }
     }
 
-    /// Targets at which suspected requests of this process run: another one goes elsewhere if it can: where all
-    /// choose the same second target, others lose both of their sends to a request that kills.
+    /// Targets at which suspected requests of this process run. Another suspected request avoids them if it
+    /// can: if all chose the same second target, other requests would lose both of their attempts to a
+    /// request that crashes targets.
     pub fn occupied(&self) -> Vec<TargetName> {
         self.occupied.borrow().clone()
     }
 
-    /// Takes that a connection to a target ended under a request, and what the target showed since.
+    /// Records that a connection to a target ended under a request, with the result of the probe.
     pub fn lost(&self, request: &impl MarkedRequest, target: &TargetRecord, liveness: TargetLiveness) {
         if liveness != TargetLiveness::Dead {
             return;
@@ -173,7 +177,7 @@
             DeathOutcome::Trusted => ("trusted", 0),
             DeathOutcome::Known => return,
         };
-        info!(self.logger, "a target died under a request"; "event" => "target_died",
+        info!(self.logger, "target crashed while running a request"; "event" => "target_died",
             "request" => request.attempt(), "mark" => key.mark.short(), "target" => life.id.to_string(),
             "level" => level, "deaths" => deaths);
         self.metrics.crash_event(level);
@@ -183,7 +187,7 @@
         self.drop_beyond();
     }
 
-    /// Takes that a target answered a request whole, which clears it.
+    /// Records that a target answered a request completely, which clears the request.
     pub fn answered(&self, request: &impl MarkedRequest) {
         let known = {
             let book = self.book.borrow();
@@ -197,14 +201,14 @@
         if rows.is_empty() {
             return;
         }
-        info!(self.logger, "a whole answer clears a request"; "event" => "suspect_cleared",
+        info!(self.logger, "complete response cleared a suspected request"; "event" => "suspect_cleared",
             "request" => request.attempt(), "mark" => mark.short(), "deaths" => rows.len());
         self.metrics.crash_event("cleared");
         self.remove(rows);
     }
 
-    /// Takes what the table of deaths says, if that is new. Asked before each send: the process may say that it is ready before
-    /// another task of this thread has run.
+    /// Applies a new state of the crash table, if there is one. Called before each send: the process can
+    /// report ready before another task of this thread has run.
     pub fn take_news(&self) {
         let news = {
             let mut receiver = self.crashes.borrow_mut();
@@ -219,7 +223,8 @@
         }
         let mut first = !self.listed.replace(true);
         if self.era.replace(news.era) < news.era && !first {
-            // Rows from the backup are not new: count them from their own times of death, as in the first listing.
+            // Rows from the backup are not new: they count from their own crash times, as in the first
+            // listing.
             first = true;
             self.book.borrow_mut().schedule_rewrites(
                 &news.rows,
@@ -232,12 +237,12 @@
         let changes = self.book.borrow_mut().apply_rows(&news.rows, first, self.clock.now());
         let QuarantineChanges { heard, lifted, remove } = changes;
         for (mark, level, deaths) in heard {
-            info!(self.logger, "deaths under a request were heard of"; "event" => "suspect_heard",
+            info!(self.logger, "learned of crashes under a request"; "event" => "suspect_heard",
                 "mark" => mark.short(), "level" => level.as_str(), "deaths" => deaths);
             self.metrics.crash_event("heard");
         }
         for mark in lifted {
-            info!(self.logger, "nothing is held against a request any more"; "event" => "suspect_lifted",
+            info!(self.logger, "request no longer suspected"; "event" => "suspect_lifted",
                 "mark" => mark.short());
             self.metrics.crash_event("lifted");
         }
@@ -245,22 +250,22 @@
         self.metrics.suspects(self.book.borrow().len() as u64);
     }
 
-    /// Rewrites rows that a restore of the table lost.
+    /// Writes rows again that a restore of the table lost.
     fn write_due_rewrites(&self) {
         for (key, report) in self.book.borrow_mut().take_due_rewrites(self.clock.now()) {
-            info!(self.logger, "rewriting a row of deaths that was lost in a restore"; "event" => "crash_rewritten",
+            info!(self.logger, "rewriting a crash row that was lost in a restore"; "event" => "crash_rewritten",
                 "mark" => key.mark.short(), "target" => &*key.target);
             self.tell(CrashChange::Put(key, report));
         }
     }
 
-    /// Removes rows that no longer count; to be called now and then.
+    /// Removes expired rows. Call periodically.
     pub fn remove_expired_crashes(&self) {
         self.write_due_rewrites();
         let now = self.clock.now();
         let rows = self.book.borrow_mut().take_expired(self.host.as_str(), rand::random(), now);
         for row in &rows {
-            info!(self.logger, "a death no longer counts"; "event" => "suspect_lapsed",
+            info!(self.logger, "crash expired"; "event" => "suspect_lapsed",
                 "mark" => row.mark.short(), "target" => &*row.target);
             self.metrics.crash_event("lapsed");
         }
@@ -271,7 +276,7 @@
     fn drop_beyond(&self) {
         let rows = self.book.borrow_mut().evict_excess();
         for row in &rows {
-            warn!(self.logger, "the book of deaths is full"; "event" => "suspect_dropped",
+            warn!(self.logger, "too many suspected requests, a crash dropped"; "event" => "suspect_dropped",
                 "mark" => row.mark.short());
             self.metrics.crash_event("dropped");
         }
@@ -287,7 +292,7 @@
     fn tell(&self, change: CrashChange) {
         if self.changes.try_send(change).is_err() {
             self.metrics.crash_event("unwritten");
-            warn!(self.logger, "too many deaths wait to be written"; "event" => "crash_dropped");
+            warn!(self.logger, "too many pending crashes, one dropped"; "event" => "crash_dropped");
         }
     }
 }
--- a/crates/porthoist-proxy/src/reader.rs
+++ b/crates/porthoist-proxy/src/reader.rs
@@ -1,7 +1,7 @@
-//! A process that follows the platform's tables for others: they ask it instead of the table service.
+//! Follows the platform's tables on behalf of other processes, which query it instead of the table service.
 //!
-//! It begins to follow a table when it is first asked about it and ends when nobody has asked for a while. What it tells
-//! carries the table service's own clock, by which each process judges the age of what it hears.
+//! It starts to follow a table on the first query, and stops when there have been none for a while. Updates
+//! carry the table service's own clock, by which each process computes the age of what it receives.
 
 use crate::earlier::EarlierValues;
 use crate::patch::ValuePatch;
@@ -22,67 +22,69 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// How long a table is followed after the last question about it, in milliseconds: some ten times the longest pause
-/// between two questions of one process.
+/// How long a table is followed after the last query, in milliseconds: some ten times the longest pause
+/// between two queries of one process.
 const WANTED_MILLIS: u64 = 10_000;
-/// How much shorter than the others' own its questions wait, in milliseconds: its next answer must reach them before they
-/// would ask themselves.
+/// How much shorter its long polls are than those of the querying processes, in milliseconds. Its next
+/// update must reach them before they would poll the service themselves.
 const AHEAD_MILLIS: u64 = 500;
-/// Its questions wait so long at least, in milliseconds; each has its price.
+/// Minimum long-poll timeout, in milliseconds. Each call has a cost.
 const MIN_WAIT_MILLIS: u64 = 400;
-/// Pause after a change of the routes, in milliseconds: versions may come every 80.
+/// Pause after a change of routes. Versions can come every 80 ms.
 const ROUTES_PAUSE: Duration = Duration::from_millis(100);
-/// Pause after a change of the targets, in milliseconds, so that many changes cost one question.
+/// Pause after a change of targets, so that many changes cost one poll.
 const TARGETS_PAUSE: Duration = Duration::from_millis(800);
-/// Pause after a change of the deaths, in milliseconds: each entry that saw one writes of its own, within milliseconds.
+/// Pause after a change of crashes. Each entry that observed a crash writes a row of its own within
+/// milliseconds.
 const CRASHES_PAUSE: Duration = Duration::from_millis(100);
-/// Mean time between two questions while the last ones had no answer, whether they have lapsed or not: the others hear of
-/// the service's return from here, and must be ready within a second, of which a question into silence would take 0.9.
+/// Mean interval between two calls while the service does not answer, whether or not earlier calls have
+/// timed out. Other processes learn of the recovery from here and must be ready within a second; waiting
+/// for a timeout would take 0.9 s.
 const PROBE_STEP: Duration = Duration::from_millis(350);
-/// Removed rows that are remembered at most; whoever lacks older ones lists anew.
+/// Maximum number of removed rows that are remembered. A process that needs older ones receives all keys.
 const REMOVED_KEPT: usize = 2_000;
 
-/// A question to a process that follows the tables.
+/// Query for changes of a table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TableQuery {
     /// The table.
     pub table: ControlTable,
-    /// The revision after which changes are asked for.
+    /// Revision after which changes are requested.
     pub after: TableRevision,
-    /// The newest clock of the table service that the asking process knows for the table.
+    /// Latest clock value of the table service that the querying process knows for the table.
     pub stamp: u64,
-    /// How long the answer may be held back while there is nothing new.
+    /// How long the response may be held back while there is nothing new.
     pub hold: Duration,
-    /// How long the asking process would wait at the table service.
+    /// How long the querying process would wait at the table service.
     pub wait: Duration,
 }
 
-/// Ages of a time without answers of the table service. Hops on the way add to them.
+/// Ages of an outage of the table service. Each hop on the way adds its latency.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GapAges {
-    /// Milliseconds since the last question without an answer was sent.
+    /// Milliseconds since the last unanswered call was sent.
     pub asked: u64,
-    /// Milliseconds since the first answer came.
+    /// Milliseconds since the first response arrived.
     pub returned: u64,
 }
 
-/// A row as it is told to a process that knows the table as of a revision.
+/// A row as sent to a process that knows the table as of a revision.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowUpdate {
-    /// Its key.
+    /// Key of the row.
     pub key: String,
-    /// Version number, within the era of the answer.
+    /// Version number, within the era of the response.
     pub version: u64,
-    /// What it holds.
+    /// Value of the row.
     pub value: ValueUpdate,
 }
 
-/// What a row holds.
+/// Value of a row, complete or as a patch.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ValueUpdate {
-    /// Whole.
+    /// The complete value.
     Whole(RowValue),
-    /// As changes to what it held before.
+    /// Changes to an earlier value.
     Changed(ValuePatch),
 }
 
@@ -95,8 +97,8 @@
         Self { key: row.key.clone(), version: row.version.number, value }
     }
 
-    /// Returns the complete row, with its version in `era`. A patch is applied to `known`. Returns `None` if the patch does not
-    /// apply to it.
+    /// Returns the complete row, with its version in `era`. A patch is applied to `known`. Returns `None`
+    /// if the patch does not apply to it.
     pub fn whole(self, era: TableEra, known: Option<&TableRow>) -> Option<TableRow> {
         let Self { key, version, value } = self;
         let value = match value {
@@ -111,48 +113,48 @@
     }
 }
 
-/// An answer to a [`TableQuery`].
+/// Response to a [`TableQuery`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TableUpdate {
-    /// Rows that changed, perhaps none, and a newer clock of the table service.
+    /// Changed rows, possibly none, and a newer clock value of the table service.
     Newer {
-        /// The rows, the revision up to which they are whole, and the clock.
+        /// The rows, the revision up to which they are complete, and the clock value.
         rows: Stamped<Vec<RowUpdate>>,
-        /// The keys of all rows, where removals since the revision asked about are not known one by one.
+        /// Keys of all rows, if removals since the requested revision are not known individually.
         keys: Option<Vec<String>>,
-        /// The last time without answers, if there was one.
+        /// The latest outage, if there was one.
         gap: Option<GapAges>,
     },
     /// Nothing newer is known.
     Nothing {
-        /// Whether the last question to the table service failed.
+        /// Whether the last call to the table service failed.
         failing: bool,
     },
-    /// There is more than is passed on: the table service is to be asked.
+    /// The update is too large to be passed on; the table service must be asked.
     TooMuch,
 }
 
-/// A row with the revision of its change: of a removal, the one at which it was noticed.
+/// A row with the revision of its change. For a removal, this is the revision at which it was noticed.
 #[derive(Debug, Clone)]
 struct LearntRow {
     row: TableRow,
     learnt: TableRevision,
 }
 
-/// What is known of one table.
+/// Known state of one table.
 #[derive(Debug, Default)]
 struct KnownTable {
     rows: HashMap<String, LearntRow>,
-    /// What large ones held before.
+    /// Earlier values of large rows.
     earlier: EarlierValues,
-    /// Removals after this revision are known one by one.
+    /// Removals after this revision are known individually.
     floor: TableRevision,
     revision: TableRevision,
-    /// The table service's clock at its last answer.
+    /// The table service's clock in its last response.
     stamp: Option<u64>,
     failing: bool,
     gap: Option<AnswerGap>,
-    /// The last question without an answer, until one comes.
+    /// When the last unanswered call was sent, until a response arrives.
     unanswered: Option<UnixMillis>,
 }
 
@@ -217,18 +219,18 @@
         self.rows.retain(|_key, known| known.row.value != RowValue::Removed || known.learnt > floor);
     }
 
-    /// What there is for a question now; nothing if it is to wait.
+    /// Returns the response to a query, or `None` if the query must wait.
     fn news(&self, ask: &TableQuery, now: UnixMillis) -> Option<TableUpdate> {
         let stamp = self.stamp?;
         if self.revision.era < ask.after.era {
             return None;
         }
         let is_later = self.revision.era > ask.after.era || stamp > ask.stamp;
-        // Others may know the table as of a later moment than this process: then it has nothing to say.
+        // The querying process may know a later state of the table; then there is nothing to report.
         if self.revision < ask.after && !is_later {
             return None;
         }
-        // One that knows nothing has nothing to drop.
+        // A process without any rows has none to remove.
         let keys = (ask.after > TableRevision::default() && ask.after < self.floor).then(|| self.live_keys());
         let newer = self.rows.values().filter(|known| known.learnt > ask.after);
         let mut rows: Vec<RowUpdate> =
@@ -237,7 +239,7 @@
             return None;
         }
         rows.sort_by_key(|row| row.version);
-        // One that knows more keeps to what it knows: nothing older ever follows.
+        // Never reports an older revision than the querying process has.
         let revision = self.revision.max(ask.after);
         let ages =
             |gap: AnswerGap| GapAges { asked: now.since(gap.asked), returned: now.since(gap.returned) };
@@ -250,12 +252,12 @@
     }
 }
 
-/// One table while it is followed.
+/// A followed table.
 #[derive(Debug)]
 struct FollowedTable {
     table: ControlTable,
     known: RefCell<KnownTable>,
-    /// Increases with each answer and each failure.
+    /// Incremented with each response and each failure.
     changed: watch::Sender<u64>,
     wanted_until: Cell<UnixDeadline>,
     wait: Cell<Duration>,
@@ -275,13 +277,14 @@
     }
 }
 
-/// Follows the tables for other processes while they ask.
+/// Follows tables on behalf of other processes while they query it.
 pub struct TableReader {
     source: Rc<dyn RowSource>,
     clock: Arc<dyn ClockSource>,
     logger: Logger,
     tables: [Rc<FollowedTable>; 3],
-    /// Increases when a question about routes fails: the others may hang on the same lost connection.
+    /// Incremented when a call for routes fails: the other calls may be waiting on the same lost
+    /// connection.
     breaks: watch::Sender<u64>,
 }
 
@@ -292,7 +295,7 @@
 }
 
 impl TableReader {
-    /// A reader that nobody has asked yet.
+    /// Creates a reader without queries.
     pub fn new(source: Rc<dyn RowSource>, clock: Arc<dyn ClockSource>, logger: Logger) -> Rc<Self> {
         let tables = ControlTable::ALL.map(FollowedTable::new);
         Rc::new(Self { source, clock, logger, tables, breaks: watch::Sender::new(0) })
@@ -306,7 +309,7 @@
         }
     }
 
-    /// Answers a question as soon as there is something newer, or when it was held for as long as it allows.
+    /// Answers a query as soon as there is something newer, or after its hold time.
     pub async fn query(self: &Rc<Self>, ask: TableQuery) -> TableUpdate {
         let table = Rc::clone(self.followed(ask.table));
         table.wanted_until.set(UnixDeadline::after(self.clock.now(), WANTED_MILLIS));
@@ -331,9 +334,9 @@
         held.unwrap_or_else(|_elapsed| TableUpdate::Nothing { failing: table.known.borrow().failing })
     }
 
-    /// Follows a table until nobody wants it any more.
+    /// Follows a table until it is no longer queried.
     async fn follow(self: Rc<Self>, table: Rc<FollowedTable>) {
-        info!(self.logger, "a table is followed for others"; "event" => "table_followed",
+        info!(self.logger, "following a table for other processes"; "event" => "table_followed",
             "table" => table.table.as_str());
         let mut breaks = self.breaks.subscribe();
         let mut revision = None;
@@ -391,19 +394,19 @@
             return self.list(table.table).await;
         };
         let least = Duration::from_millis(MIN_WAIT_MILLIS);
-        // The others wait from the last answer on, not from this question.
+        // The querying processes wait from the last response on, not from this poll.
         let ahead = Duration::from_millis(AHEAD_MILLIS) + paused;
         let wait = table.wait.get().saturating_sub(ahead).max(least);
         answer_within(self.source.patience(wait), self.source.after(table.table, revision, wait)).await
     }
 
-    /// Waits while the service does not answer questions about routes, which are asked anyway.
+    /// Waits while the service does not answer calls for routes, which are made anyway.
     async fn until_routes_answer(&self) {
         let routes = self.followed(ControlTable::Routes);
         let mut changed = routes.changed.subscribe();
         while routes.running.get() && routes.known.borrow().failing {
             changed.mark_unchanged();
-            // The table is not dropped while this process lives.
+            // The sender is not dropped while this process runs.
             drop(tokio::time::timeout(PROBE_STEP, changed.changed()).await);
         }
     }
@@ -412,14 +415,14 @@
         answer_within(self.source.patience(Duration::ZERO), self.source.list(table)).await
     }
 
-    /// Asks a service that does not answer, again before the last question has lapsed, until it answers or nobody wants the
-    /// table any more.
+    /// Calls a service that does not answer, again before earlier calls time out, until it responds or the
+    /// table is no longer queried.
     async fn probe(&self, table: &FollowedTable) -> Result<Stamped<Vec<TableRow>>, SourceError> {
         let mut probes = FuturesUnordered::new();
         while !table.wanted_until.get().passed(self.clock.now()) {
             let sent = self.clock.now();
             probes.push(async move { (sent, self.list(table.table).await) });
-            // Processes that failed together must not ask again together.
+            // Processes that failed together must not retry together.
             let step = tokio::time::sleep(PROBE_STEP.mul_f64(rand::random::<f64>().mul_add(0.5, 0.75)));
             tokio::pin!(step);
             loop {
@@ -433,7 +436,7 @@
                 }
             }
         }
-        Err(SourceError::Unavailable("nobody asks any more".to_owned()))
+        Err(SourceError::Unavailable("the table is no longer queried".to_owned()))
     }
 
     fn take(&self, table: &FollowedTable, answer: Stamped<Vec<TableRow>>, whole: bool) {
--- a/crates/porthoist-proxy/src/reply.rs
+++ b/crates/porthoist-proxy/src/reply.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: those of targets with their own bytes, and refusals of ours.
+//! Responses to callers: those of targets, and the proxy's own refusals.
 
 use bytes::Bytes;
 use futures::stream::LocalBoxStream;
@@ -12,14 +12,14 @@
 use porthoist_core::RefusalReason;
 use std::io;
 
-/// A body that arrives piece by piece; an error ends the connection so that nobody takes it for whole.
+/// A streamed body. An error closes the connection, so that the caller does not take the body for complete.
 pub type PieceStream = LocalBoxStream<'static, Result<Frame<Bytes>, io::Error>>;
-/// Body of every answer to a caller.
+/// Body of a response to a caller.
 pub type ReplyBody = Either<Full<Bytes>, StreamBody<PieceStream>>;
-/// An answer to a caller.
+/// A response to a caller.
 pub type Reply = Response<ReplyBody>;
 
-/// Headers that concern one connection only (RFC 9110, section 7.6.1, and what came before it).
+/// Hop-by-hop headers (RFC 9110, section 7.6.1, and older ones).
 const HOP_HEADERS: [HeaderName; 8] = [
     CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -31,7 +31,7 @@
     UPGRADE,
 ];
 
-/// Removes what concerns one connection only, with what `Connection` names.
+/// Removes hop-by-hop headers, including those that `Connection` names.
 pub fn strip_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -45,14 +45,14 @@
     }
 }
 
-/// Headers of a target's answer as the caller gets them.
+/// Headers of a target's response that are forwarded to the caller.
 pub fn relayed_headers(mut headers: HeaderMap) -> HeaderMap {
     strip_hop_headers(&mut headers);
     headers.remove(CONTENT_LENGTH);
     headers
 }
 
-/// An answer that is sent whole.
+/// Creates a response with a complete body.
 pub fn whole_reply(status: StatusCode, headers: HeaderMap, body: Bytes) -> Reply {
     let mut reply = Response::new(Either::Left(Full::new(body)));
     *reply.status_mut() = status;
@@ -60,7 +60,7 @@
     reply
 }
 
-/// An answer that is sent as it comes.
+/// Creates a response with a streamed body.
 pub fn piecewise_reply(status: StatusCode, headers: HeaderMap, pieces: PieceStream) -> Reply {
     let mut reply = Response::new(Either::Right(StreamBody::new(pieces)));
     *reply.status_mut() = status;
@@ -68,7 +68,8 @@
     reply
 }
 
-/// A refusal or failure of our own. `retry_millis` says when the caller should come back.
+/// Creates a refusal or error of the proxy itself. `retry_millis` is the time after which the caller should
+/// retry.
 pub fn own_reply(status: StatusCode, reason: RefusalReason, retry_millis: Option<u64>) -> Reply {
     let text = format!("{reason}\n");
     let mut headers = HeaderMap::new();
--- a/crates/porthoist-proxy/src/rows.rs
+++ b/crates/porthoist-proxy/src/rows.rs
@@ -1,4 +1,4 @@
-//! Rows of the platform's tables as they are passed between our processes: keys and bytes, not yet what they mean.
+//! Rows of the platform's tables as keys and bytes, before they are interpreted.
 
 use crate::revision::TableRevision;
 use crate::source::{SourceError, SourceFuture, Stamped};
@@ -7,22 +7,22 @@
 use std::fmt;
 use std::time::Duration;
 
-/// A table that processes follow.
+/// A table of the table service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ControlTable {
     /// The operators' routes.
     Routes,
     /// The targets.
     Targets,
-    /// Deaths of targets that are held against requests.
+    /// Crashes of targets that are recorded against requests.
     Crashes,
 }
 
 impl ControlTable {
-    /// All.
+    /// All tables.
     pub const ALL: [Self; 3] = [Self::Routes, Self::Targets, Self::Crashes];
 
-    /// Its name in logs.
+    /// Name in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Routes => "routes",
@@ -32,44 +32,45 @@
     }
 }
 
-/// What a row holds.
+/// Value of a row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RowValue {
-    /// Its bytes.
+    /// The bytes.
     Bytes(Vec<u8>),
-    /// Something that another writer left and that is not bytes in the table's encoding; says why.
+    /// A value of another writer that is not bytes in the table's encoding, with a description of the
+    /// problem.
     Unreadable(String),
-    /// Nothing: the row was removed.
+    /// The row was removed.
     Removed,
 }
 
-/// A row, or that it was removed.
+/// A row, or its removal.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TableRow {
-    /// Its key.
+    /// Key of the row.
     pub key: String,
-    /// What it holds.
+    /// Value of the row.
     pub value: RowValue,
-    /// Its version: rows with higher ones were written later.
+    /// Version of the row. Rows with higher versions were written later.
     pub version: TableRevision,
 }
 
-/// Where rows come from.
+/// Source of rows.
 pub trait RowSource: fmt::Debug {
-    /// All rows of a table.
+    /// Lists all rows of a table.
     fn list(&self, table: ControlTable) -> SourceFuture<'_, Vec<TableRow>>;
-    /// Rows that changed after a revision, none after the wait.
+    /// Waits for rows that changed after a revision. Returns none after the wait.
     fn after(
         &self,
         table: ControlTable,
         revision: TableRevision,
         wait: Duration,
     ) -> SourceFuture<'_, Vec<TableRow>>;
-    /// Whether it makes the pauses between questions that fail.
+    /// Whether the source makes the pauses between failed calls itself.
     fn paces_itself(&self) -> bool {
         false
     }
-    /// How long an answer may take to a question that waits for so long.
+    /// Maximum time for a response to a call that waits for the given time.
     fn patience(&self, wait: Duration) -> Duration {
         wait + Duration::from_millis(ANSWER_MILLIS)
     }
@@ -78,28 +79,29 @@
 /// A row to write or to remove.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RowChange {
-    /// Its key.
+    /// Key of the row.
     pub key: String,
-    /// Its bytes; nothing removes it.
+    /// New bytes, or `None` to remove the row.
     pub value: Option<Vec<u8>>,
 }
 
-/// Where rows are written.
+/// Destination of written rows.
 pub trait RowWriter: fmt::Debug {
-    /// Writes and removes rows of the table of deaths, all or none. Without an answer they may be written later.
+    /// Writes and removes rows of the crash table atomically. A write without a response may still be
+    /// applied later.
     fn write(&self, changes: Vec<RowChange>) -> LocalBoxFuture<'_, Result<(), SourceError>>;
 }
 
-/// Time in milliseconds beyond a question's wait in which the table service must answer.
+/// Time in milliseconds beyond a call's wait within which the table service must respond.
 pub const ANSWER_MILLIS: u64 = 900;
 
-/// The answer to a question, unless none comes in time.
+/// Awaits a response with a timeout.
 pub async fn answer_within<T>(
     patience: Duration,
     question: SourceFuture<'_, T>,
 ) -> Result<Stamped<T>, SourceError> {
     match tokio::time::timeout(patience, question).await {
         Ok(answer) => answer,
-        Err(_elapsed) => Err(SourceError::Unavailable("no answer in time".to_owned())),
+        Err(_elapsed) => Err(SourceError::Unavailable("no response in time".to_owned())),
     }
 }
--- a/crates/porthoist-proxy/src/server.rs
+++ b/crates/porthoist-proxy/src/server.rs
@@ -1,4 +1,4 @@
-//! The callers' listener: accepts connections, serves their requests, and stops without cutting one off.
+//! The callers' listener: accepts connections, serves requests and shuts down gracefully.
 
 use crate::course::ProxyHandler;
 use crate::reply::Reply;
@@ -19,29 +19,30 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Bytes of request line and headers before a configuration says otherwise; also the least that hyper takes.
+/// Maximum size in bytes of request line and headers until a configuration is known; also the minimum that
+/// hyper accepts.
 const MIN_HEADER_BYTES: usize = 8_192;
-/// Milliseconds that a connection may stay idle before a configuration says otherwise.
+/// Maximum idle time of a connection in milliseconds until a configuration is known.
 const IDLE_MILLIS: u64 = 15_000;
 
-/// What a listener needs to stop in order.
+/// Dependencies and settings of the listener.
 #[derive(Debug, Clone)]
 pub struct ProxyServer {
-    /// The course of each request.
+    /// Handles each request.
     pub handler: Rc<ProxyHandler>,
-    /// Turns `true` when the process should stop.
+    /// Becomes `true` when the process should stop.
     pub stopping: watch::Receiver<bool>,
-    /// Milliseconds after the stop in which the balancer still sends new connections.
+    /// Time in milliseconds after the stop signal in which the balancer still sends new connections.
     pub stop_lag_millis: u64,
-    /// Milliseconds after the stop within which the process must have ended.
+    /// Time in milliseconds after the stop signal within which the process must end.
     pub grace_millis: u64,
-    /// For counts.
+    /// Counters.
     pub metrics: Arc<MetricsHub>,
-    /// For the log.
+    /// Logger.
     pub logger: Logger,
 }
 
-/// Serves callers until the process should stop and nothing is in flight.
+/// Serves callers until the process should stop and no request is in flight.
 pub async fn serve_proxy(listener: TcpListener, server: ProxyServer) {
     let graceful = GracefulShutdown::new();
     let mut stopping = server.stopping.clone();
@@ -55,8 +56,8 @@
             accepted = listener.accept() => match accepted {
                 Ok((stream, _address)) => accept(stream, &server, &graceful),
                 Err(error) => {
-                    info!(server.logger, "can't accept"; "event" => "accept_failed", "error" => error.to_string());
-                    // Out of file descriptors, for example: give connections time to close.
+                    info!(server.logger, "failed to accept a connection"; "event" => "accept_failed", "error" => error.to_string());
+                    // The process may be out of file descriptors: leave time for connections to close.
                     tokio::time::sleep(Duration::from_millis(10)).await;
                 }
             },
@@ -84,7 +85,7 @@
 }
 
 fn accept(stream: TcpStream, server: &ProxyServer, graceful: &GracefulShutdown) {
-    // The work of a caller that is gone without a sign ends with its connection. An error here only costs time.
+    // Detects callers that disappeared, whose work ends with the connection. Best effort.
     drop(configure_socket(&stream, SocketPeer::Caller));
     let limits = server.handler.limits();
     let header_bytes = limits.map_or(MIN_HEADER_BYTES, |limits| limits.header_bytes.max(MIN_HEADER_BYTES));
@@ -96,7 +97,7 @@
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        // The time for a request's headers includes the idle time before them.
+        // The timeout includes the idle time before a request's headers.
         .header_read_timeout(Duration::from_millis(idle_millis))
         .max_buf_size(header_bytes)
         .serve_connection(TokioIo::new(stream), service);
@@ -104,7 +105,7 @@
     let metrics = Arc::clone(&server.metrics);
     tokio::task::spawn_local(async move {
         let Err(error) = connection.await else { return };
-        // hyper has answered these itself.
+        // hyper has already answered these.
         if error.is_parse_too_large() {
             metrics.refusal(RefusalReason::HeaderTooLong, RunVerdict::NotRun);
         } else if error.is_parse() {
--- a/crates/porthoist-proxy/src/shared.rs
+++ b/crates/porthoist-proxy/src/shared.rs
@@ -1,7 +1,8 @@
-//! Rows of the tables by way of a process that follows them for its whole zone, or from the table service itself.
+//! Row source that queries a process which follows the tables for the whole zone, and falls back to the
+//! table service.
 //!
-//! A process asks itself at its start, where no other one answers, and before what it holds would be too old: calls
-//! then grow with zones and not with entries.
+//! A process calls the table service itself at its start, if no peer answers, and before its known state
+//! becomes too old. The number of calls thus grows with zones and not with entries.
 
 use crate::reader::{RowUpdate, TableQuery, TableUpdate};
 use crate::revision::{TableEra, TableRevision};
@@ -21,36 +22,40 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// How long another process may hold its answer back. One that says nothing for longer is frozen or cut off.
+/// How long a peer may hold back its response. A peer that is silent for longer is suspended or
+/// unreachable.
 const HOLD: Duration = Duration::from_secs(1);
-/// Time beyond that in which its answer must come: the way within a zone, and its turn on a host with 0.15 of a core.
+/// Time beyond the hold within which a peer must respond: network latency within a zone, and scheduling
+/// delay on a host with 0.15 of a core.
 const ANSWER_TIME: Duration = Duration::from_millis(300);
-/// How long a process that did not answer, or whose own questions fail, is not asked again.
+/// How long a peer is avoided that did not answer, or whose own calls fail.
 const AVOIDED: Duration = Duration::from_secs(2);
-/// Mean time between two questions of this process while the table service is away and others try for it.
+/// Mean interval between calls of this process while the table service is unavailable and peers call it
+/// too.
 const PROBE: Duration = Duration::from_secs(3);
 
-/// How long a process that starts waits for others to tell it what it does not need before there are targets.
+/// How long a starting process waits for peers to send the tables that it does not need before there are
+/// targets.
 const START_TIME: Duration = Duration::from_secs(6);
-/// Time between two looks for others to ask meanwhile.
+/// Interval at which a starting process looks for peers.
 const START_LOOK: Duration = Duration::from_millis(100);
-/// How long one waits that starts while others serve: callers may come to it.
+/// How long a process waits for peers if it starts while others serve. Callers may already come to it.
 const LATE_START_TIME: Duration = Duration::from_millis(300);
-/// Least time between two own questions about targets at a start while nobody else can be asked: rows of a fleet that starts come
-/// one by one, and each would wake all.
+/// Minimum interval between this process's calls for targets at a start while there is no peer: when a
+/// fleet starts, rows come one by one, and each would wake all processes.
 const START_PAUSE: Duration = Duration::from_secs(4);
 
-/// First pause after a failed question where no other process tries; it doubles up to [`MAX_PAUSE`].
+/// Initial backoff after a failed call if there is no peer. It doubles up to [`MAX_PAUSE`].
 const PAUSE: Duration = Duration::from_millis(60);
-/// Longest such pause: readiness must return within a second of the table service's return.
+/// Maximum backoff. The process must be ready again within a second of the table service's recovery.
 const MAX_PAUSE: Duration = Duration::from_millis(480);
 
-/// The ways to the processes that may follow the tables for others.
+/// Access to the peers that may follow the tables on behalf of others.
 pub trait TablePeers: fmt::Debug {
-    /// Hosts of the processes to ask, in an order that all processes of the zone agree on.
+    /// Hosts of the peers, in an order that all processes of the zone agree on.
     fn hosts(&self) -> Vec<Ipv4Addr>;
-    /// Asks the process on a host, whose answer must begin to come in the time that the question is held and `answer_timeout`; says why
-    /// there is none.
+    /// Queries the peer on a host. Its response must begin within the query's hold time plus
+    /// `answer_timeout`. Returns a description of the problem if there is no response.
     fn query(
         &self,
         host: Ipv4Addr,
@@ -59,23 +64,23 @@
     ) -> LocalBoxFuture<'_, Result<TableUpdate, String>>;
 }
 
-/// Why the table service itself is asked.
+/// Why the table service itself is called.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AskReason {
     /// Nothing is known yet.
     Start,
-    /// No other process answers.
+    /// No peer answers.
     NoPeer,
-    /// What other processes know gets too old.
+    /// The peers' state becomes too old.
     Outdated,
-    /// Other processes do not pass on what is needed.
+    /// The peers can't provide the requested changes.
     History,
-    /// The table service was away.
+    /// The table service was unavailable.
     Probe,
 }
 
 impl AskReason {
-    /// Its name in metrics.
+    /// Name in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Start => "start",
@@ -87,7 +92,7 @@
     }
 }
 
-/// What this process knows of one table.
+/// This process's copy of one table.
 #[derive(Debug, Default)]
 struct TableCopy {
     rows: RefCell<HashMap<String, TableRow>>,
@@ -100,7 +105,7 @@
         self.revision.get().unwrap_or_default().era
     }
 
-    /// Whether an answer is newer than this copy. Clock values of different eras are not comparable.
+    /// Whether a response is newer than this copy. Clock values of different eras are not comparable.
     fn is_outdated_by(&self, revision: TableRevision, stamp: u64) -> bool {
         match revision.era.cmp(&self.era()) {
             Ordering::Less => false,
@@ -109,7 +114,7 @@
         }
     }
 
-    /// Rows as they are, with those that are told as changes.
+    /// Returns the complete rows, with patches applied, or `None` if a patch does not apply.
     fn whole_rows(&self, news: Stamped<Vec<RowUpdate>>) -> Option<Stamped<Vec<TableRow>>> {
         let known = self.rows.borrow();
         let Stamped { value, revision, stamp, origin } = news;
@@ -123,7 +128,7 @@
         Some(Stamped { value: rows?, revision, stamp, origin })
     }
 
-    /// The rows that are not among the keys of all, as removed.
+    /// Returns removals of all known rows whose keys are not in `keys`.
     fn removed(&self, keys: &[String], revision: TableRevision) -> Vec<TableRow> {
         let keys: HashSet<&String> = keys.iter().collect();
         let rows = self.rows.borrow();
@@ -132,8 +137,8 @@
     }
 }
 
-/// A moment of the table service's clock with an earlier one of this process's: the answer can't have been made before
-/// its question was sent.
+/// Relates a time of the table service's clock to an earlier time of the local clock: a response can't be
+/// older than its request.
 #[derive(Debug, Clone, Copy)]
 struct ClockOffset {
     sent: UnixMillis,
@@ -146,19 +151,20 @@
         Self { sent, era, stamp }
     }
 
-    /// With another answer: the one that places the clock latest counts.
+    /// Takes another response into account. The one that places the service's clock latest is the most
+    /// accurate.
     fn tightened(self, sent: UnixMillis, stamp: u64) -> Self {
         let other = Self { sent, stamp, ..self };
         if other.local(stamp) > self.local(stamp) { other } else { self }
     }
 
-    /// When a moment of the table service's clock was, or earlier.
+    /// Returns a lower bound of the local time of a time of the table service's clock.
     fn local(self, stamp: u64) -> UnixMillis {
         UnixMillis((self.sent.0 + stamp).saturating_sub(self.stamp))
     }
 }
 
-/// Rows from the process that follows the tables for the zone, else from the table service.
+/// Rows from the peer that follows the tables for the zone, or from the table service.
 #[derive(Debug)]
 pub struct PeerRowSource {
     table_service: Rc<dyn RowSource>,
@@ -167,29 +173,29 @@
     routes: TableCopy,
     targets: TableCopy,
     crashes: TableCopy,
-    /// Tells that the targets were first listed.
+    /// Notifies that the targets have been listed for the first time.
     targets_listed: Notify,
-    /// When targets may be asked about again at a start.
+    /// When targets may be requested again at a start.
     targets_due: Cell<UnixDeadline>,
-    /// Until when a fleet that starts together may still lack processes to ask.
+    /// Until when a fleet that starts together may still be without peers.
     start_over: Cell<UnixDeadline>,
     /// Whether there were targets when they were first listed.
     began_late: Cell<bool>,
-    /// When the table service may be asked again after it failed.
+    /// When the table service may be called again after a failure.
     probe_at: Cell<Option<UnixDeadline>>,
-    /// The next pause where no other process tries.
+    /// The next backoff if there is no peer.
     pause: Cell<Duration>,
-    /// How the table service's clock lies to this process's; nothing before its first answer.
+    /// Offset between the table service's clock and the local one; `None` before the first response.
     clocks: Cell<Option<ClockOffset>>,
-    /// Processes that are not asked for a while.
+    /// Peers that are not queried for a while.
     avoided: RefCell<HashMap<Ipv4Addr, UnixDeadline>>,
-    /// Counts the time in which the host was suspended, which the runtime's timers do not.
+    /// Includes the time in which the host was suspended, unlike the runtime's timers.
     clock: Arc<dyn ClockSource>,
     logger: Logger,
 }
 
 impl PeerRowSource {
-    /// Rows that nothing is known of yet.
+    /// Creates a source without any known rows.
     pub fn new(
         table_service: Rc<dyn RowSource>,
         peers: Rc<dyn TablePeers>,
@@ -225,7 +231,7 @@
         }
     }
 
-    /// The first process that is not avoided.
+    /// Returns the first peer that is not avoided.
     fn peer(&self) -> Option<Ipv4Addr> {
         let now = self.clock.now();
         let mut avoided = self.avoided.borrow_mut();
@@ -233,7 +239,7 @@
         self.peers.hosts().into_iter().find(|host| !avoided.contains_key(host))
     }
 
-    /// Whether a process is asked, that is not avoided.
+    /// Whether a peer is not avoided.
     fn asked(&self, host: Ipv4Addr) -> bool {
         let now = self.clock.now();
         self.avoided.borrow().get(&host).is_none_or(|until| until.passed(now))
@@ -244,7 +250,8 @@
         self.avoided.borrow_mut().insert(host, until);
     }
 
-    /// What other processes know after a revision, once it is newer. An error says that the table service is to be asked.
+    /// Waits for peers to provide changes after a revision. An error states why the table service must be
+    /// called.
     async fn ask_peers(
         &self,
         table: ControlTable,
@@ -261,17 +268,18 @@
             }
             let Some(host) = self.peer() else { return Err(AskReason::NoPeer) };
             let ask = TableQuery { table, after, stamp: copy.stamp.get(), hold: HOLD.min(left), wait };
-            // A long answer comes in pieces; what is known must not get too old meanwhile.
+            // A long response arrives in pieces. The known state must not become too old meanwhile.
             let asked = self.peers.query(host, ask, ANSWER_TIME);
             match tokio::time::timeout(left + ANSWER_TIME, asked).await {
-                // What is no newer than what is known proves nothing: a process that repeats it must not be asked for ever.
+                // A response that is not newer than the known state proves nothing. A peer that repeats it
+                // must not be queried for ever.
                 Ok(Ok(TableUpdate::Newer { rows, .. }))
                     if !copy.is_outdated_by(rows.revision, rows.stamp) =>
                 {
                     self.avoid(host);
                 }
                 Ok(Ok(TableUpdate::Newer { rows, keys, gap })) => {
-                    // Changes to another value than the one held: the row itself is needed.
+                    // The patch applies to another value than the known one, so the complete row is needed.
                     let Some(rows) = copy.whole_rows(rows) else { return Err(AskReason::History) };
                     let mut rows = Stamped { origin: AnswerOrigin::Peer { gap }, ..rows };
                     if let Some(keys) = keys {
@@ -280,7 +288,8 @@
                     return Ok(rows);
                 }
                 Ok(Ok(TableUpdate::Nothing { failing })) => {
-                    // Another process may reach the table service. Where none does, this one tells at once when it does.
+                    // Another peer may reach the table service. If none does, this one responds as soon as
+                    // it does.
                     if failing && self.peers.hosts().iter().any(|other| *other != host && self.asked(*other))
                     {
                         self.avoid(host);
@@ -293,7 +302,7 @@
         }
     }
 
-    /// Asks the table service itself.
+    /// Calls the table service itself.
     async fn ask_itself(
         &self,
         table: ControlTable,
@@ -306,7 +315,7 @@
             self.targets_due.set(self.after(START_PAUSE));
         }
         self.metrics.table_asked(reason.as_str());
-        info!(self.logger, "the table service itself is asked"; "event" => "table_asked",
+        info!(self.logger, "calling the table service"; "event" => "table_asked",
             "table" => table.as_str(), "reason" => reason.as_str(), "wait_ms" => wait.as_millis() as u64);
         let question = match revision {
             Some(revision) => self.table_service.after(table, revision, wait),
@@ -329,21 +338,21 @@
         answer
     }
 
-    /// Rejects an answer from an earlier era than the copy, which may have been updated by other processes.
+    /// Rejects a response from an earlier era than the copy, which peers may have updated.
     fn reject_earlier_era(
         &self,
         table: ControlTable,
         answer: Stamped<Vec<TableRow>>,
     ) -> Result<Stamped<Vec<TableRow>>, SourceError> {
         if answer.revision.era < self.copy(table).era() {
-            return Err(SourceError::Unavailable("answer belongs to an earlier era".to_owned()));
+            return Err(SourceError::Unavailable("response belongs to an earlier era".to_owned()));
         }
         Ok(answer)
     }
 
-    /// The pause before this process asks the table service again that did not answer.
+    /// Returns the backoff before this process calls the table service again after a failure.
     fn pause(&self) -> Duration {
-        // Processes that failed together must not ask again together.
+        // Processes that failed together must not retry together.
         let jitter = rand::random::<f64>() + 0.5;
         if self.peer().is_some() {
             return PROBE.mul_f64(jitter);
@@ -353,7 +362,7 @@
         pause.mul_f64(jitter)
     }
 
-    /// Takes an answer into the copy. What is older than the copy changes nothing.
+    /// Applies a response to the copy. Rows older than the copy's are ignored.
     fn take(&self, table: ControlTable, answer: &Stamped<Vec<TableRow>>, whole: bool) {
         let copy = self.copy(table);
         let mut rows = copy.rows.borrow_mut();
@@ -386,7 +395,7 @@
             }
             return self.list_itself(table, AskReason::Start).await;
         };
-        // Others try for this process too, and only changes are needed of them.
+        // Peers call the table service too, and only changes are needed from them.
         let heard = self.ask_peers(table, revision, PROBE, self.after(PROBE * 2));
         let listed = async {
             self.sleep_until(probe_at.or_else(|| Some(self.after(Self::peers_time(table))))).await;
@@ -404,23 +413,24 @@
             },
             answer = &mut listed => return answer,
         };
-        // A host that is cut off from the service hears from others that there is much to fetch, and must not try at once again and
-        // again.
+        // A host that can't reach the service learns from peers that the update is too large, and must not
+        // call the service again and again without a pause.
         if reason == AskReason::History && probe_at.is_none() {
             return self.list_itself(table, reason).await;
         }
         listed.await
     }
 
-    /// What others know of a table that nothing is known of here. The targets are listed by each process itself: they show whom to
-    /// ask, and the answer shows the table service's clock, by which others' news are judged.
+    /// Asks peers for a table of which nothing is known. Each process lists the targets itself: they show
+    /// which peers there are, and the response shows the table service's clock, which is needed to judge
+    /// the peers' updates.
     async fn first_news(&self, table: ControlTable) -> Option<Stamped<Vec<TableRow>>> {
         let mut until = self.after(START_TIME * 2);
         let mut known = false;
         while !self.starts_alone(table) && !until.passed(self.clock.now()) {
             if !known && !self.targets.rows.borrow().is_empty() {
                 known = true;
-                // The first targets may all be without a process to ask.
+                // The first targets may all be without a peer.
                 until = self.after(if self.began_late.get() { LATE_START_TIME } else { START_TIME });
             }
             if known && self.peer().is_some() {
@@ -431,14 +441,15 @@
                     return Some(answer);
                 }
             }
-            // The listing of the targets decides most.
+            // The list of targets is what usually ends the wait.
             drop(tokio::time::timeout(START_LOOK, self.targets_listed.notified()).await);
         }
         None
     }
 
-    /// Whether a table is listed by this process itself at its start. Where targets are known, callers may wait: a hundred
-    /// processes that start again together have their routes sooner from the table service than over the link of one host.
+    /// Whether this process lists a table itself at its start. If targets are known, callers may be
+    /// waiting: a hundred processes that restart together get their routes sooner from the table service
+    /// than over the link of one host.
     fn starts_alone(&self, table: ControlTable) -> bool {
         match table {
             ControlTable::Targets => true,
@@ -447,8 +458,8 @@
         }
     }
 
-    /// How long others are given to tell of a table before it is listed. Deaths are rare, and others need them as much: with the
-    /// time for routes, each entry would list them in every outage.
+    /// How long peers are given to provide a table before it is listed. Crashes are rare, and the peers
+    /// need them as much: with the time for routes, each entry would list them in every outage.
     fn peers_time(table: ControlTable) -> Duration {
         match table {
             ControlTable::Routes | ControlTable::Targets => ANSWER_TIME,
@@ -489,7 +500,7 @@
         revision: TableRevision,
         wait: Duration,
     ) -> Result<Stamped<Vec<TableRow>>, SourceError> {
-        // News may have been on their way for long: the wait counts from the moment that the last ones prove.
+        // The latest update may have been delayed, so the wait counts from the time that it proves.
         let known = self.clocks.get().map(|clocks| clocks.local(self.copy(table).stamp.get()));
         let now = self.clock.now();
         let end = UnixDeadline::after(known.unwrap_or(now).min(now), wait.as_millis() as u64);
@@ -500,7 +511,7 @@
                     let pause = self.targets_due.get().remaining(self.clock.now());
                     tokio::time::sleep(pause.min(end.remaining(self.clock.now()))).await;
                 }
-                // Where others could not be asked at all, the question waits as long as it may.
+                // If there was no peer at all, the call waits as long as it may.
                 let left = end.remaining(self.clock.now());
                 self.ask_itself(table, Some(revision), left, reason).await?
             }
@@ -528,7 +539,7 @@
         true
     }
 
-    /// Its own questions have an end each; only others' answers come before them.
+    /// Each call to the table service has a timeout of its own; queries to peers come before it.
     fn patience(&self, wait: Duration) -> Duration {
         self.table_service.patience(wait) + PROBE * 2 + HOLD + ANSWER_TIME
     }
--- a/crates/porthoist-proxy/src/source.rs
+++ b/crates/porthoist-proxy/src/source.rs
@@ -1,4 +1,4 @@
-//! The service that holds routes and targets, as porthoist asks it.
+//! Interface of the service that provides routes and targets.
 
 use crate::reader::GapAges;
 use crate::revision::TableRevision;
@@ -10,72 +10,72 @@
 use std::fmt;
 use std::time::Duration;
 
-/// An answer of the source.
+/// A response of the source.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Stamped<T> {
-    /// What it says.
+    /// Content of the response.
     pub value: T,
-    /// Revision from which the next question goes on.
+    /// Revision from which the next call continues.
     pub revision: TableRevision,
-    /// The source's steady clock, in milliseconds.
+    /// The source's monotonic clock, in milliseconds.
     pub stamp: u64,
-    /// Who gave it.
+    /// Where the response comes from.
     pub origin: AnswerOrigin,
 }
 
 impl<T> Stamped<T> {
-    /// An answer of the source itself.
+    /// Creates a response of the source itself.
     pub fn of(value: T, revision: TableRevision, stamp: u64) -> Self {
         Self { value, revision, stamp, origin: AnswerOrigin::Source }
     }
 
-    /// The same answer with what its value stands for.
+    /// Converts the content of the response.
     pub fn map<U>(self, read: impl FnOnce(T) -> U) -> Stamped<U> {
         let Self { value, revision, stamp, origin } = self;
         Stamped { value: read(value), revision, stamp, origin }
     }
 }
 
-/// Who gave an answer.
+/// Where a response comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerOrigin {
-    /// The source.
+    /// The source itself.
     Source,
-    /// Another process, as the source had answered it.
+    /// Another process that relays the source's response.
     Peer {
-        /// The last time in which that process had no answers.
+        /// The latest outage that the process saw.
         gap: Option<GapAges>,
     },
 }
 
-/// A question without an answer.
+/// A failed call.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SourceError {
-    /// The source has forgotten the changes after the revision.
-    #[error("the history is gone")]
+    /// The source no longer has the changes after the revision.
+    #[error("the history is no longer available")]
     HistoryGone,
-    /// The source refused the question.
+    /// The source refused the call.
     #[error("refused with status {0}")]
     Refused(u16),
-    /// No answer, or one that can't be read.
+    /// There is no response, or it is unreadable.
     #[error("{0}")]
     Unavailable(String),
 }
 
-/// The pending answer of a source.
+/// Pending response of a source.
 pub type SourceFuture<'a, T> = LocalBoxFuture<'a, Result<Stamped<T>, SourceError>>;
 
-/// What operators say.
+/// An update of the operators' settings.
 #[derive(Debug, Default)]
 pub struct OperatorUpdate {
-    /// The newest routes, if they are new.
+    /// The latest routes, if they have changed.
     pub routes: Option<RouteTable>,
-    /// Zones that are to get nothing new.
+    /// Zones that must receive no new requests.
     pub zones: ZoneUpdate,
 }
 
 impl OperatorUpdate {
-    /// Whether it says nothing new.
+    /// Whether nothing has changed.
     pub fn is_empty(&self) -> bool {
         self.routes.is_none() && self.zones.is_empty()
     }
@@ -87,21 +87,21 @@
     }
 }
 
-/// The service that holds routes and targets.
+/// The service that provides routes and targets.
 pub trait ControlSource: fmt::Debug {
-    /// The newest routes, if there are any, and all emptied zones.
+    /// Lists the latest routes, if there are any, and all emptied zones.
     fn list_routes(&self) -> SourceFuture<'_, OperatorUpdate>;
-    /// What operators have changed after a revision, nothing after the wait.
+    /// Waits for changes of the operators' settings after a revision. Returns none after the wait.
     fn routes_after(&self, revision: TableRevision, wait: Duration) -> SourceFuture<'_, OperatorUpdate>;
-    /// All rows of targets, older ones first; none of them removed.
+    /// Lists the rows of all targets, oldest first, without removals.
     fn list_targets(&self) -> SourceFuture<'_, Vec<TargetChange>>;
-    /// Changes of targets after a revision, none after the wait.
+    /// Waits for changes of targets after a revision. Returns none after the wait.
     fn targets_after(&self, revision: TableRevision, wait: Duration) -> SourceFuture<'_, Vec<TargetChange>>;
-    /// Whether it makes the pauses between questions that fail.
+    /// Whether the source makes the pauses between failed calls itself.
     fn paces_itself(&self) -> bool {
         false
     }
-    /// How long an answer may take to a question that waits for so long.
+    /// Maximum time for a response to a call that waits for the given time.
     fn patience(&self, wait: Duration) -> Duration {
         wait + Duration::from_millis(ANSWER_MILLIS)
     }
--- a/crates/porthoist-proxy/src/wire.rs
+++ b/crates/porthoist-proxy/src/wire.rs
@@ -1,4 +1,4 @@
-//! What the headers of requests and answers say, apart from how they spell it.
+//! Content of request and response headers, independent of the header format.
 
 use hyper::StatusCode;
 use hyper::header::HeaderMap;
@@ -7,69 +7,70 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// What a caller's headers say.
+/// Content of a caller's headers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestFacts {
-    /// Identifier of this attempt of the caller, new for each; answers repeat it.
+    /// Identifier of this attempt, unique per attempt. Responses repeat it.
     pub attempt: Arc<str>,
-    /// Milliseconds that the caller still waits.
+    /// Milliseconds for which the caller still waits.
     pub remaining_millis: Option<u64>,
     /// The caller's key.
     pub key: Option<Box<str>>,
-    /// Names the session or subject: the last shared part of the prompt.
+    /// Identifies the session or subject: a hash of the last shared part of the prompt.
     pub session: Option<u64>,
-    /// Tokens of the prompt.
+    /// Number of tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Tokens of the answer at most.
+    /// Maximum number of tokens of the response.
     pub output_tokens: u64,
 }
 
-/// Headers that can't be read.
+/// Error returned when a header is unreadable.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("header {header}: {problem}")]
 pub struct FactsError {
-    /// The header.
+    /// Name of the header.
     pub header: &'static str,
     /// What is wrong with it.
     pub problem: &'static str,
 }
 
-/// What a target is told beside the caller's own headers.
+/// Headers that the proxy sends to a target in addition to the caller's.
 #[derive(Debug, Clone, Copy)]
 pub struct SendFacts<'a> {
     /// The only target that may run the request.
     pub target: &'a TargetName,
     /// The caller's team.
     pub team: Option<&'a TeamName>,
-    /// Milliseconds after which nobody waits for the answer any more.
+    /// Milliseconds after which no caller waits for the response any more.
     pub remaining_millis: u64,
-    /// Rank of the request, 0 first.
+    /// Priority of the request; 0 is the most urgent.
     pub priority: u8,
 }
 
-/// What a target's headers and status say.
+/// Content of a target's headers and status.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AnswerFacts {
-    /// Whether the answer names the attempt that was sent; nothing if it names none.
+    /// Whether the response names the attempt that was sent; `None` if it names no attempt.
     pub own: Option<bool>,
-    /// Whether it bears the target's signature.
+    /// Whether the response has the target's signature.
     pub signed: bool,
-    /// Whether it says that the request did not run.
+    /// Whether the response states that the request did not run.
     pub not_executed: bool,
-    /// Whether that is because another target has the address.
+    /// Whether the request did not run because another target has the address.
     pub misdirected: bool,
-    /// What the target says of itself.
+    /// Backpressure signals of the target.
     pub word: BackpressureSignals,
 }
 
-/// Reads and writes the facts. One implementation knows one spelling.
+/// Parses and writes headers of one format.
 pub trait WireCodec: fmt::Debug {
-    /// Reads a caller's request.
+    /// Parses a caller's headers.
     fn request_facts(&self, headers: &HeaderMap) -> Result<RequestFacts, FactsError>;
-    /// Turns the caller's headers into those for a target: the key goes, the facts come.
+    /// Turns the caller's headers into those for a target: removes the key and adds the proxy's own
+    /// headers.
     fn write_send(&self, headers: &mut HeaderMap, facts: &SendFacts<'_>);
-    /// Reads a target's answer to the named attempt.
+    /// Parses a target's response to the given attempt.
     fn answer_facts(&self, attempt: &str, status: StatusCode, headers: &HeaderMap) -> AnswerFacts;
-    /// Names the attempt in an answer of our own.
+    /// Writes the attempt into a response of the proxy itself.
     fn write_own_answer(&self, attempt: &str, headers: &mut HeaderMap);
 }
--- a/crates/porthoist-proxy/tests/control.rs
+++ b/crates/porthoist-proxy/tests/control.rs
@@ -1,4 +1,4 @@
-//! The control watch against a source on virtual time, whose questions hang or fail.
+//! Tests of [`ControlWatch`] on virtual time, with a source whose calls hang or fail.
 
 use porthoist_core::{ClockSource, StartMillis, TargetName, UnixMillis};
 use porthoist_metrics::MetricsHub;
@@ -18,14 +18,14 @@
 use tokio::task::LocalSet;
 use tokio::time::{Instant, sleep};
 
-/// Time in milliseconds within which a target that leaves must be known to do so.
+/// Time in milliseconds within which a draining target must be known.
 const LEAVING_MILLIS: u64 = 2_000;
-/// Time in milliseconds that operators allow a host to notice that its connections are gone.
+/// Time in milliseconds that operators allow a host to detect that its connections are lost.
 const NOTICE_MILLIS: u64 = 3_000;
-/// What a send takes at most once its target is chosen, in milliseconds: a new connection.
+/// Maximum time in milliseconds to send once a target is chosen: the connect timeout.
 const SEND_MILLIS: u64 = 400;
 
-/// Time of the runtime, from some moment on.
+/// The runtime's virtual time with an arbitrary origin.
 #[derive(Debug)]
 struct RuntimeClock(Instant);
 
@@ -35,17 +35,17 @@
     }
 }
 
-/// What is wrong with the source.
+/// Fault of the source.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum SourceFault {
     None,
-    /// Questions are refused.
+    /// Calls are refused.
     Refusing,
-    /// Questions have no answer, and get none later.
+    /// Calls are never answered.
     Silent,
 }
 
-/// A source with targets; the routes never change.
+/// A source of targets; its routes never change.
 #[derive(Debug)]
 struct TableSource {
     began: Instant,
@@ -54,12 +54,12 @@
     history: RefCell<Vec<(u64, TargetChange)>>,
     revision: watch::Sender<u64>,
     fault: Cell<SourceFault>,
-    /// Increases when questions about routes that wait lose their connection in silence.
+    /// Incremented to make pending calls for routes lose their connection silently.
     routes_lost: watch::Sender<u64>,
     targets_lost: watch::Sender<u64>,
-    /// Whether the next question about targets goes out over a connection that is silent already.
+    /// Whether the next call for targets uses a connection that is already silent.
     next_lost: Cell<bool>,
-    /// How long an answer takes.
+    /// Latency of a response.
     answer_millis: Cell<u64>,
 }
 
@@ -104,7 +104,7 @@
         Stamped::of(value, TableRevision::new(TableEra::default(), *self.revision.borrow()), stamp)
     }
 
-    /// Takes the question; it goes on if the source answers at all.
+    /// Receives a call. Returns if the source answers at all.
     async fn taken(&self) -> Result<(), SourceError> {
         sleep(Duration::from_millis(self.answer_millis.get())).await;
         match self.fault.get() {
@@ -114,11 +114,11 @@
         }
     }
 
-    /// Waits for a revision after another, or the end of the wait.
+    /// Waits for a later revision, or for the end of the wait.
     async fn newer(&self, revision: u64, wait: Duration) {
         let mut revisions = self.revision.subscribe();
         let newer = revisions.wait_for(|newest| *newest > revision);
-        // The end of the wait is an answer too.
+        // The end of the wait is a response too.
         let _waited = tokio::time::timeout(wait, newer).await;
     }
 
@@ -128,7 +128,7 @@
     }
 }
 
-/// The answer, unless the connection falls silent first.
+/// Awaits the response unless the connection falls silent first.
 async fn unless_lost<T>(lost: &watch::Sender<u64>, answer: impl Future<Output = T>) -> T {
     let mut lost = lost.subscribe();
     tokio::select! {
@@ -187,14 +187,14 @@
     }
 }
 
-/// A watch under way.
+/// A running watch.
 struct WatchedTable {
     source: Rc<TableSource>,
     state: watch::Receiver<ControlState>,
 }
 
 impl WatchedTable {
-    /// Follows a source for ten seconds, so that both questions wait.
+    /// Starts a watch and lets it run for ten seconds, so that both long polls are pending.
     async fn start(targets: &[&str]) -> Self {
         let source = TableSource::new(targets);
         let state = watch::Sender::new(ControlState::default());
@@ -211,7 +211,7 @@
         watched
     }
 
-    /// Whether requests may go to a target.
+    /// Whether requests may be sent to a target.
     fn takes(&self, id: &str) -> bool {
         let id: TargetName = id.parse().unwrap();
         let state = self.state.borrow();
@@ -219,7 +219,7 @@
         records.any(|record| record.id == id && record.state == TargetState::Ready)
     }
 
-    /// Lets a target leave and says after how many milliseconds that is known.
+    /// Makes a target leave. Returns the milliseconds until that is known.
     async fn leave(&self, id: &str, how: Leaving) -> u64 {
         match how {
             Leaving::Said => self.source.put(id, TargetState::Draining),
@@ -236,13 +236,13 @@
 /// How a target leaves.
 #[derive(Debug, Clone, Copy)]
 enum Leaving {
-    /// Its row says so.
+    /// Its row is set to draining.
     Said,
     /// Its row is removed.
     Removed,
 }
 
-/// Which waiting questions lose their connection.
+/// Which pending calls lose their connection.
 #[derive(Debug, Clone, Copy)]
 enum Lost {
     Routes,
@@ -262,9 +262,9 @@
     }
 }
 
-/// Requests reached a target 2.0 to 2.5 s after it had said that it leaves: the question about targets waited on a
-/// connection that had fallen silent, and after 25 s without an answer the belief still counted. Leaving is due 3 s after
-/// a silence at the earliest, at any phase of the questions that wait.
+/// Guards against requests to a target 2.0 to 2.5 s after it began to drain. The poll for targets waited on
+/// a connection that had fallen silent, and the known targets were trusted for 25 s without a response. At
+/// any phase of the polls, a target that leaves 3 s after the silence or later must be known in time.
 #[test_case(Lost::Targets, Leaving::Said)]
 #[test_case(Lost::Targets, Leaving::Removed)]
 #[test_case(Lost::Routes, Leaving::Said)]
@@ -287,7 +287,8 @@
     LocalSet::new().run_until(played).await;
 }
 
-/// The idle connection falls silent in the pause after a change, and the next question goes out over it.
+/// Guards against the same fault if the idle connection falls silent during the pause after a change, and
+/// the next poll uses it.
 #[tokio::test(start_paused = true)]
 async fn a_leaving_target_is_known_although_an_idle_connection_fell_silent() {
     let played = async {
@@ -304,7 +305,8 @@
     LocalSet::new().run_until(played).await;
 }
 
-/// A row that vanishes after a silence of a connection has not lapsed in an outage: it is not kept as if it had.
+/// Guards against treating a silent connection as an outage: a row that disappears later has not expired,
+/// so there is no grace period.
 #[tokio::test(start_paused = true)]
 async fn a_silent_connection_is_no_outage_for_rows_that_vanish_later() {
     let played = async {
@@ -319,7 +321,8 @@
     LocalSet::new().run_until(played).await;
 }
 
-/// Rows lapse while the table service is away and are back 1.5 s after its return; requests go to their targets meanwhile.
+/// Guards against dropping targets whose rows expired during an outage of the table service and are written
+/// again 1.5 s after its recovery.
 #[test_case(SourceFault::Refusing)]
 #[test_case(SourceFault::Silent)]
 #[tokio::test(start_paused = true)]
@@ -341,7 +344,8 @@
     LocalSet::new().run_until(played).await;
 }
 
-/// A leaving that comes within the pause after another change, with slow answers of the source.
+/// Guards against late detection if a target leaves within the pause after another change, also if
+/// responses are slow.
 #[test_case(4; "usual answers")]
 #[test_case(300; "slow answers")]
 #[tokio::test(start_paused = true)]
--- a/crates/porthoist-proxy/tests/patch.rs
+++ b/crates/porthoist-proxy/tests/patch.rs
@@ -1,4 +1,4 @@
-//! Values as changes to earlier ones.
+//! Tests of patches between values.
 
 use porthoist_proxy::patch::ValuePatch;
 use proptest::prelude::*;
--- a/crates/porthoist-proxy/tests/quarantine.rs
+++ b/crates/porthoist-proxy/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! What the courses of one process are told of requests that targets died under.
+//! Tests of the quarantine of one process.
 
 use porthoist_core::{ClockSource, MarkedHead, RequestMark, UnixMillis};
 use porthoist_metrics::MetricsHub;
@@ -20,7 +20,7 @@
     }
 }
 
-/// A request whose body is all that tells it from others.
+/// A request that differs from others only by its body.
 struct Request(&'static str);
 
 impl Request {
--- a/crates/porthoist-proxy/tests/shared.rs
+++ b/crates/porthoist-proxy/tests/shared.rs
@@ -1,4 +1,4 @@
-//! Processes of a zone that hear of the tables from one that follows them, on virtual time.
+//! Tests on virtual time of entries that get the tables from a reader in their zone.
 
 #[path = "shared/harness.rs"]
 mod harness;
@@ -15,7 +15,8 @@
 use test_case::test_case;
 use tokio::time::{Instant, sleep};
 
-/// Calls of a zone of thirty entries in a calm minute: 20 by the process that follows each table, and some.
+/// Calls of a zone of thirty entries in a minute without changes: 20 by the reader of each table, and a few
+/// more.
 const CALM_CALLS: usize = 60;
 
 #[tokio::test(start_paused = true)]
@@ -32,7 +33,7 @@
     .await;
 }
 
-/// Changes are known in all entries within what a hop takes, however they come.
+/// Guards against slow propagation of changes to the entries of a zone.
 #[tokio::test(start_paused = true)]
 async fn changes_are_passed_on_at_once() {
     play(async || {
@@ -48,7 +49,7 @@
     .await;
 }
 
-/// Whatever the process that follows the tables does, no belief gets too old, and changes are known in time.
+/// Guards against stale state and late changes in the entries if a reader fails.
 #[test_case(ReaderFault::Frozen; "frozen")]
 #[test_case(ReaderFault::Gone; "gone")]
 #[test_case(ReaderFault::Slow(1_100); "slow, and still in time")]
@@ -73,8 +74,8 @@
     .await;
 }
 
-/// Hosts are suspended and wake: what they believed is as old as it is at once, and is renewed by their next question, not at
-/// the end of the one that they had asked before.
+/// Guards against trusting the known state after a suspension of the host. Its age includes the suspension
+/// at once, and it is renewed by the next call, not at the end of the pending one.
 #[tokio::test(start_paused = true)]
 async fn suspended_time_makes_beliefs_old() {
     play(async || {
@@ -82,7 +83,7 @@
             let millis = 6_000;
             let zone = Deployment::start(4, 1).await;
             sleep(Duration::from_millis(phase * 300)).await;
-            // The process that they asked does not wake with them.
+            // The reader does not resume together with the entries.
             zone.reader(0).fault.set(if frozen { ReaderFault::Frozen } else { ReaderFault::None });
             zone.service.ahead.set(millis);
             for entry in &zone.entries {
@@ -90,7 +91,7 @@
                 let (routes, targets) = entry.ages();
                 assert!(routes >= millis && targets >= millis, "{routes} and {targets} ms old");
             }
-            // The question that another process holds back ends by a timer.
+            // The query that a reader holds back ends by a timer.
             sleep(Duration::from_millis(1_320)).await;
             zone.stay_fresh(Duration::from_secs(6)).await;
         }
@@ -98,7 +99,8 @@
     .await;
 }
 
-/// An entry that is cut off from the service, while others say that there is much to fetch, tries it now and then only.
+/// Guards against calling the service without a pause from an entry that can't reach it while the readers
+/// report that the update is too large.
 #[tokio::test(start_paused = true)]
 async fn an_entry_that_is_cut_off_does_not_try_without_a_pause() {
     play(async || {
@@ -114,7 +116,7 @@
     .await;
 }
 
-/// A process that knows less than an entry changes nothing of what the entry knows.
+/// Guards against replacing an entry's state by older state from a reader.
 #[tokio::test(start_paused = true)]
 async fn old_news_never_follow_newer_ones() {
     play(async || {
@@ -135,7 +137,7 @@
     .await;
 }
 
-/// A process that begins anew knows no removals of before, and what it tells holds all the same.
+/// Guards against missing removals from before a restart of the reader.
 #[tokio::test(start_paused = true)]
 async fn a_reader_that_begins_anew_tells_of_removals_that_it_did_not_see() {
     play(async || {
@@ -151,7 +153,7 @@
     .await;
 }
 
-/// One whose own way to the table service is cut says so, and another one is asked.
+/// Guards against staying with a reader that can't reach the table service.
 #[tokio::test(start_paused = true)]
 async fn a_reader_that_is_cut_off_from_the_service_is_left_for_another() {
     play(async || {
@@ -164,7 +166,7 @@
     .await;
 }
 
-/// An entry that alone can't reach the table service hears of it from its zone, with the true age.
+/// Guards against losing the tables in an entry that alone can't reach the table service.
 #[tokio::test(start_paused = true)]
 async fn an_entry_that_is_cut_off_hears_of_the_tables_from_its_zone() {
     play(async || {
@@ -177,10 +179,12 @@
     .await;
 }
 
-/// What an outage of 8 s may cost a zone of thirty entries in calls; each asking for itself made 900.
+/// Maximum number of calls of a zone of thirty entries in an outage of 8 s. If each entry called for
+/// itself, there would be 900.
 const OUTAGE_CALLS: usize = 300;
 
-/// While the table service is away for all, few ask for it; its return is known at once.
+/// Guards against many calls during an outage of the table service, and against late detection of its
+/// recovery.
 #[test_case(true; "silent")]
 #[test_case(false; "refusing")]
 #[tokio::test(start_paused = true)]
@@ -212,13 +216,13 @@
     .await;
 }
 
-/// Rows that lapsed in an outage are missing for some time after it. An entry that heard of the outage only from the
-/// process it asks keeps them for the same grace.
+/// Guards against dropping rows that expired during an outage of which an entry learns only from its
+/// reader: they have the same grace period.
 #[tokio::test(start_paused = true)]
 async fn rows_that_lapsed_in_an_outage_have_their_grace_with_all() {
     play(async || {
         let zone = Deployment::start(4, 1).await;
-        // Too short for entries to miss an answer, and noticed by the process that they ask.
+        // The outage is too short for entries to notice, but the reader notices it.
         zone.service.refusing.set(true);
         zone.service.reset.send_modify(|resets| *resets += 1);
         sleep(Duration::from_millis(800)).await;
@@ -235,7 +239,7 @@
     .await;
 }
 
-/// Without any process to ask, an entry does as it always did.
+/// Guards against depending on readers: without any, an entry calls the service itself.
 #[tokio::test(start_paused = true)]
 async fn a_zone_without_readers_asks_for_itself() {
     play(async || {
@@ -247,8 +251,8 @@
     .await;
 }
 
-/// Questions that went out in the last moments of a silent outage get no answer, though the service is back. A change that
-/// was accepted then must be in force within what operators allow after the return.
+/// Calls sent in the last moments of a silent outage are never answered, although the service has
+/// recovered. A change that was accepted then must be in force within this time after the recovery.
 const IN_FORCE_MILLIS: u64 = 2_000;
 
 #[test_case(0; "entries that ask for themselves")]
@@ -269,7 +273,7 @@
                 state.routes.as_ref().is_some_and(|routes| routes.version == ConfigVersion(newest))
             };
             let took = zone.until_all(adopted).await;
-            // A question that waits when its connection falls silent is given up after 4.2 s.
+            // A call that is pending when its connection falls silent times out after 4.2 s.
             let waited = 4_200_u64.saturating_sub(outage);
             assert!(took <= IN_FORCE_MILLIS + waited, "{took} ms after an outage of {outage} ms");
         }
@@ -277,13 +281,13 @@
     .await;
 }
 
-/// Calls of each entry's own at a start of all, at most: a listing of the targets, and the question that shows the first of them.
+/// Maximum number of an entry's own calls when all processes start: one to list the targets, and one that
+/// brings the first of them.
 const START_CALLS: usize = 2;
 
-/// What operators saw: 531 entries that started before any target was registered made 15 to 20 calls each, two thirds of all
-/// calls of a calm day. In order: all start; rows come one after another for some seconds; nobody knows whom to ask.
-///
-/// Cause: each entry asked for three tables every 1 to 8 s until it knew a process of its zone. Evidence: 18 calls an entry here.
+/// Guards against many calls when all processes start before any target is registered. 531 entries made 15
+/// to 20 calls each, two thirds of all calls of a day without faults: each entry polled three tables every
+/// 1 to 8 s until it knew a reader of its zone. Here that took 18 calls per entry.
 #[test_case(2_000, 0, START_CALLS; "rows come after a while")]
 #[test_case(40, 0, START_CALLS; "rows come at once")]
 #[test_case(2_000, 3_300, START_CALLS + 1; "the first targets have nobody to ask beside them")]
@@ -310,14 +314,14 @@
             assert!(entry.way.calls.get() <= most, "{} calls of one entry", entry.way.calls.get());
         }
         zone.stay_fresh(Duration::from_secs(10)).await;
-        // Nobody lists anew later.
+        // No entry lists again later.
         let own: usize = zone.entries.iter().map(|entry| entry.way.calls.get()).sum();
         assert!(own <= ENTRIES * most, "{own} calls of entries since their start");
     })
     .await;
 }
 
-/// Where no process can be asked, an entry that starts has what it needs all the same.
+/// Guards against a long start of an entry without any reader.
 #[tokio::test(start_paused = true)]
 async fn a_start_without_anybody_to_ask_is_not_held_up_for_long() {
     play(async || {
@@ -334,7 +338,7 @@
     .await;
 }
 
-/// A configuration of 400 routes or so, of which a change alters one.
+/// A configuration of 1,500 routes, of which a change alters one.
 fn large_row(change: usize) -> Vec<u8> {
     let route = |index: usize| {
         let service = if index == 7 { format!("moved-{change}") } else { "s".to_owned() };
@@ -346,8 +350,8 @@
     (0..1_500).map(route).collect::<String>().into_bytes()
 }
 
-/// What operators saw: after each of seven changes of a configuration of 260 routes and 333 teams, each of 531 entries fetched the
-/// whole of it from the table service.
+/// Guards against fetching a large row from the table service after each change. With a configuration of
+/// 260 routes and 333 teams, each of 531 entries fetched the whole row after each of seven changes.
 #[tokio::test(start_paused = true)]
 async fn a_change_of_a_large_row_reaches_all_without_calls_of_their_own() {
     play(async || {
@@ -372,8 +376,8 @@
     .await;
 }
 
-/// A host that alone is turned away by the table service goes on with what its zone knows, also where that changes, and is never
-/// out of date: half of the zone is turned away, with one of the processes that follow the tables.
+/// Guards against stale state in hosts that the table service rejects, if the zone's readers still know the
+/// tables. Half of the zone is rejected, including one reader.
 #[tokio::test(start_paused = true)]
 async fn hosts_that_the_service_turns_away_go_on_with_their_zone() {
     play(async || {
--- a/crates/porthoist-proxy/tests/shared/harness.rs
+++ b/crates/porthoist-proxy/tests/shared/harness.rs
@@ -1,4 +1,4 @@
-//! A zone of entries and of processes that follow the tables for them, with faults, on virtual time.
+//! A simulated zone of entries and readers with faults, on virtual time.
 
 use futures::future::LocalBoxFuture;
 use porthoist_core::{ClockSource, StartMillis, UnixMillis, ZoneName};
@@ -24,23 +24,24 @@
 use tokio::task::LocalSet;
 use tokio::time::{Instant, sleep, timeout};
 
-/// How old a proof of routes may be at most where keys that are taken away must run nothing after 5 s.
+/// Maximum age of the proof of routes if revoked keys must run nothing after 5 s.
 pub const PROOF_MILLIS: u64 = 4_600;
-/// The same for targets, where operators allow 3 s to notice a loss and 2 s until a leaving target gets nothing new.
+/// Maximum age of the proof of targets if operators allow 3 s to detect a loss and 2 s until a draining
+/// target receives nothing new.
 pub const TARGETS_MILLIS: u64 = 4_400;
-/// Entries of the zone.
+/// Number of entries of the zone.
 pub const ENTRIES: usize = 30;
 
 pub fn logger() -> Logger {
     Logger::root(Discard, o!())
 }
 
-/// Time of the runtime, from some moment on, which may be set apart from that of other processes.
+/// The runtime's virtual time with an arbitrary origin, which may differ from that of other processes.
 #[derive(Debug)]
 pub struct RuntimeClock {
     pub began: Instant,
     pub ahead: u64,
-    /// Milliseconds in which the host was suspended: its timers stood still, its clock did not.
+    /// Milliseconds in which the host was suspended: its timers stopped, its clock did not.
     pub suspended: AtomicU64,
 }
 
@@ -60,28 +61,28 @@
 /// Backup of the table service: rows with their versions, and the newest version.
 pub type ServiceBackup = (BTreeMap<String, (RowValue, u64)>, u64);
 
-/// The table service, or the way of one process to it.
+/// The table service.
 #[derive(Debug)]
 pub struct TableService {
     pub began: Instant,
     pub rows: RefCell<BTreeMap<String, (RowValue, u64)>>,
     pub version: watch::Sender<u64>,
     pub era: Cell<TableEra>,
-    /// No question is answered, or each is refused.
+    /// No call is answered, or each is refused.
     pub silent: Cell<bool>,
     pub refusing: Cell<bool>,
-    /// Questions that wait are lost when it increases.
+    /// Incremented to lose pending calls.
     pub lost: watch::Sender<u64>,
-    /// Questions that wait fail when it increases.
+    /// Incremented to fail pending calls.
     pub reset: watch::Sender<u64>,
     pub calls: Cell<usize>,
     pub answer_millis: Cell<u64>,
-    /// Milliseconds that its clock went on while the processes' timers stood still.
+    /// Milliseconds by which its clock advanced while the processes' timers were stopped.
     pub ahead: Cell<u64>,
 }
 
 impl TableService {
-    /// A service with rows.
+    /// Creates a service with rows.
     pub fn new() -> Rc<Self> {
         let service = Self::empty();
         service.put("a", b"first");
@@ -147,7 +148,7 @@
         self.version.send_replace(*version);
     }
 
-    /// Refuses all questions, including pending ones.
+    /// Refuses all calls, including pending ones.
     pub fn refuse_all(&self) {
         self.refusing.set(true);
         self.reset.send_modify(|resets| *resets += 1);
@@ -182,12 +183,12 @@
     }
 }
 
-/// One process's way to the service, which may be cut for it alone.
+/// One process's connection to the service, which may be cut for it alone.
 #[derive(Debug)]
 pub struct ServiceWay {
     pub service: Rc<TableService>,
     pub cut: Cell<bool>,
-    /// Each question over it fails at once.
+    /// Each call over it fails at once.
     pub reset: Cell<bool>,
     pub calls: Cell<usize>,
 }
@@ -245,7 +246,7 @@
             let revision = self.service.revision_number(revision)?;
             let mut versions = self.service.version.subscribe();
             let newer = versions.wait_for(|version| *version > revision);
-            // The end of the wait is an answer too.
+            // The end of the wait is a response too.
             let _waited = timeout(wait, newer).await;
             if self.service.silent.get() {
                 std::future::pending::<()>().await;
@@ -256,19 +257,19 @@
     }
 }
 
-/// What is wrong with a process that follows the tables for others.
+/// Fault of a reader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReaderFault {
     None,
-    /// It answers nothing, and is connected to all the same.
+    /// It accepts connections but does not respond.
     Frozen,
     /// Connections to it fail at once.
     Gone,
-    /// It answers after so many milliseconds.
+    /// It responds after this many milliseconds.
     Slow(u64),
-    /// It says again and again what it said first.
+    /// It repeats its first response.
     Repeating,
-    /// It says that there is more than it passes on.
+    /// It reports that each update is too large.
     Full,
 }
 
@@ -298,7 +299,7 @@
         TableReader::new(source, RuntimeClock::ahead(3_600_000), logger())
     }
 
-    /// It begins anew and knows nothing.
+    /// Replaces the reader by one that knows nothing.
     pub fn restart(&self) {
         *self.reader.borrow_mut() = Self::reader(&self.way);
     }
@@ -329,7 +330,7 @@
     }
 }
 
-/// The processes that an entry may ask, with the way to each.
+/// The readers that an entry may query.
 #[derive(Debug)]
 pub struct Zone {
     pub readers: Vec<Rc<ReaderProcess>>,
@@ -357,7 +358,7 @@
     }
 }
 
-/// Reads each row as a target, row `a` also as routes, and rows `emptied-ZONE` also as emptied zones.
+/// Parses each row as a target, row `a` also as routes, and rows `emptied-ZONE` also as emptied zones.
 #[derive(Debug)]
 pub struct PlainSource(pub Rc<dyn RowSource>);
 
@@ -489,7 +490,7 @@
         state.targets.records().map(|record| (record.id.to_string(), record.state)).collect()
     }
 
-    /// How old the proofs of routes and of targets are; as old as anything without one.
+    /// Returns the ages of the proofs of routes and of targets, or the maximum without a proof.
     pub fn ages(&self) -> (u64, u64) {
         let state = self.state.borrow();
         let age = |proof: &porthoist_policy::proxy::freshness::FreshnessProof| {
@@ -499,7 +500,7 @@
     }
 }
 
-/// A zone of entries with some processes that may follow the tables for them.
+/// A zone of entries and readers.
 pub struct Deployment {
     pub service: Rc<TableService>,
     pub zone: Rc<Zone>,
@@ -513,7 +514,7 @@
         deployment
     }
 
-    /// All processes at once; the entries know of readers if there are rows.
+    /// Starts all processes at once. The entries know of the readers if there are rows.
     pub fn begin(service: Rc<TableService>, entries: usize, readers: usize) -> Self {
         let known = Cell::new(!service.rows.borrow().is_empty());
         let readers = (0..readers).map(|_reader| ReaderProcess::new(&service)).collect();
@@ -526,7 +527,7 @@
         &self.zone.readers[index]
     }
 
-    /// Watches for a time that no entry's proofs get too old.
+    /// Asserts for a time that no entry's proofs become too old.
     pub async fn stay_fresh(&self, time: Duration) {
         let end = Instant::now() + time;
         while Instant::now() < end {
@@ -539,7 +540,7 @@
         }
     }
 
-    /// Waits until all entries see it; returns the milliseconds that this took.
+    /// Waits until the condition holds for all entries. Returns the milliseconds that this took.
     pub async fn until_all(&self, seen: impl Fn(&Entry) -> bool) -> u64 {
         let began = Instant::now();
         while !self.entries.iter().all(&seen) {
