--- a/crates/porthoist-proxy/src/control.rs
+++ b/crates/porthoist-proxy/src/control.rs
@@ -30,23 +30,23 @@
 /// Maximum long-poll timeout for targets, in milliseconds. The table service accepts up to 30,000.
 const MAX_TARGETS_WAIT_MILLIS: u64 = 25_000;
 /// Time reserved within the staleness bound for listing targets again, in milliseconds.
-const LIST_MILLIS: u64 = 100;
+const LIST_MARGIN_MILLIS: u64 = 100;
 /// Pause after a change of routes, in milliseconds. Versions can come every 80, and each must be in force
 /// within 2,000.
 const ROUTES_PAUSE_MILLIS: u64 = 100;
 /// Pause after a change of targets, in milliseconds, so that many changes cost one poll. A draining target
 /// must receive nothing new after 2,000.
 const TARGETS_PAUSE_MILLIS: u64 = 800;
-/// Initial backoff after a failed call, in milliseconds. It doubles up to [`MAX_PAUSE_MILLIS`].
-const PAUSE_MILLIS: u64 = 60;
+/// Initial backoff after a failed call, in milliseconds. It doubles up to [`MAX_BACKOFF_MILLIS`].
+const MIN_BACKOFF_MILLIS: u64 = 60;
 /// Maximum backoff, in milliseconds. The process must be ready again within a second of the source's
 /// recovery.
-const MAX_PAUSE_MILLIS: u64 = 480;
+const MAX_BACKOFF_MILLIS: u64 = 480;
 /// Maximum number of target changes in one response that are logged individually. When a fleet starts, the
 /// number of lines would be hosts times targets.
-const MOST_LINES: usize = 16;
+const MAX_LOGGED_CHANGES: usize = 16;
 /// Interval at which expired grace periods and the age of the known state are checked, in milliseconds.
-const LOOK_MILLIS: u64 = 100;
+const CHECK_MILLIS: u64 = 100;
 
 /// Routes and targets as this process knows them.
 #[derive(Debug, Clone, Default)]
@@ -81,7 +81,7 @@
     /// Incremented to make the target task list again: after a failed call for routes, or if the set of
     /// known services changes.
     #[builder(skip = watch::Sender::new(0))]
-    breaks: watch::Sender<u64>,
+    relist: watch::Sender<u64>,
     /// When the latest failed call was sent, until a response arrives.
     #[builder(skip)]
     unanswered: Cell<Option<UnixMillis>>,
@@ -100,8 +100,8 @@
     #[builder(skip)]
     outdated: Cell<bool>,
     /// Backoff after the next failed call, in milliseconds.
-    #[builder(skip = Cell::new(PAUSE_MILLIS))]
-    pause: Cell<u64>,
+    #[builder(skip = Cell::new(MIN_BACKOFF_MILLIS))]
+    backoff: Cell<u64>,
 }
 
 impl ControlWatch {
@@ -115,19 +115,22 @@
         loop {
             let sent = self.clock.now();
             let answer = match revision {
-                None => answer_within(self.source.patience(Duration::ZERO), self.source.list_routes()).await,
+                None => {
+                    answer_within(self.source.answer_timeout(Duration::ZERO), self.source.list_routes()).await
+                }
                 Some(revision) => {
                     let wait = Duration::from_millis(ROUTES_WAIT_MILLIS);
-                    answer_within(self.source.patience(wait), self.source.routes_after(revision, wait)).await
+                    answer_within(self.source.answer_timeout(wait), self.source.routes_after(revision, wait))
+                        .await
                 }
             };
             match answer {
                 Ok(answer) => {
                     revision = Some(answer.revision);
-                    self.heard();
-                    self.take_gap(answer.origin);
+                    self.record_answer();
+                    self.apply_peer_gap(answer.origin);
                     let changed = !answer.value.is_empty();
-                    self.adopt(answer, sent);
+                    self.apply_operator_update(answer, sent);
                     if changed {
                         tokio::time::sleep(Duration::from_millis(ROUTES_PAUSE_MILLIS)).await;
                     }
@@ -138,39 +141,39 @@
                 }
                 Err(error) => {
                     revision = None;
-                    self.breaks.send_modify(|breaks| *breaks += 1);
-                    self.failed("routes", sent, &error).await;
+                    self.relist.send_modify(|relist| *relist += 1);
+                    self.handle_failure("routes", sent, &error).await;
                 }
             }
         }
     }
 
     async fn watch_targets(&self) {
-        let mut breaks = self.breaks.subscribe();
+        let mut relist = self.relist.subscribe();
         let mut revision = None;
         let mut paused = Duration::ZERO;
         loop {
-            breaks.mark_unchanged();
+            relist.mark_unchanged();
             let sent = self.clock.now();
-            let question = async {
+            let call = async {
                 match revision {
                     None => {
-                        let patience = self.source.patience(Duration::ZERO);
-                        let listed = answer_within(patience, self.source.list_targets()).await;
-                        listed.map(|answer| answer.map(TargetNews::Listed))
+                        let answer_timeout = self.source.answer_timeout(Duration::ZERO);
+                        let listed = answer_within(answer_timeout, self.source.list_targets()).await;
+                        listed.map(|answer| answer.map(TargetUpdate::Listed))
                     }
                     Some(revision) => {
                         let wait = self.targets_wait(paused);
-                        let question = self.source.targets_after(revision, wait);
-                        let changed = answer_within(self.source.patience(wait), question).await;
-                        changed.map(|answer| answer.map(TargetNews::Changed))
+                        let call = self.source.targets_after(revision, wait);
+                        let changed = answer_within(self.source.answer_timeout(wait), call).await;
+                        changed.map(|answer| answer.map(TargetUpdate::Changed))
                     }
                 }
             };
             let answer = tokio::select! {
-                answer = question => answer,
+                answer = call => answer,
                 // If the routes call failed, this one may be waiting on a lost connection.
-                _changed = breaks.changed(), if revision.is_some() => {
+                _changed = relist.changed(), if revision.is_some() => {
                     revision = None;
                     continue;
                 }
@@ -178,10 +181,10 @@
             match answer {
                 Ok(answer) => {
                     revision = Some(answer.revision);
-                    self.heard();
-                    self.take_gap(answer.origin);
+                    self.record_answer();
+                    self.apply_peer_gap(answer.origin);
                     let changed = !answer.value.is_empty();
-                    self.take_targets(answer, sent);
+                    self.apply_targets(answer, sent);
                     paused =
                         if changed { Duration::from_millis(TARGETS_PAUSE_MILLIS) } else { Duration::ZERO };
                     tokio::time::sleep(paused).await;
@@ -192,7 +195,7 @@
                 }
                 Err(error) => {
                     revision = None;
-                    self.failed("targets", sent, &error).await;
+                    self.handle_failure("targets", sent, &error).await;
                 }
             }
         }
@@ -205,7 +208,7 @@
     /// accepts, requests would reach targets that have left. The connection may have failed during the
     /// pause before the poll, so the pause is subtracted.
     fn targets_wait(&self, paused: Duration) -> Duration {
-        let wait = self.bound.millis.saturating_sub(ANSWER_MILLIS + LIST_MILLIS);
+        let wait = self.bound.millis.saturating_sub(ANSWER_MILLIS + LIST_MARGIN_MILLIS);
         let wait = Duration::from_millis(wait.min(MAX_TARGETS_WAIT_MILLIS)).saturating_sub(paused);
         wait.max(Duration::from_millis(MIN_TARGETS_WAIT_MILLIS))
     }
@@ -214,7 +217,7 @@
     /// a restore has ended, and records the age of the known state.
     async fn expire_targets(&self) {
         loop {
-            tokio::time::sleep(Duration::from_millis(LOOK_MILLIS)).await;
+            tokio::time::sleep(Duration::from_millis(CHECK_MILLIS)).await;
             let now = self.clock.now();
             self.record_ages(now);
             let due = {
@@ -251,7 +254,7 @@
     }
 
     /// Applies an operator update. Only routes with a higher version come into force.
-    fn adopt(&self, answer: Stamped<OperatorUpdate>, sent: UnixMillis) {
+    fn apply_operator_update(&self, answer: Stamped<OperatorUpdate>, sent: UnixMillis) {
         let stamped = StampedAnswer { sent, received: self.clock.now(), stamp: answer.stamp };
         let OperatorUpdate { routes, zones } = answer.value;
         let restored = record_era(&self.routes_era, answer.revision.era);
@@ -259,7 +262,7 @@
             if restored {
                 state.emptied.restored(self.clock.now());
             }
-            self.take_zones(state, zones);
+            self.apply_zones(state, zones);
             let in_force = state.routes.as_ref().map(|routes| routes.version);
             if let (Some(table), Some(in_force)) = (&routes, in_force)
                 && table.version < in_force
@@ -278,7 +281,7 @@
                 if state.targets.set_services(table.services.keys().cloned()) {
                     // A row of another writer may have replaced a target with the same address while the
                     // services were unknown.
-                    self.breaks.send_modify(|breaks| *breaks += 1);
+                    self.relist.send_modify(|relist| *relist += 1);
                 }
                 state.routes = Some(Arc::new(table));
             }
@@ -292,8 +295,8 @@
         });
     }
 
-    fn take_zones(&self, state: &mut ControlState, news: ZoneUpdate) {
-        let changes = state.emptied.take(news, self.clock.now());
+    fn apply_zones(&self, state: &mut ControlState, update: ZoneUpdate) {
+        let changes = state.emptied.take(update, self.clock.now());
         self.report_zone_changes(&changes);
     }
 
@@ -309,7 +312,7 @@
         }
     }
 
-    fn take_targets(&self, answer: Stamped<TargetNews>, sent: UnixMillis) {
+    fn apply_targets(&self, answer: Stamped<TargetUpdate>, sent: UnixMillis) {
         let received = self.clock.now();
         let stamped = StampedAnswer { sent, received, stamp: answer.stamp };
         let restored = record_era(&self.targets_era, answer.revision.era);
@@ -324,13 +327,13 @@
                 state.targets.restored(received);
             }
             match answer.value {
-                TargetNews::Listed(rows) => {
+                TargetUpdate::Listed(rows) => {
                     info!(self.logger, "targets listed"; "event" => "targets_listed", "count" => rows.len(),
                         "after_outage" => grace.is_some(), "age_ms" => state.targets_proof.age(received));
                     state.targets.apply_listing(rows, grace);
                     state.targets_listed = true;
                 }
-                TargetNews::Changed(changes) => {
+                TargetUpdate::Changed(changes) => {
                     self.log_changes(&changes, grace);
                     state.targets.apply_changes(changes, grace);
                 }
@@ -347,7 +350,7 @@
 
     /// Logs each changed target, or only totals if there are many.
     fn log_changes(&self, changes: &[TargetChange], grace: Option<UnixDeadline>) {
-        if changes.len() <= MOST_LINES {
+        if changes.len() <= MAX_LOGGED_CHANGES {
             return changes.iter().for_each(|change| self.log_change(change, grace));
         }
         let gone = changes.iter().filter(|change| matches!(change, TargetChange::Gone(_))).count();
@@ -381,8 +384,8 @@
 
     /// Records a response. A response to either call ends an outage before its rows are applied. Otherwise,
     /// if targets were listed before routes, rows that expired during the outage would be dropped at once.
-    fn heard(&self) {
-        self.pause.set(PAUSE_MILLIS);
+    fn record_answer(&self) {
+        self.backoff.set(MIN_BACKOFF_MILLIS);
         if let Some(asked) = self.unanswered.take() {
             self.gap.set(Some(AnswerGap { asked, returned: self.clock.now() }));
             info!(self.logger, "table service answers again"; "event" => "dependency_regained",
@@ -392,7 +395,7 @@
 
     /// Applies the latest outage seen by a peer: rows that the peer saw disappear may have expired during
     /// it.
-    fn take_gap(&self, origin: AnswerOrigin) {
+    fn apply_peer_gap(&self, origin: AnswerOrigin) {
         let AnswerOrigin::Peer { gap: Some(GapAges { asked, returned }) } = origin else { return };
         let now = self.clock.now().0;
         let ago = |age: u64| UnixMillis(now.saturating_sub(age));
@@ -402,19 +405,19 @@
         }
     }
 
-    async fn failed(&self, question: &'static str, sent: UnixMillis, error: &SourceError) {
+    async fn handle_failure(&self, call: &'static str, sent: UnixMillis, error: &SourceError) {
         if self.unanswered.replace(self.unanswered.get().max(Some(sent))).is_none() {
             warn!(self.logger, "table service does not answer"; "event" => "dependency_lost",
-                "dependency" => "table", "question" => question, "error" => error.to_string());
+                "dependency" => "table", "question" => call, "error" => error.to_string());
         }
-        if self.source.paces_itself() {
+        if self.source.handles_backoff() {
             return;
         }
-        let pause = self.pause.get();
-        self.pause.set((pause * 2).min(MAX_PAUSE_MILLIS));
+        let backoff = self.backoff.get();
+        self.backoff.set((backoff * 2).min(MAX_BACKOFF_MILLIS));
         // Processes that failed together must not retry together.
         let jitter = rand::random::<f64>().mul_add(0.5, 0.75);
-        tokio::time::sleep(Duration::from_millis((pause as f64 * jitter) as u64)).await;
+        tokio::time::sleep(Duration::from_millis((backoff as f64 * jitter) as u64)).await;
     }
 }
 
@@ -424,12 +427,12 @@
     last.replace(last.get().max(Some(era))).is_some_and(|previous| previous < era)
 }
 
-enum TargetNews {
+enum TargetUpdate {
     Listed(Vec<TargetChange>),
     Changed(Vec<TargetChange>),
 }
 
-impl TargetNews {
+impl TargetUpdate {
     fn is_empty(&self) -> bool {
         match self {
             Self::Listed(rows) => rows.is_empty(),
--- a/crates/porthoist-proxy/src/crashes.rs
+++ b/crates/porthoist-proxy/src/crashes.rs
@@ -21,33 +21,33 @@
 /// Long-poll timeout. A silent connection is indistinguishable from "no change" until
 /// [`ANSWER_MILLIS`](crate::rows::ANSWER_MILLIS) later. Operators allow 3 s from such a loss, and 3 s more
 /// to learn of a crash.
-const WAIT: Duration = Duration::from_millis(3_300);
+const POLL_TIMEOUT: Duration = Duration::from_millis(3_300);
 /// Pause after a change: each entry with a request at a crashed target records the crash within
 /// milliseconds.
 const CHANGE_PAUSE: Duration = Duration::from_millis(50);
-/// Initial backoff after a failed call or write. That of writes doubles up to [`MAX_WRITE_PAUSE`].
-const PAUSE: Duration = Duration::from_millis(60);
+/// Initial backoff after a failed call or write. That of writes doubles up to [`MAX_WRITE_BACKOFF`].
+const MIN_BACKOFF: Duration = Duration::from_millis(60);
 /// Maximum wait for a response about routes after a failed call. Routes are polled continuously, each poll
 /// for 3.3 s at most.
-const RETRY: Duration = Duration::from_secs(10);
+const MAX_RECOVERY_WAIT: Duration = Duration::from_secs(10);
 /// Maximum backoff after a failed write. Each attempt has a cost, and others must know within 3 s of the
 /// service's recovery.
-const MAX_WRITE_PAUSE: Duration = Duration::from_secs(2);
+const MAX_WRITE_BACKOFF: Duration = Duration::from_secs(2);
 /// How long crashes are collected before they are written. Those of one target are observed within
 /// milliseconds, and each write has a cost.
-const GATHER: Duration = Duration::from_millis(20);
+const GATHER_TIME: Duration = Duration::from_millis(20);
 /// Pause between two writes. If 149 entries all record crashes, they make 745 writes a second; 3,200 are
 /// allowed.
 const WRITE_PAUSE: Duration = Duration::from_millis(200);
 /// Timeout of a write. A write that times out may still be applied later, which is harmless because it
 /// writes the same rows again.
-const WRITE_TIME: Duration = Duration::from_millis(900);
+const WRITE_TIMEOUT: Duration = Duration::from_millis(900);
 /// Maximum number of changes per write.
 const WRITE_ROWS: usize = 100;
 /// Maximum number of pending changes, of some 200 bytes each. Enough for crashes in ten zones at once.
-const MOST_PENDING: usize = 2_000;
+const MAX_PENDING: usize = 2_000;
 /// Maximum number of unreadable rows that are remembered in order to log each only once.
-const MOST_UNREADABLE: usize = 1_000;
+const MAX_UNREADABLE: usize = 1_000;
 
 /// State of the crash table.
 #[derive(Debug, Clone, Default)]
@@ -71,7 +71,7 @@
 
 /// Stored form of a row: the report with the version of its layout.
 #[derive(Debug, Serialize, Deserialize)]
-struct WireReport {
+struct StoredReport {
     layout: u32,
     #[serde(flatten)]
     report: CrashReport,
@@ -100,7 +100,7 @@
         let mut failing = false;
         let mut unreadable = HashSet::new();
         loop {
-            let answer = self.ask(revision).await;
+            let answer = self.poll(revision).await;
             match answer {
                 Ok(answer) => {
                     failing = false;
@@ -117,29 +117,29 @@
                         info!(self.logger, "crash table is unavailable"; "event" => "crashes_unheard",
                             "error" => error.to_string());
                     }
-                    self.until_routes_answer().await;
+                    self.wait_for_routes().await;
                 }
             }
         }
     }
 
     /// Waits until the service has answered a poll for routes, so that an outage costs no additional calls.
-    async fn until_routes_answer(&self) {
+    async fn wait_for_routes(&self) {
         let failed = self.clock.now();
         let answered = |state: &ControlState| state.proof.proven().is_some_and(|proven| proven > failed);
-        drop(tokio::time::timeout(RETRY, self.state.clone().wait_for(answered)).await);
-        tokio::time::sleep(jittered(PAUSE)).await;
+        drop(tokio::time::timeout(MAX_RECOVERY_WAIT, self.state.clone().wait_for(answered)).await);
+        tokio::time::sleep(jittered(MIN_BACKOFF)).await;
     }
 
-    async fn ask(&self, revision: Option<TableRevision>) -> Result<Stamped<Vec<TableRow>>, SourceError> {
+    async fn poll(&self, revision: Option<TableRevision>) -> Result<Stamped<Vec<TableRow>>, SourceError> {
         match revision {
             None => {
-                let patience = self.source.patience(Duration::ZERO);
-                answer_within(patience, self.source.list(ControlTable::Crashes)).await
+                let answer_timeout = self.source.answer_timeout(Duration::ZERO);
+                answer_within(answer_timeout, self.source.list(ControlTable::Crashes)).await
             }
             Some(revision) => {
-                let question = self.source.after(ControlTable::Crashes, revision, WAIT);
-                answer_within(self.source.patience(WAIT), question).await
+                let question = self.source.after(ControlTable::Crashes, revision, POLL_TIMEOUT);
+                answer_within(self.source.answer_timeout(POLL_TIMEOUT), question).await
             }
         }
     }
@@ -150,25 +150,25 @@
         whole: bool,
         unreadable: &mut HashSet<(String, TableRevision)>,
     ) {
-        self.crashes.send_modify(|news| {
-            let known = if whole { CrashRows::new() } else { (*news.rows).clone() };
+        self.crashes.send_modify(|snapshot| {
+            let known = if whole { CrashRows::new() } else { (*snapshot.rows).clone() };
             let known = answer.value.iter().fold(known, |mut known, row| {
                 match read_row(row) {
                     Ok((key, Some(report))) => drop(known.insert(key, report)),
                     Ok((key, None)) => drop(known.remove(&key)),
-                    Err(problem) => self.say_unreadable(row, &problem, unreadable),
+                    Err(problem) => self.log_unreadable(row, &problem, unreadable),
                 }
                 known
             });
-            news.rows = Arc::new(known);
-            news.listed = true;
-            news.era = answer.revision.era;
+            snapshot.rows = Arc::new(known);
+            snapshot.listed = true;
+            snapshot.era = answer.revision.era;
         });
     }
 
     /// An unreadable row is skipped; the other rows still apply.
-    fn say_unreadable(&self, row: &TableRow, problem: &str, said: &mut HashSet<(String, TableRevision)>) {
-        if said.len() < MOST_UNREADABLE && said.insert((row.key.clone(), row.version)) {
+    fn log_unreadable(&self, row: &TableRow, problem: &str, logged: &mut HashSet<(String, TableRevision)>) {
+        if logged.len() < MAX_UNREADABLE && logged.insert((row.key.clone(), row.version)) {
             warn!(self.logger, "unreadable crash row"; "event" => "crash_unreadable", "key" => &row.key,
                 "error" => problem);
         }
@@ -183,7 +183,7 @@
         RowValue::Removed => Ok((key, None)),
         RowValue::Unreadable(problem) => Err(problem.clone()),
         RowValue::Bytes(bytes) => {
-            let wire: WireReport = serde_json::from_slice(bytes).map_err(|error| error.to_string())?;
+            let wire: StoredReport = serde_json::from_slice(bytes).map_err(|error| error.to_string())?;
             if wire.layout != LAYOUT {
                 return Err(format!("layout {} is not known", wire.layout));
             }
@@ -192,15 +192,15 @@
     }
 }
 
-fn written(key: &CrashKey, report: Option<&CrashReport>) -> RowChange {
-    let wire = report.map(|report| WireReport { layout: LAYOUT, report: report.clone() });
+fn row_change(key: &CrashKey, report: Option<&CrashReport>) -> RowChange {
+    let wire = report.map(|report| StoredReport { layout: LAYOUT, report: report.clone() });
     let value = wire.map(|wire| serde_json::to_vec(&wire).expect("numbers and texts can be written"));
     RowChange { key: key.to_string(), value }
 }
 
-fn jittered(pause: Duration) -> Duration {
+fn jittered(backoff: Duration) -> Duration {
     // Processes that failed together must not retry together.
-    pause.mul_f64(rand::random::<f64>().mul_add(0.5, 0.75))
+    backoff.mul_f64(rand::random::<f64>().mul_add(0.5, 0.75))
 }
 
 /// Writes the crashes that this process observed.
@@ -220,19 +220,19 @@
 impl CrashWriter {
     /// Runs until all senders of changes are dropped.
     pub async fn run(mut self) {
-        let mut pause = PAUSE;
+        let mut backoff = MIN_BACKOFF;
         while self.gather().await {
             match self.write().await {
                 Ok(rows) => {
-                    pause = PAUSE;
+                    backoff = MIN_BACKOFF;
                     info!(self.logger, "crashes written"; "event" => "crashes_written", "rows" => rows);
                     tokio::time::sleep(WRITE_PAUSE).await;
                 }
                 Err(error) => {
                     warn!(self.logger, "failed to write crashes"; "event" => "crashes_unwritten",
                         "error" => error.to_string(), "rows" => self.pending.len());
-                    tokio::time::sleep(jittered(pause)).await;
-                    pause = (pause * 2).min(MAX_WRITE_PAUSE);
+                    tokio::time::sleep(jittered(backoff)).await;
+                    backoff = (backoff * 2).min(MAX_WRITE_BACKOFF);
                 }
             }
         }
@@ -243,7 +243,7 @@
         if self.pending.is_empty() {
             let Some(change) = self.changes.recv().await else { return false };
             self.add(change);
-            tokio::time::sleep(GATHER).await;
+            tokio::time::sleep(GATHER_TIME).await;
         }
         while let Ok(change) = self.changes.try_recv() {
             self.add(change);
@@ -252,7 +252,7 @@
     }
 
     fn add(&mut self, change: CrashChange) {
-        if self.pending.len() >= MOST_PENDING {
+        if self.pending.len() >= MAX_PENDING {
             self.metrics.crash_event("unwritten");
             warn!(self.logger, "too many pending crashes, one dropped"; "event" => "crash_dropped");
             return;
@@ -266,9 +266,9 @@
     /// Writes the first pending rows. Returns their number.
     async fn write(&mut self) -> Result<usize, SourceError> {
         let first = self.pending.iter().take(WRITE_ROWS);
-        let changes: Vec<RowChange> = first.map(|(key, report)| written(key, report.as_ref())).collect();
+        let changes: Vec<RowChange> = first.map(|(key, report)| row_change(key, report.as_ref())).collect();
         let rows = changes.len();
-        let writing = tokio::time::timeout(WRITE_TIME, self.writer.write(changes)).await;
+        let writing = tokio::time::timeout(WRITE_TIMEOUT, self.writer.write(changes)).await;
         writing.map_err(|_elapsed| SourceError::Unavailable("no response in time".to_owned()))??;
         for _row in 0..rows {
             self.pending.pop_first();
--- a/crates/porthoist-proxy/src/broker.rs
+++ b/crates/porthoist-proxy/src/dispatcher.rs
@@ -24,15 +24,15 @@
 pub use porthoist_policy::proxy::scheduler::{SlotError, SlotRequest};
 
 /// Settings of a [`RequestDispatcher`].
-pub type BrokerSettings = BalancerSettings;
+pub type DispatcherSettings = BalancerSettings;
 
 /// Receives the slot of a queued request; dropped if the request is refused.
-type PlaceReply = oneshot::Sender<TargetPlace>;
+type SlotSender = oneshot::Sender<TargetSlot>;
 
 /// Assigns slots at targets to requests. Clones share one state.
 #[derive(Clone)]
 pub struct RequestDispatcher {
-    desk: Rc<RefCell<RequestScheduler<PlaceReply>>>,
+    scheduler: Rc<RefCell<RequestScheduler<SlotSender>>>,
     clock: Arc<dyn ClockSource>,
 }
 
@@ -43,7 +43,7 @@
 }
 
 /// A slot at a target for one request, released on drop.
-pub struct TargetPlace {
+pub struct TargetSlot {
     /// The target.
     pub record: Arc<TargetRecord>,
     /// Requests of this process that were in flight at the target before this one.
@@ -55,26 +55,26 @@
     /// Rate limit of the target under which it was chosen.
     pub rate: Option<TargetRate>,
     /// When the slot was assigned.
-    pub placed: UnixMillis,
+    pub assigned: UnixMillis,
     work: RequestWork,
     outcome: Cell<SendOutcome>,
     broker: RequestDispatcher,
 }
 
-impl fmt::Debug for TargetPlace {
+impl fmt::Debug for TargetSlot {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("TargetPlace").field("target", &self.record.id).finish_non_exhaustive()
+        f.debug_struct("TargetSlot").field("target", &self.record.id).finish_non_exhaustive()
     }
 }
 
-impl TargetPlace {
+impl TargetSlot {
     /// Records how the attempt ended. Without this call it counts as abandoned by the caller.
-    pub fn ended(&self, outcome: SendOutcome) {
+    pub fn set_outcome(&self, outcome: SendOutcome) {
         self.outcome.set(outcome);
     }
 }
 
-impl Drop for TargetPlace {
+impl Drop for TargetSlot {
     fn drop(&mut self) {
         self.broker.release(self);
     }
@@ -82,224 +82,225 @@
 
 impl RequestDispatcher {
     /// Creates a dispatcher without targets.
-    pub fn new(settings: BrokerSettings, clock: Arc<dyn ClockSource>) -> Self {
-        Self { desk: Rc::new(RefCell::new(RequestScheduler::new(settings))), clock }
+    pub fn new(settings: DispatcherSettings, clock: Arc<dyn ClockSource>) -> Self {
+        Self { scheduler: Rc::new(RefCell::new(RequestScheduler::new(settings))), clock }
     }
 
     /// Applies the known targets and the operators' settings for them, and serves queued requests.
     pub fn sync(&self, book: &TargetRegistry, rules: HashMap<ServiceName, ColdRule>, zones: &EmptiedZones) {
-        let mut desk = self.desk.borrow_mut();
-        desk.set_cold_rules(rules);
-        desk.set_emptied(zones, self.clock.now());
-        desk.sync(book);
-        drop(desk);
-        for service in self.awaited() {
-            self.refuse_hopeless(&service);
+        let mut scheduler = self.scheduler.borrow_mut();
+        scheduler.set_cold_rules(rules);
+        scheduler.set_emptied(zones, self.clock.now());
+        scheduler.sync(book);
+        drop(scheduler);
+        for service in self.awaited_services() {
+            self.refuse_unservable(&service);
         }
-        self.serve_all_waiting();
+        self.serve_all_queues();
     }
 
     /// Returns the number of cold targets.
-    pub fn cold(&self) -> usize {
-        self.desk.borrow().cold_targets(self.clock.now())
+    pub fn cold_targets(&self) -> usize {
+        self.scheduler.borrow().cold_targets(self.clock.now())
     }
 
-    fn awaited(&self) -> Vec<ServiceName> {
-        self.desk.borrow().awaited_services()
+    fn awaited_services(&self) -> Vec<ServiceName> {
+        self.scheduler.borrow().awaited_services()
     }
 
     /// Applies the loads that the engines of a group reported, and serves requests queued for capacity.
     pub fn update_loads(&self, loads: &GroupLoads) {
-        self.desk.borrow_mut().update_loads(loads, self.clock.now());
-        self.serve_all_waiting();
+        self.scheduler.borrow_mut().update_loads(loads, self.clock.now());
+        self.serve_all_queues();
     }
 
     /// Returns the groups that stalled or resumed since the last call.
     pub fn group_changes(&self) -> Vec<GroupSnapshot> {
-        let mut desk = self.desk.borrow_mut();
-        let services = desk.grouped_services();
+        let mut scheduler = self.scheduler.borrow_mut();
+        let services = scheduler.grouped_services();
         let now = self.clock.now();
-        services.iter().flat_map(|service| desk.group_changes(service, now)).collect()
+        services.iter().flat_map(|service| scheduler.group_changes(service, now)).collect()
     }
 
     /// Returns a slot at once, or after a wait if one can be expected in time.
-    pub async fn place(&self, demand: SlotRequest) -> Result<TargetPlace, SlotError> {
-        let service = demand.service.clone();
-        let answer = self.desk.borrow_mut().decide(&demand, self.clock.now());
+    pub async fn acquire_slot(&self, request: SlotRequest) -> Result<TargetSlot, SlotError> {
+        let service = request.service.clone();
+        let answer = self.scheduler.borrow_mut().decide(&request, self.clock.now());
         let (until, receiver) = match answer {
-            SlotDecision::Assign(chosen) => return Ok(self.place_at(chosen, demand.work)),
+            SlotDecision::Assign(chosen) => return Ok(self.new_slot(chosen, request.work)),
             SlotDecision::Refuse(error) => {
-                self.refuse_hopeless(&service);
+                self.refuse_unservable(&service);
                 return Err(error);
             }
             SlotDecision::Wait(until) => {
                 let (reply, receiver) = oneshot::channel();
-                self.desk.borrow_mut().enqueue(demand, reply);
+                self.scheduler.borrow_mut().enqueue(request, reply);
                 (until, receiver)
             }
         };
         // A target's backoff may have ended without any slot having been released.
-        self.serve_waiting(&service);
-        match self.await_place(&service, until, receiver).await {
-            Some(Ok(place)) => Ok(place),
-            Some(Err(_dropped)) => Err(self.hopeless(&service)),
-            None => Err(self.desk.borrow().refusal(&service, self.clock.now())),
+        self.serve_queue(&service);
+        match self.await_slot(&service, until, receiver).await {
+            Some(Ok(slot)) => Ok(slot),
+            Some(Err(_dropped)) => Err(self.queue_error(&service)),
+            None => Err(self.scheduler.borrow().refusal(&service, self.clock.now())),
         }
     }
 
     /// Waits for a slot until a deadline. If a rate limit bounds all targets, a slot becomes free by time
     /// alone, so the queue is checked again at the next permitted send.
-    async fn await_place(
+    async fn await_slot(
         &self,
         service: &ServiceName,
         until: UnixDeadline,
-        mut receiver: oneshot::Receiver<TargetPlace>,
-    ) -> Option<Result<TargetPlace, oneshot::error::RecvError>> {
+        mut receiver: oneshot::Receiver<TargetSlot>,
+    ) -> Option<Result<TargetSlot, oneshot::error::RecvError>> {
         loop {
             let now = self.clock.now();
-            let turn = self.desk.borrow().next_turn(service, now).filter(|turn| *turn < until);
-            let patience = turn.unwrap_or(until).remaining(now);
-            match tokio::time::timeout(patience, &mut receiver).await {
-                Ok(place) => return Some(place),
-                Err(_elapsed) if turn.is_some() => self.serve_waiting(service),
+            let turn = self.scheduler.borrow().next_turn(service, now).filter(|turn| *turn < until);
+            let timeout_after = turn.unwrap_or(until).remaining(now);
+            match tokio::time::timeout(timeout_after, &mut receiver).await {
+                Ok(slot) => return Some(slot),
+                Err(_elapsed) if turn.is_some() => self.serve_queue(service),
                 Err(_elapsed) => return None,
             }
         }
     }
 
     /// Sets this process's position among the entries of its zone.
-    pub fn set_entry_position(&self, place: Option<EntryPosition>) {
-        self.desk.borrow_mut().set_entry_position(place);
+    pub fn set_entry_position(&self, position: Option<EntryPosition>) {
+        self.scheduler.borrow_mut().set_entry_position(position);
     }
 
     /// Whether a request may still be sent to the target of its slot.
-    pub fn stands(&self, place: &TargetPlace) -> bool {
-        self.desk.borrow().is_still_valid(&place.record.life(), place.rate, self.clock.now())
+    pub fn is_still_valid(&self, slot: &TargetSlot) -> bool {
+        self.scheduler.borrow().is_still_valid(&slot.record.life(), slot.rate, self.clock.now())
     }
 
     /// Whether a target has announced that it is draining.
-    pub fn leaves(&self, target: &TargetLife) -> bool {
-        self.desk.borrow().is_leaving(target)
+    pub fn is_leaving(&self, target: &TargetLife) -> bool {
+        self.scheduler.borrow().is_leaving(target)
     }
 
     /// Returns the time in milliseconds after which a refused caller should retry.
-    pub fn return_millis(&self, service: &ServiceName, deadline: UnixDeadline) -> u64 {
-        self.desk.borrow_mut().retry_after_millis(service, deadline, rand::random(), self.clock.now())
+    pub fn retry_after_millis(&self, service: &ServiceName, deadline: UnixDeadline) -> u64 {
+        self.scheduler.borrow_mut().retry_after_millis(service, deadline, rand::random(), self.clock.now())
     }
 
     /// Records the time in milliseconds from slot to first stream event or response.
-    pub fn began(&self, target: &TargetRecord, millis: f64) {
-        self.desk.borrow_mut().first_event_received(target, millis, self.clock.now());
+    pub fn first_event_received(&self, target: &TargetRecord, millis: f64) {
+        self.scheduler.borrow_mut().first_event_received(target, millis, self.clock.now());
     }
 
     /// Applies the backpressure signals in a target's response to a request sent at the given time.
-    pub fn told(
+    pub fn apply_signals(
         &self,
         target: &TargetRecord,
-        word: &BackpressureSignals,
+        signals: &BackpressureSignals,
         sent: UnixMillis,
     ) -> Vec<ObservedChange> {
-        let changes = self.desk.borrow_mut().apply_signals(&target.life(), word, sent, self.clock.now());
+        let changes =
+            self.scheduler.borrow_mut().apply_signals(&target.life(), signals, sent, self.clock.now());
         if changes.iter().any(|noted| matches!(noted.change, BackpressureChange::Resting(_))) {
-            self.refuse_hopeless(&target.service);
+            self.refuse_unservable(&target.service);
         }
         changes
     }
 
     /// Applies a note about a target from another entry.
-    pub fn told_by_other(&self, note: &TargetNote) -> Option<ObservedChange> {
-        self.desk.borrow_mut().apply_note(note, self.clock.now())
+    pub fn apply_note(&self, note: &TargetNote) -> Option<ObservedChange> {
+        self.scheduler.borrow_mut().apply_note(note, self.clock.now())
     }
 
     /// Records that a stream from a target delivered an event.
-    pub fn heard(&self, target: &TargetRecord) {
-        self.desk.borrow_mut().event_received(target, self.clock.now());
+    pub fn event_received(&self, target: &TargetRecord) {
+        self.scheduler.borrow_mut().event_received(target, self.clock.now());
     }
 
     /// Records the number of events of a finished stream.
-    pub fn streamed(&self, service: &ServiceName, events: u64) {
-        self.desk.borrow_mut().stream_ended(service, events);
+    pub fn stream_ended(&self, service: &ServiceName, events: u64) {
+        self.scheduler.borrow_mut().stream_ended(service, events);
     }
 
     /// Returns why a request should move from its current target to another one, if it should.
     pub fn move_cause(&self, target: &TargetRecord, send: &PendingSend) -> Option<MoveCause> {
-        self.desk.borrow().move_cause(target, send, self.clock.now())
+        self.scheduler.borrow().move_cause(target, send, self.clock.now())
     }
 
     /// Records that a target's process has ended.
     pub fn died(&self, life: &TargetLife) {
-        self.desk.borrow_mut().died(life, self.clock.now());
+        self.scheduler.borrow_mut().died(life, self.clock.now());
     }
 
     /// Records that a service refused or failed a request.
     pub fn refused(&self, service: &ServiceName) {
-        self.desk.borrow_mut().refused(service, self.clock.now());
-        self.refuse_hopeless(service);
+        self.scheduler.borrow_mut().refused(service, self.clock.now());
+        self.refuse_unservable(service);
     }
 
     /// Number of queued requests.
     pub fn waiting(&self) -> usize {
-        self.desk.borrow().waiting()
+        self.scheduler.borrow().waiting()
     }
 
     /// Number of this process's requests in flight at a target.
     pub fn in_flight(&self, target: &TargetLife) -> u32 {
-        self.desk.borrow().in_flight(target)
+        self.scheduler.borrow().in_flight(target)
     }
 
-    fn place_at(&self, chosen: ChosenTarget, work: RequestWork) -> TargetPlace {
+    fn new_slot(&self, chosen: ChosenTarget, work: RequestWork) -> TargetSlot {
         let ChosenTarget { record, in_flight, report, group, rate } = chosen;
-        TargetPlace {
+        TargetSlot {
             record,
             in_flight,
             report,
             group,
             rate,
-            placed: self.clock.now(),
+            assigned: self.clock.now(),
             work,
             outcome: Cell::new(SendOutcome::Abandoned),
             broker: self.clone(),
         }
     }
 
-    fn release(&self, place: &TargetPlace) {
-        let TargetPlace { record, work, placed, outcome, .. } = place;
+    fn release(&self, slot: &TargetSlot) {
+        let TargetSlot { record, work, assigned, outcome, .. } = slot;
         let now = self.clock.now();
-        let held = now.since(*placed);
-        self.desk.borrow_mut().ended(&record.service, &record.life(), *work, outcome.get(), held, now);
-        self.serve_waiting(&record.service);
+        let held = now.since(*assigned);
+        self.scheduler.borrow_mut().ended(&record.service, &record.life(), *work, outcome.get(), held, now);
+        self.serve_queue(&record.service);
     }
 
     /// Why queued requests of a service are refused before their deadline.
-    fn hopeless(&self, service: &ServiceName) -> SlotError {
-        match self.desk.borrow().refusal(service, self.clock.now()) {
+    fn queue_error(&self, service: &ServiceName) -> SlotError {
+        match self.scheduler.borrow().refusal(service, self.clock.now()) {
             error @ (SlotError::Resting | SlotError::Emptied) => error,
             _other => SlotError::Down,
         }
     }
 
     /// Refuses queued requests of a service that is down or whose targets may receive none.
-    fn refuse_hopeless(&self, service: &ServiceName) {
-        let hopeless = self.desk.borrow_mut().take_unservable(service, self.clock.now());
-        drop(hopeless);
+    fn refuse_unservable(&self, service: &ServiceName) {
+        let unservable = self.scheduler.borrow_mut().take_unservable(service, self.clock.now());
+        drop(unservable);
     }
 
-    fn serve_all_waiting(&self) {
-        for service in self.awaited() {
-            self.serve_waiting(&service);
+    fn serve_all_queues(&self) {
+        for service in self.awaited_services() {
+            self.serve_queue(&service);
         }
     }
 
-    fn serve_waiting(&self, service: &ServiceName) {
-        while let Some((reply, chosen, work)) = self.next_served(service) {
+    fn serve_queue(&self, service: &ServiceName) {
+        while let Some((reply, chosen, work)) = self.next_ready(service) {
             // If the caller has left, the send fails and drops the slot, which frees it for the next
             // request.
-            drop(reply.send(self.place_at(chosen, work)));
+            drop(reply.send(self.new_slot(chosen, work)));
         }
     }
 
-    fn next_served(&self, service: &ServiceName) -> Option<(PlaceReply, ChosenTarget, RequestWork)> {
-        let waits = |reply: &PlaceReply| !reply.is_closed();
-        self.desk.borrow_mut().next_ready(service, waits, self.clock.now())
+    fn next_ready(&self, service: &ServiceName) -> Option<(SlotSender, ChosenTarget, RequestWork)> {
+        let waits = |reply: &SlotSender| !reply.is_closed();
+        self.scheduler.borrow_mut().next_ready(service, waits, self.clock.now())
     }
 }
--- a/crates/porthoist-proxy/src/earlier.rs
+++ b/crates/porthoist-proxy/src/earlier_values.rs
@@ -8,12 +8,12 @@
 use std::rc::Rc;
 
 /// Size in bytes from which a row is sent as a patch.
-const LARGE_BYTES: usize = 4 * 1024;
+const MIN_PATCHED_BYTES: usize = 4 * 1024;
 /// Maximum number of earlier values per row. Covers changes in quick succession of which a process may have
 /// missed some.
-const MOST_VALUES: usize = 12;
+const MAX_VALUES: usize = 12;
 /// Maximum size in bytes of the earlier values of a row, not counting the latest one.
-const MOST_VALUE_BYTES: usize = 4 * 1024 * 1024;
+const MAX_VALUE_BYTES: usize = 4 * 1024 * 1024;
 
 /// A value of a row, valid from a version on.
 #[derive(Debug, Clone)]
@@ -32,9 +32,9 @@
 
 impl EarlierValues {
     /// Records the previous state of a row that is replaced.
-    pub(crate) fn replaced(&mut self, row: TableRow) {
+    pub(crate) fn record_replaced(&mut self, row: TableRow) {
         let RowValue::Bytes(bytes) = row.value else { return };
-        if bytes.len() < LARGE_BYTES {
+        if bytes.len() < MIN_PATCHED_BYTES {
             return;
         }
         self.patches.borrow_mut().clear();
@@ -42,7 +42,7 @@
         values.push_back(EarlierValue { version: row.version, bytes: Rc::new(bytes) });
         let held =
             |values: &VecDeque<EarlierValue>| values.iter().map(|value| value.bytes.len()).sum::<usize>();
-        while values.len() > 1 && (values.len() > MOST_VALUES || held(values) > MOST_VALUE_BYTES) {
+        while values.len() > 1 && (values.len() > MAX_VALUES || held(values) > MAX_VALUE_BYTES) {
             values.pop_front();
         }
     }
--- a/crates/porthoist-proxy/src/exchange.rs
+++ b/crates/porthoist-proxy/src/exchange.rs
@@ -147,7 +147,7 @@
 
 impl ConnectionLease {
     /// Returns the connection to the pool after a complete response.
-    pub fn give_back(mut self, headers: &HeaderMap) {
+    pub fn release(mut self, headers: &HeaderMap) {
         let Some(idle_millis) = reusable_millis(headers) else { return };
         let Some(sender) = self.sender.take() else { return };
         if sender.is_closed() {
@@ -235,7 +235,7 @@
     }
 
     /// Closes expired idle connections, and all connections to targets for which `keep` returns `false`.
-    pub fn tidy(&self, keep: impl Fn(&TargetLife) -> bool) {
+    pub fn prune(&self, keep: impl Fn(&TargetLife) -> bool) {
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
         for (target, connections) in idle.iter_mut() {
@@ -275,8 +275,8 @@
         target: &TargetRecord,
         deadline: UnixDeadline,
     ) -> Result<ConnectionLease, SendFailure> {
-        let patience = deadline.remaining(self.clock.now()).min(Duration::from_millis(CONNECT_MILLIS));
-        let connected = tokio::time::timeout(patience, TcpStream::connect(target.address)).await;
+        let timeout_after = deadline.remaining(self.clock.now()).min(Duration::from_millis(CONNECT_MILLIS));
+        let connected = tokio::time::timeout(timeout_after, TcpStream::connect(target.address)).await;
         let stream = connected
             .map_err(|_elapsed| SendFailure::not_sent("no connection in time"))?
             .map_err(SendFailure::not_sent)?;
@@ -297,8 +297,8 @@
     }
 
     async fn connect_probe(&self, target: &TargetRecord) -> TargetLiveness {
-        let patience = Duration::from_millis(PROBE_MILLIS);
-        let stream = match tokio::time::timeout(patience, TcpStream::connect(target.address)).await {
+        let timeout_after = Duration::from_millis(PROBE_MILLIS);
+        let stream = match tokio::time::timeout(timeout_after, TcpStream::connect(target.address)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => {
                 return TargetLiveness::Dead;
@@ -306,7 +306,7 @@
             Ok(Err(_)) | Err(_) => return TargetLiveness::Unknown,
         };
         match self.handshake(target, stream).await {
-            Ok(lease) => lease.give_back(&HeaderMap::new()),
+            Ok(lease) => lease.release(&HeaderMap::new()),
             Err(_failure) => return TargetLiveness::Unknown,
         }
         TargetLiveness::Alive
@@ -344,8 +344,8 @@
         deadline: UnixDeadline,
     ) -> Result<Response<Incoming>, ExchangeFailure> {
         let sender = lease.sender.as_mut().expect("a lease in use has its sender");
-        let patience = deadline.remaining(self.clock.now());
-        let answered = tokio::time::timeout(patience, sender.try_send_request(request)).await;
+        let timeout_after = deadline.remaining(self.clock.now());
+        let answered = tokio::time::timeout(timeout_after, sender.try_send_request(request)).await;
         match answered {
             Ok(Ok(answer)) => Ok(answer),
             Ok(Err(mut failure)) => match failure.take_message() {
--- a/crates/porthoist-proxy/src/course.rs
+++ b/crates/porthoist-proxy/src/handler.rs
@@ -1,11 +1,11 @@
 //! Handles one request: admission, target selection, sending and retries, up to the response or a refusal
 //! that states whether the request may have run.
 
-use crate::broker::{RequestDispatcher, TargetPlace};
 use crate::control::ControlState;
+use crate::dispatcher::{RequestDispatcher, TargetSlot};
 use crate::exchange::{ConnectionPool, OpenAnswer, SendFailure};
 use crate::quarantine::RequestQuarantine;
-use crate::reply::{Reply, own_reply, piecewise_reply, relayed_headers, whole_reply};
+use crate::reply::{Reply, complete_reply, refusal_reply, relayed_headers, streamed_reply};
 use crate::wire::WireCodec;
 use hyper::Request;
 use hyper::body::Incoming;
@@ -33,18 +33,18 @@
 use tokio::sync::watch;
 
 mod admission;
+mod backpressure;
 mod moving;
-mod needs;
-mod parts;
 mod permit;
-mod placing;
 mod relay;
-mod repeating;
+mod retries;
 mod sending;
+mod slots;
+mod types;
 
-use needs::NoteOutlet;
-use parts::{AdmittedRequest, CourseRefusal, SendRecord, TargetAnswer, WholeAnswer};
+use backpressure::NotePublisher;
 use relay::EventRelay;
+use types::{AdmittedRequest, ProxyRefusal, SendRecord, TargetAnswer, WholeAnswer};
 
 /// Event after which a stream resumes; callers send it too.
 const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
@@ -56,7 +56,7 @@
 
 /// Minimum interval between two checks for stalled groups, in milliseconds. A check visits all targets:
 /// with 1,500 targets and reports from 23 groups, there would be 230 checks a second.
-const PACES_MILLIS: u64 = 200;
+const STALL_CHECK_MILLIS: u64 = 200;
 
 /// Settings of a [`ProxyHandler`].
 #[derive(Debug, Clone, bon::Builder)]
@@ -75,10 +75,10 @@
     dispatcher: RequestDispatcher,
     quarantine: Rc<RequestQuarantine>,
     pool: ConnectionPool,
-    shares: RefCell<HashMap<ServiceName, RetryShare>>,
-    patience: RefCell<CallerRetryDetector>,
+    retry_shares: RefCell<HashMap<ServiceName, RetryShare>>,
+    retry_detector: RefCell<CallerRetryDetector>,
     /// Notes for the other entries of the zone.
-    outlet: RefCell<NoteOutlet>,
+    note_publisher: RefCell<NotePublisher>,
     in_flight: Cell<u64>,
     /// Whether listed targets have been applied.
     targets_taken: Cell<bool>,
@@ -86,7 +86,7 @@
     /// Number of cold targets at the last check.
     cold: Cell<usize>,
     /// When stalled groups are checked again.
-    paces_due: Cell<UnixDeadline>,
+    next_stall_check: Cell<UnixDeadline>,
     clock: Arc<dyn ClockSource>,
     metrics: Arc<MetricsHub>,
     logger: Logger,
@@ -99,18 +99,18 @@
 }
 
 /// Logs that the caller left unless the request completed.
-struct CourseGuard {
-    course: Rc<ProxyHandler>,
+struct RequestGuard {
+    handler: Rc<ProxyHandler>,
     attempt: Arc<str>,
     ended: Cell<bool>,
 }
 
-impl Drop for CourseGuard {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
-        let course = &self.course;
-        course.in_flight.set(course.in_flight.get().saturating_sub(1));
+        let handler = &self.handler;
+        handler.in_flight.set(handler.in_flight.get().saturating_sub(1));
         if !self.ended.get() {
-            info!(course.logger, "caller left"; "event" => "caller_left", "request" => &*self.attempt);
+            info!(handler.logger, "caller left"; "event" => "caller_left", "request" => &*self.attempt);
         }
     }
 }
@@ -138,14 +138,14 @@
             dispatcher,
             quarantine,
             pool,
-            shares: RefCell::default(),
-            patience: RefCell::default(),
-            outlet: RefCell::new(NoteOutlet::new(notes)),
+            retry_shares: RefCell::default(),
+            retry_detector: RefCell::default(),
+            note_publisher: RefCell::new(NotePublisher::new(notes)),
             in_flight: Cell::new(0),
             targets_taken: Cell::new(false),
             stopping: Cell::new(false),
             cold: Cell::new(0),
-            paces_due: Cell::default(),
+            next_stall_check: Cell::default(),
             clock,
             metrics,
             logger,
@@ -177,13 +177,13 @@
         let rules = services.filter_map(|spec| Some((spec.name.clone(), spec.cold?))).collect();
         self.dispatcher.sync(&state.targets, rules, &state.emptied);
         let known: HashSet<TargetLife> = state.targets.records().map(|record| record.life()).collect();
-        self.pool.tidy(|life| known.contains(life));
-        self.note_cold();
+        self.pool.prune(|life| known.contains(life));
+        self.log_cold_targets();
     }
 
     /// Logs the number of cold targets if it has changed.
-    fn note_cold(&self) {
-        let cold = self.dispatcher.cold();
+    fn log_cold_targets(&self) {
+        let cold = self.dispatcher.cold_targets();
         if self.cold.replace(cold) != cold {
             self.metrics.cold_targets(cold as u64);
             info!(self.logger, "number of cold targets changed"; "event" => "targets_cold", "count" => cold);
@@ -192,7 +192,7 @@
 
     /// Applies updates of the crash table.
     pub fn update_crashes(&self) {
-        self.quarantine.take_news();
+        self.quarantine.apply_update();
     }
 
     /// Removes expired crashes. Call periodically.
@@ -201,23 +201,23 @@
     }
 
     /// Sets this process's position among the entries of its zone.
-    pub fn set_entry_position(&self, place: Option<EntryPosition>) {
-        if let Some(EntryPosition { index, entries }) = place {
+    pub fn set_entry_position(&self, position: Option<EntryPosition>) {
+        if let Some(EntryPosition { index, entries }) = position {
             info!(self.logger, "position among the entries of the zone changed"; "event" => "entry_place", "index" => index,
                 "entries" => entries);
         }
-        self.dispatcher.set_entry_position(place);
+        self.dispatcher.set_entry_position(position);
     }
 
     /// Applies the loads that the engines of a group reported.
     pub fn update_loads(&self, loads: &GroupLoads) {
         self.dispatcher.update_loads(loads);
         let now = self.clock.now();
-        if !self.paces_due.get().passed(now) {
+        if !self.next_stall_check.get().passed(now) {
             return;
         }
-        self.paces_due.set(UnixDeadline::after(now, PACES_MILLIS));
-        self.note_cold();
+        self.next_stall_check.set(UnixDeadline::after(now, STALL_CHECK_MILLIS));
+        self.log_cold_targets();
         for GroupSnapshot { index, status } in self.dispatcher.group_changes() {
             let (group, standing, pass) = (index.place(), status.stalled, status.millis);
             info!(self.logger, "group stalled or resumed"; "event" => "group_pace", "group" => group,
@@ -238,13 +238,16 @@
         let (head, body) = request.into_parts();
         let facts = self.codec.request_facts(&head.headers);
         let attempt = facts.as_ref().map_or_else(|_error| Arc::from("-"), |facts| Arc::clone(&facts.attempt));
-        let guard =
-            CourseGuard { course: Rc::clone(&self), attempt: Arc::clone(&attempt), ended: Cell::new(false) };
+        let guard = RequestGuard {
+            handler: Rc::clone(&self),
+            attempt: Arc::clone(&attempt),
+            ended: Cell::new(false),
+        };
         let admitted = match facts {
             Ok(facts) => self.admit(facts, head, body, arrival).await,
             Err(error) => {
                 info!(self.logger, "unreadable headers"; "event" => "malformed", "error" => error.to_string());
-                Err(CourseRefusal::denied(RefusalReason::Malformed))
+                Err(ProxyRefusal::denied(RefusalReason::Malformed))
             }
         };
         let outcome = match admitted {
@@ -264,13 +267,13 @@
         reply
     }
 
-    fn refuse(&self, refusal: CourseRefusal, attempt: &str, arrival: UnixMillis) -> Reply {
-        let CourseRefusal { reason, status, verdict, retry_millis } = refusal;
+    fn refuse(&self, refusal: ProxyRefusal, attempt: &str, arrival: UnixMillis) -> Reply {
+        let ProxyRefusal { reason, status, verdict, retry_millis } = refusal;
         info!(self.logger, "request refused"; "event" => "refused", "request" => attempt, "reason" => reason.as_str(),
             "status" => status.as_u16(), "verdict" => verdict.as_str(), "retry_ms" => retry_millis,
             "held_ms" => self.clock.now().since(arrival));
         self.metrics.refusal(reason, verdict);
-        let mut reply = own_reply(status, reason, retry_millis);
+        let mut reply = refusal_reply(status, reason, retry_millis);
         self.codec.write_own_answer(attempt, reply.headers_mut());
         reply
     }
@@ -279,25 +282,25 @@
     async fn run(
         self: &Rc<Self>,
         admitted: Rc<AdmittedRequest>,
-        guard: CourseGuard,
-    ) -> Result<Reply, (CourseRefusal, CourseGuard)> {
+        guard: RequestGuard,
+    ) -> Result<Reply, (ProxyRefusal, RequestGuard)> {
         let mut record = SendRecord::default();
         loop {
-            let place = match self.permit_and_place(&admitted, &mut record).await {
-                Ok(place) => place,
+            let slot = match self.acquire_permitted_slot(&admitted, &mut record).await {
+                Ok(slot) => slot,
                 Err(refusal) => return Err((refusal, guard)),
             };
-            let outcome = self.send(&admitted, &place, None, &mut record).await;
+            let outcome = self.send(&admitted, &slot, None, &mut record).await;
             let failure = match outcome {
                 Ok(TargetAnswer::Events(answer)) => {
-                    return Ok(self.relay_events(admitted, place, answer, record, guard));
+                    return Ok(self.relay_events(admitted, slot, answer, record, guard));
                 }
                 Ok(TargetAnswer::Whole(answer)) => {
                     let server_error = answer.status.is_server_error();
-                    let retry = server_error && !admitted.once() && self.may_repeat(&admitted, &record);
+                    let retry = server_error && !admitted.runs_once() && self.take_retry(&admitted, &record);
                     if !retry {
                         guard.ended.set(true);
-                        return Ok(self.relay_whole(&admitted, &place, answer));
+                        return Ok(self.relay_whole(&admitted, &slot, answer));
                     }
                     let detail = format!("status {}", answer.status.as_u16());
                     SendFailure {
@@ -309,44 +312,44 @@
                 }
                 Err(failure) => failure,
             };
-            let target = Arc::clone(&place.record);
-            drop(place);
-            self.note_lost(&admitted, &target, &failure, &mut record).await;
+            let target = Arc::clone(&slot.record);
+            drop(slot);
+            self.check_lost_target(&admitted, &target, &failure, &mut record).await;
             record.failed(&failure);
             if failure.reason == RetryReason::BackendFailed {
-                self.repeat(&admitted, &failure);
+                self.record_retry(&admitted, &failure);
                 continue;
             }
-            if let Err(refusal) = self.allow_repeat(&admitted, &record, &failure) {
+            if let Err(refusal) = self.allow_retry(&admitted, &record, &failure) {
                 return Err((refusal, guard));
             }
         }
     }
 
-    fn relay_whole(&self, admitted: &AdmittedRequest, place: &TargetPlace, answer: WholeAnswer) -> Reply {
+    fn relay_whole(&self, admitted: &AdmittedRequest, slot: &TargetSlot, answer: WholeAnswer) -> Reply {
         let millis = self.clock.now().since(admitted.arrival);
         self.metrics.answer(millis as f64);
         info!(self.logger, "answered"; "event" => "answered", "request" => &*admitted.facts.attempt,
-            "target" => place.record.id.to_string(), "status" => answer.status.as_u16(), "took_ms" => millis);
-        whole_reply(answer.status, relayed_headers(answer.headers), answer.body)
+            "target" => slot.record.id.to_string(), "status" => answer.status.as_u16(), "took_ms" => millis);
+        complete_reply(answer.status, relayed_headers(answer.headers), answer.body)
     }
 
     fn relay_events(
         self: &Rc<Self>,
         admitted: Rc<AdmittedRequest>,
-        place: TargetPlace,
+        slot: TargetSlot,
         answer: OpenAnswer,
         record: SendRecord,
-        guard: CourseGuard,
+        guard: RequestGuard,
     ) -> Reply {
         let status = answer.head.status;
         let headers = relayed_headers(answer.head.headers.clone());
-        let relay = EventRelay::new(Rc::clone(self), admitted, place, answer, record, guard);
-        piecewise_reply(status, headers, relay.pieces())
+        let relay = EventRelay::new(Rc::clone(self), admitted, slot, answer, record, guard);
+        streamed_reply(status, headers, relay.into_body())
     }
 
     /// Time left until a deadline.
-    fn patience(&self, deadline: UnixDeadline) -> Duration {
+    fn remaining_time(&self, deadline: UnixDeadline) -> Duration {
         deadline.remaining(self.clock.now())
     }
 }
--- a/crates/porthoist-proxy/src/course/admission.rs
+++ b/crates/porthoist-proxy/src/handler/admission.rs
@@ -1,6 +1,6 @@
 //! Admission of requests: route, key, freshness proof and body size.
 
-use super::parts::{AdmittedRequest, CourseRefusal};
+use super::types::{AdmittedRequest, ProxyRefusal};
 use super::{ProxyHandler, UNREADY_RETRY_MILLIS, host_of, key_error};
 use crate::wire::RequestFacts;
 use bytes::Bytes;
@@ -30,10 +30,10 @@
         head: Parts,
         body: Incoming,
         arrival: UnixMillis,
-    ) -> Result<AdmittedRequest, CourseRefusal> {
+    ) -> Result<AdmittedRequest, ProxyRefusal> {
         let routed = self.route(&facts, &head, arrival)?;
         let RoutedRequest { rule, grant, service, ranked, body_bytes } = routed;
-        let came_back = self.note_admitted(&facts, &rule, &service);
+        let is_caller_retry = self.log_admitted(&facts, &rule, &service);
         let wait = facts.remaining_millis.unwrap_or(rule.timeout_millis).min(rule.timeout_millis);
         let deadline = UnixDeadline::after(arrival, wait);
         let body = self.read_body(body, body_bytes, deadline).await?;
@@ -48,14 +48,14 @@
             ranked,
             arrival,
             deadline,
-            came_back,
+            is_caller_retry,
             marked,
         })
     }
 
     /// Logs an admitted request. Returns whether its caller was refused before.
-    fn note_admitted(&self, facts: &RequestFacts, rule: &RouteRule, service: &ServiceName) -> bool {
-        let came_back = self.patience.borrow_mut().is_retry(&rule.name, facts.remaining_millis);
+    fn log_admitted(&self, facts: &RequestFacts, rule: &RouteRule, service: &ServiceName) -> bool {
+        let is_caller_retry = self.retry_detector.borrow_mut().is_retry(&rule.name, facts.remaining_millis);
         let (version, age) = {
             let state = self.state.borrow();
             let version = state.routes.as_ref().map(|routes| routes.version.0);
@@ -64,8 +64,8 @@
         info!(self.logger, "admitted"; "event" => "admitted", "request" => &*facts.attempt,
             "route" => &*rule.name, "service" => service.as_str(), "version" => version, "proof_age_ms" => age,
             "aim_ms" => rule.target_latency_millis, "pause_aim_ms" => rule.target_pause_millis,
-            "returned" => came_back);
-        came_back
+            "returned" => is_caller_retry);
+        is_caller_retry
     }
 
     fn route(
@@ -73,13 +73,13 @@
         facts: &RequestFacts,
         head: &Parts,
         arrival: UnixMillis,
-    ) -> Result<RoutedRequest, CourseRefusal> {
+    ) -> Result<RoutedRequest, ProxyRefusal> {
         let (routes, proof) = {
             let state = self.state.borrow();
             (state.routes.clone(), state.proof)
         };
         let Some(routes) = routes else {
-            return Err(CourseRefusal::later(RefusalReason::NotReady, UNREADY_RETRY_MILLIS));
+            return Err(ProxyRefusal::retryable(RefusalReason::NotReady, UNREADY_RETRY_MILLIS));
         };
         let age = proof.age(arrival);
         let rule = self.settings.proof;
@@ -101,23 +101,23 @@
         routes: &RouteTable,
         facts: &RequestFacts,
         head: &Parts,
-    ) -> Result<RoutedRequest, CourseRefusal> {
-        let denied = |error| CourseRefusal::denied(key_error(error));
+    ) -> Result<RoutedRequest, ProxyRefusal> {
+        let denied = |error| ProxyRefusal::denied(key_error(error));
         let rule = routes.route(host_of(head), head.uri.path()).map_err(denied)?;
         let grant = routes.team(&rule, facts.key.as_deref()).map_err(denied)?;
         let hash = xxhash_rust::xxh3::xxh3_64(facts.attempt.as_bytes());
         let service = rule.service(hash).cloned();
-        let service = service.ok_or(CourseRefusal::denied(RefusalReason::UnknownService))?;
+        let service = service.ok_or(ProxyRefusal::denied(RefusalReason::UnknownService))?;
         let spec = routes.services.get(&service);
         let ranked = spec.is_some_and(|spec| spec.engine.is_some());
         let body_bytes = routes.limits.body_bytes;
         Ok(RoutedRequest { rule, grant, service, ranked, body_bytes })
     }
 
-    fn unproven(&self, facts: &RequestFacts, routes: &RouteTable, age: Option<u64>) -> CourseRefusal {
+    fn unproven(&self, facts: &RequestFacts, routes: &RouteTable, age: Option<u64>) -> ProxyRefusal {
         info!(self.logger, "the configuration may be out of date"; "event" => "unproven",
             "request" => &*facts.attempt, "version" => routes.version.0, "proof_age_ms" => age);
-        CourseRefusal::later(RefusalReason::NotReady, UNREADY_RETRY_MILLIS)
+        ProxyRefusal::retryable(RefusalReason::NotReady, UNREADY_RETRY_MILLIS)
     }
 
     async fn read_body(
@@ -125,18 +125,18 @@
         body: Incoming,
         body_bytes: usize,
         deadline: UnixDeadline,
-    ) -> Result<Bytes, CourseRefusal> {
-        let read = tokio::time::timeout(self.patience(deadline), read_body(body, body_bytes)).await;
+    ) -> Result<Bytes, ProxyRefusal> {
+        let read = tokio::time::timeout(self.remaining_time(deadline), read_body(body, body_bytes)).await;
         let Ok(read) = read else {
-            let denied = CourseRefusal::denied(RefusalReason::DeadlinePassed);
-            return Err(CourseRefusal { status: StatusCode::REQUEST_TIMEOUT, ..denied });
+            let denied = ProxyRefusal::denied(RefusalReason::DeadlinePassed);
+            return Err(ProxyRefusal { status: StatusCode::REQUEST_TIMEOUT, ..denied });
         };
         match read {
             Ok(bytes) => Ok(bytes),
-            Err(BodyError::TooLong(_limit)) => Err(CourseRefusal::denied(RefusalReason::BodyTooLong)),
+            Err(BodyError::TooLong(_limit)) => Err(ProxyRefusal::denied(RefusalReason::BodyTooLong)),
             Err(error) => {
                 info!(self.logger, "unreadable body"; "event" => "malformed", "error" => error.to_string());
-                Err(CourseRefusal::denied(RefusalReason::Malformed))
+                Err(ProxyRefusal::denied(RefusalReason::Malformed))
             }
         }
     }
--- a/crates/porthoist-proxy/src/course/needs.rs
+++ b/crates/porthoist-proxy/src/handler/backpressure.rs
@@ -16,22 +16,22 @@
 
 /// Publishes notes to the other entries of the zone.
 #[derive(Debug)]
-pub(super) struct NoteOutlet {
-    board: NoteStore,
-    told: watch::Sender<Vec<TargetNote>>,
+pub(super) struct NotePublisher {
+    store: NoteStore,
+    published: watch::Sender<Vec<TargetNote>>,
     next: UnixDeadline,
 }
 
-impl NoteOutlet {
-    pub(super) fn new(told: watch::Sender<Vec<TargetNote>>) -> Self {
-        Self { board: NoteStore::default(), told, next: UnixDeadline::default() }
+impl NotePublisher {
+    pub(super) fn new(published: watch::Sender<Vec<TargetNote>>) -> Self {
+        Self { store: NoteStore::default(), published, next: UnixDeadline::default() }
     }
 
-    fn tell(&mut self, note: TargetNote, news: bool, now: UnixMillis) {
-        self.board.take(note);
-        if news || self.next.passed(now) {
+    fn publish(&mut self, note: TargetNote, changed: bool, now: UnixMillis) {
+        self.store.take(note);
+        if changed || self.next.passed(now) {
             self.next = UnixDeadline::after(now, NOTE_MILLIS);
-            self.told.send_replace(self.board.current(now));
+            self.published.send_replace(self.store.current(now));
         }
     }
 }
@@ -39,34 +39,39 @@
 impl ProxyHandler {
     /// Applies the backpressure signals of a response. A response to another request, or from another
     /// target at the same address, must not be passed here.
-    pub(super) fn note_word(&self, target: &TargetRecord, word: &BackpressureSignals, sent: UnixMillis) {
-        let changes = self.dispatcher.told(target, word, sent);
+    pub(super) fn apply_signals(
+        &self,
+        target: &TargetRecord,
+        signals: &BackpressureSignals,
+        sent: UnixMillis,
+    ) {
+        let changes = self.dispatcher.apply_signals(target, signals, sent);
         let now = self.clock.now();
-        let lifted = changes.iter().any(|noted| matches!(noted.change, BackpressureChange::Lifted(_)));
-        let limit = match word.limit {
+        let lifted = changes.iter().any(|observed| matches!(observed.change, BackpressureChange::Lifted(_)));
+        let limit = match signals.limit {
             SignalValue::Present(rate) => Some((Some(rate), now)),
             SignalValue::Absent | SignalValue::Unreadable => lifted.then_some((None, sent)),
         };
         if let Some((limit, as_of)) = limit {
             let note = TargetNote { life: target.life(), limit, as_of };
-            self.outlet.borrow_mut().tell(note, !changes.is_empty(), now);
+            self.note_publisher.borrow_mut().publish(note, !changes.is_empty(), now);
         }
-        for noted in changes {
-            self.log_need(&target.life(), noted, "target");
+        for observed in changes {
+            self.log_signal_change(&target.life(), observed, "target");
         }
     }
 
     /// Applies notes from other entries of the zone.
     pub fn apply_notes(&self, notes: &[TargetNote]) {
         for note in notes {
-            if let Some(noted) = self.dispatcher.told_by_other(note) {
-                self.log_need(&note.life, noted, "zone");
+            if let Some(observed) = self.dispatcher.apply_note(note) {
+                self.log_signal_change(&note.life, observed, "zone");
             }
         }
     }
 
-    fn log_need(&self, target: &TargetLife, noted: ObservedChange, told_by: &'static str) {
-        let ObservedChange { change, logged } = noted;
+    fn log_signal_change(&self, target: &TargetLife, observed: ObservedChange, told_by: &'static str) {
+        let ObservedChange { change, logged } = observed;
         self.metrics.need_change(change.as_str());
         if !logged {
             return;
--- a/crates/porthoist-proxy/src/course/moving.rs
+++ b/crates/porthoist-proxy/src/handler/moving.rs
@@ -1,8 +1,8 @@
 //! Moves requests away from a target that stalls or is too slow while it has them.
 
 use super::ProxyHandler;
-use super::parts::{AdmittedRequest, SendRecord};
-use crate::broker::TargetPlace;
+use super::types::{AdmittedRequest, SendRecord};
+use crate::dispatcher::TargetSlot;
 use crate::exchange::SendFailure;
 use porthoist_core::{UnixDeadline, UnixMillis};
 use porthoist_policy::proxy::balancer::SendOutcome;
@@ -13,21 +13,21 @@
 
 /// Interval at which a request in flight is checked. It is half of the time that remains of a typical
 /// latency target once a group is known to have stalled.
-const LOOK_TIME: Duration = Duration::from_millis(50);
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 impl ProxyHandler {
     /// Completes when a request should move to another target, after taking one retry from the budget.
     /// `since` is when the request was sent or its last event arrived.
-    pub(super) async fn move_due(
+    pub(super) async fn wait_for_move(
         &self,
         admitted: &AdmittedRequest,
-        place: &TargetPlace,
+        slot: &TargetSlot,
         record: &SendRecord,
         since: UnixMillis,
         events: u64,
     ) -> MoveCause {
         let attempts_left = record.attempts() < admitted.rule.max_attempts;
-        if !attempts_left || admitted.once() || !admitted.ranked || record.suspect.is_some() {
+        if !attempts_left || admitted.runs_once() || !admitted.ranked || record.suspect.is_some() {
             return future::pending().await;
         }
         let send = PendingSend {
@@ -39,10 +39,10 @@
             deadline: admitted.deadline,
         };
         loop {
-            tokio::time::sleep(LOOK_TIME).await;
-            let Some(cause) = self.dispatcher.move_cause(&place.record, &send) else { continue };
+            tokio::time::sleep(CHECK_INTERVAL).await;
+            let Some(cause) = self.dispatcher.move_cause(&slot.record, &send) else { continue };
             let now = self.clock.now();
-            let allowed = self.share_of(&admitted.service, |share| match cause {
+            let allowed = self.with_retry_share(&admitted.service, |share| match cause {
                 // A stalled host would run the requests that it holds after their callers have left.
                 MoveCause::TargetSilent => share.take(now),
                 MoveCause::GroupStalled | MoveCause::GroupSlow => share.take_optional(now),
@@ -55,19 +55,19 @@
 
     /// Records that a request moves away from its target. A target that is silent while its group is not
     /// receives no requests for a while.
-    pub(super) fn note_moved(
+    pub(super) fn record_move(
         &self,
         admitted: &AdmittedRequest,
-        place: &TargetPlace,
+        slot: &TargetSlot,
         cause: MoveCause,
         since: UnixMillis,
     ) -> SendFailure {
         if cause == MoveCause::TargetSilent {
-            place.ended(SendOutcome::Lost);
-            self.dispatcher.died(&place.record.life());
+            slot.set_outcome(SendOutcome::Lost);
+            self.dispatcher.died(&slot.record.life());
         }
         info!(self.logger, "request moved away from a target"; "event" => "moved", "request" => &*admitted.facts.attempt,
-            "target" => place.record.id.to_string(), "cause" => cause.as_str(),
+            "target" => slot.record.id.to_string(), "cause" => cause.as_str(),
             "waited_ms" => self.clock.now().since(since));
         SendFailure::moved(cause.as_str())
     }
--- a/crates/porthoist-proxy/src/course/permit.rs
+++ b/crates/porthoist-proxy/src/handler/permit.rs
@@ -1,8 +1,8 @@
 //! Checks before each send: the deadline and the crash quarantine.
 
 use super::ProxyHandler;
-use super::parts::{AdmittedRequest, CourseRefusal, SendRecord};
-use crate::broker::TargetPlace;
+use super::types::{AdmittedRequest, ProxyRefusal, SendRecord};
+use crate::dispatcher::TargetSlot;
 use crate::exchange::{SendFailure, TargetLiveness};
 use hyper::StatusCode;
 use porthoist_core::{RefusalReason, TargetName};
@@ -11,41 +11,45 @@
 impl ProxyHandler {
     /// Waits for permission to send a request and for a slot. Crashes reported during the wait are taken
     /// into account.
-    pub(super) async fn permit_and_place(
+    pub(super) async fn acquire_permitted_slot(
         &self,
         admitted: &AdmittedRequest,
         record: &mut SendRecord,
-    ) -> Result<TargetPlace, CourseRefusal> {
-        self.take_permit(admitted, record)?;
-        let place = loop {
-            let place = self.find_place(admitted, record).await?;
-            self.take_permit(admitted, record)?;
+    ) -> Result<TargetSlot, ProxyRefusal> {
+        self.check_quarantine(admitted, record)?;
+        let slot = loop {
+            let slot = self.request_slot(admitted, record).await?;
+            self.check_quarantine(admitted, record)?;
             self.check_deadline(admitted, record)?;
             // The target may have sent backpressure signals since the slot was assigned.
-            if self.dispatcher.stands(&place) {
-                break place;
+            if self.dispatcher.is_still_valid(&slot) {
+                break slot;
             }
         };
         if let Some(suspect) = &mut record.suspect {
-            suspect.at(&place.record.id);
+            suspect.at(&slot.record.id);
         }
-        Ok(place)
+        Ok(slot)
     }
 
     /// Returns an error if the deadline has passed. The end of a wait for a slot is not sufficient: the
     /// runtime's timers stop while the host is suspended.
-    fn check_deadline(&self, admitted: &AdmittedRequest, record: &SendRecord) -> Result<(), CourseRefusal> {
+    fn check_deadline(&self, admitted: &AdmittedRequest, record: &SendRecord) -> Result<(), ProxyRefusal> {
         if !admitted.deadline.passed(self.clock.now()) {
             return Ok(());
         }
         if record.may_have_run {
-            return Err(CourseRefusal::unknown(RefusalReason::DeadlinePassed, StatusCode::GATEWAY_TIMEOUT));
+            return Err(ProxyRefusal::unknown(RefusalReason::DeadlinePassed, StatusCode::GATEWAY_TIMEOUT));
         }
-        let retry_millis = self.dispatcher.return_millis(&admitted.service, admitted.deadline);
-        Err(CourseRefusal::later(RefusalReason::DeadlinePassed, retry_millis))
+        let retry_millis = self.dispatcher.retry_after_millis(&admitted.service, admitted.deadline);
+        Err(ProxyRefusal::retryable(RefusalReason::DeadlinePassed, retry_millis))
     }
 
-    fn take_permit(&self, admitted: &AdmittedRequest, record: &mut SendRecord) -> Result<(), CourseRefusal> {
+    fn check_quarantine(
+        &self,
+        admitted: &AdmittedRequest,
+        record: &mut SendRecord,
+    ) -> Result<(), ProxyRefusal> {
         // A permit from before a wait ends here, so that crashes reported since then are taken into
         // account.
         record.suspect = None;
@@ -55,18 +59,18 @@
                 Ok(())
             }
             Err(_kept) if record.may_have_run => {
-                Err(CourseRefusal::unknown(RefusalReason::Quarantined, StatusCode::BAD_GATEWAY))
+                Err(ProxyRefusal::unknown(RefusalReason::Quarantined, StatusCode::BAD_GATEWAY))
             }
             Err(kept) => {
                 let retry_millis = kept.until.0.since(self.clock.now());
-                Err(CourseRefusal::later(RefusalReason::Quarantined, retry_millis))
+                Err(ProxyRefusal::retryable(RefusalReason::Quarantined, retry_millis))
             }
         }
     }
 
     /// After a lost connection, checks whether the target crashed, and records the crash against the
     /// request.
-    pub(super) async fn note_lost(
+    pub(super) async fn check_lost_target(
         &self,
         admitted: &AdmittedRequest,
         target: &TargetRecord,
@@ -81,13 +85,13 @@
         if liveness == TargetLiveness::Dead {
             self.dispatcher.died(&target.life());
         }
-        self.quarantine.lost(admitted, target, liveness);
+        self.quarantine.record_lost_connection(admitted, target, liveness);
     }
 
     /// Whether a target is known to be draining, in which case its end is no crash.
     fn is_leaving(&self, target: &TargetRecord) -> bool {
         let life = target.life();
-        if self.dispatcher.leaves(&life) {
+        if self.dispatcher.is_leaving(&life) {
             return true;
         }
         let state = self.state.borrow();
@@ -97,7 +101,11 @@
 
     /// Targets to avoid: those already tried and, for a suspected request, those that run another suspected
     /// one, unless no others are left.
-    pub(super) fn places_to_avoid(&self, admitted: &AdmittedRequest, record: &SendRecord) -> Vec<TargetName> {
+    pub(super) fn targets_to_avoid(
+        &self,
+        admitted: &AdmittedRequest,
+        record: &SendRecord,
+    ) -> Vec<TargetName> {
         let tried = record.tried.clone();
         if record.suspect.is_none() {
             return tried;
--- a/crates/porthoist-proxy/src/course/relay.rs
+++ b/crates/porthoist-proxy/src/handler/relay.rs
@@ -1,12 +1,12 @@
 //! Relays a stream event by event, and resumes it at another target after the last event where the route
 //! allows it.
 
-use super::parts::{AdmittedRequest, SendRecord, TargetAnswer};
-use super::{CourseGuard, ProxyHandler};
-use crate::broker::TargetPlace;
+use super::types::{AdmittedRequest, SendRecord, TargetAnswer};
+use super::{ProxyHandler, RequestGuard};
+use crate::dispatcher::TargetSlot;
 use crate::events::{EventSplitter, WholeEvent};
 use crate::exchange::{OpenAnswer, SendFailure};
-use crate::reply::PieceStream;
+use crate::reply::BodyStream;
 use bytes::Bytes;
 use futures::StreamExt as _;
 use http_body_util::BodyExt as _;
@@ -19,22 +19,22 @@
 
 /// A stream being relayed to a caller.
 pub(super) struct EventRelay {
-    course: Rc<ProxyHandler>,
+    handler: Rc<ProxyHandler>,
     admitted: Rc<AdmittedRequest>,
     source: Option<EventSource>,
     splitter: EventSplitter,
     last_id: Option<u64>,
-    passed_on: u64,
+    forwarded: u64,
     first_at: Option<UnixMillis>,
     last_at: UnixMillis,
     longest_pause: u64,
     record: SendRecord,
-    guard: CourseGuard,
+    guard: RequestGuard,
 }
 
 /// The target that a stream comes from.
 struct EventSource {
-    place: TargetPlace,
+    slot: TargetSlot,
     answer: OpenAnswer,
 }
 
@@ -47,23 +47,23 @@
 
 impl EventRelay {
     pub(super) fn new(
-        course: Rc<ProxyHandler>,
+        handler: Rc<ProxyHandler>,
         admitted: Rc<AdmittedRequest>,
-        place: TargetPlace,
+        slot: TargetSlot,
         answer: OpenAnswer,
         record: SendRecord,
-        guard: CourseGuard,
+        guard: RequestGuard,
     ) -> Self {
         let after = super::header_text(&admitted.head.headers, super::LAST_EVENT_ID);
         let last_id = after.and_then(|text| text.trim().parse().ok());
-        let last_at = course.clock.now();
+        let last_at = handler.clock.now();
         Self {
-            course,
+            handler,
             admitted,
-            source: Some(EventSource { place, answer }),
+            source: Some(EventSource { slot, answer }),
             splitter: EventSplitter::default(),
             last_id,
-            passed_on: 0,
+            forwarded: 0,
             first_at: None,
             last_at,
             longest_pause: 0,
@@ -73,10 +73,10 @@
     }
 
     /// Returns the stream as a response body.
-    pub(super) fn pieces(self) -> PieceStream {
+    pub(super) fn into_body(self) -> BodyStream {
         futures::stream::unfold(Some(self), |relay| async move {
             let mut relay = relay?;
-            match relay.next_piece().await {
+            match relay.next_chunk().await {
                 Some(Ok(bytes)) => Some((Ok(Frame::data(bytes)), Some(relay))),
                 Some(Err(error)) => Some((Err(error), None)),
                 None => None,
@@ -87,11 +87,11 @@
 
     /// Returns the next event's bytes, nothing at the regular end, or an error if the stream must end
     /// incomplete.
-    async fn next_piece(&mut self) -> Option<io::Result<Bytes>> {
+    async fn next_chunk(&mut self) -> Option<io::Result<Bytes>> {
         loop {
             let step = match self.next_step().await {
                 RelayStep::Event(event) => match self.check(&event) {
-                    Ok(()) => return Some(Ok(self.pass_on(event))),
+                    Ok(()) => return Some(Ok(self.forward(event))),
                     Err(detail) => RelayStep::Broken(SendFailure::lost(detail)),
                 },
                 step => step,
@@ -121,13 +121,13 @@
             let Some(source) = &mut self.source else {
                 return RelayStep::Broken(SendFailure::lost("no target"));
             };
-            let patience = self.course.patience(self.admitted.deadline);
-            let since = if self.passed_on == 0 { source.place.placed } else { self.last_at };
-            let (course, admitted, record) = (&self.course, &self.admitted, &self.record);
+            let remaining = self.handler.remaining_time(self.admitted.deadline);
+            let since = if self.forwarded == 0 { source.slot.assigned } else { self.last_at };
+            let (handler, admitted, record) = (&self.handler, &self.admitted, &self.record);
             let frame = tokio::select! {
-                frame = tokio::time::timeout(patience, source.answer.body.frame()) => frame,
-                cause = course.move_due(admitted, &source.place, record, since, self.passed_on) => {
-                    return RelayStep::Broken(course.note_moved(admitted, &source.place, cause, since));
+                frame = tokio::time::timeout(remaining, source.answer.body.frame()) => frame,
+                cause = handler.wait_for_move(admitted, &source.slot, record, since, self.forwarded) => {
+                    return RelayStep::Broken(handler.record_move(admitted, &source.slot, cause, since));
                 }
             };
             match frame {
@@ -154,41 +154,43 @@
         }
     }
 
-    fn pass_on(&mut self, event: WholeEvent) -> Bytes {
-        let now = self.course.clock.now();
+    fn forward(&mut self, event: WholeEvent) -> Bytes {
+        let now = self.handler.clock.now();
         if self.first_at.is_none() {
             self.first_at = Some(now);
             if let Some(source) = &self.source {
-                self.course.dispatcher.began(&source.place.record, now.since(source.place.placed) as f64);
+                self.handler
+                    .dispatcher
+                    .first_event_received(&source.slot.record, now.since(source.slot.assigned) as f64);
             }
             let first = now.since(self.admitted.arrival) as f64;
-            self.course.metrics.answer(first);
+            self.handler.metrics.answer(first);
         } else {
             let pause = now.since(self.last_at);
             self.longest_pause = self.longest_pause.max(pause);
-            self.course.metrics.event_pause(pause as f64);
+            self.handler.metrics.event_pause(pause as f64);
             if let Some(source) = &self.source {
-                self.course.dispatcher.heard(&source.place.record);
+                self.handler.dispatcher.event_received(&source.slot.record);
             }
         }
         self.last_at = now;
-        self.passed_on += 1;
+        self.forwarded += 1;
         self.last_id = event.id.or(self.last_id);
         event.bytes
     }
 
     fn finish(&mut self) {
         self.guard.ended.set(true);
-        self.course.quarantine.answered(&*self.admitted);
-        self.course.dispatcher.streamed(&self.admitted.service, self.passed_on);
-        let Some(EventSource { place, answer }) = self.source.take() else { return };
+        self.handler.quarantine.record_answer(&*self.admitted);
+        self.handler.dispatcher.stream_ended(&self.admitted.service, self.forwarded);
+        let Some(EventSource { slot, answer }) = self.source.take() else { return };
         let first = self.first_at.map(|first| first.since(self.admitted.arrival));
-        info!(self.course.logger, "streamed"; "event" => "answered",
-            "request" => &*self.admitted.facts.attempt, "target" => place.record.id.to_string(),
-            "events" => self.passed_on, "first_ms" => first, "longest_pause_ms" => self.longest_pause,
-            "took_ms" => self.course.clock.now().since(self.admitted.arrival));
-        place.ended(SendOutcome::Answered(first.unwrap_or_default() as f64));
-        answer.lease.give_back(&answer.head.headers);
+        info!(self.handler.logger, "streamed"; "event" => "answered",
+            "request" => &*self.admitted.facts.attempt, "target" => slot.record.id.to_string(),
+            "events" => self.forwarded, "first_ms" => first, "longest_pause_ms" => self.longest_pause,
+            "took_ms" => self.handler.clock.now().since(self.admitted.arrival));
+        slot.set_outcome(SendOutcome::Answered(first.unwrap_or_default() as f64));
+        answer.lease.release(&answer.head.headers);
     }
 
     /// Resumes the stream at another target, or ends it incomplete.
@@ -197,33 +199,33 @@
         let mut target = None;
         if let Some(source) = self.source.take() {
             if failure.reason != RetryReason::Moved {
-                source.place.ended(SendOutcome::Lost);
+                source.slot.set_outcome(SendOutcome::Lost);
             }
-            info!(self.course.logger, "stream broken"; "event" => "stream_broken",
-                "request" => &*self.admitted.facts.attempt, "target" => source.place.record.id.to_string(),
-                "events" => self.passed_on, "last_id" => self.last_id, "detail" => &failure.detail);
-            target = Some(source.place.record.clone());
+            info!(self.handler.logger, "stream broken"; "event" => "stream_broken",
+                "request" => &*self.admitted.facts.attempt, "target" => source.slot.record.id.to_string(),
+                "events" => self.forwarded, "last_id" => self.last_id, "detail" => &failure.detail);
+            target = Some(source.slot.record.clone());
         }
         self.splitter.clear();
         loop {
             if let Some(target) = target.take() {
-                self.course.note_lost(&self.admitted, &target, &failure, &mut self.record).await;
+                self.handler.check_lost_target(&self.admitted, &target, &failure, &mut self.record).await;
             }
             if failure.reason != RetryReason::Moved {
                 failure.reason = RetryReason::StreamResumed;
             }
             self.record.failed(&failure);
-            if self.course.allow_repeat(&self.admitted, &self.record, &failure).is_err() {
-                return Err(self.give_up(&failure.detail));
+            if self.handler.allow_retry(&self.admitted, &self.record, &failure).is_err() {
+                return Err(self.end_incomplete(&failure.detail));
             }
-            let placed = self.course.permit_and_place(&self.admitted, &mut self.record).await;
-            let Ok(place) = placed else {
-                return Err(self.give_up("no slot to resume at"));
+            let assigned = self.handler.acquire_permitted_slot(&self.admitted, &mut self.record).await;
+            let Ok(slot) = assigned else {
+                return Err(self.end_incomplete("no slot to resume at"));
             };
-            let sent = self.course.send(&self.admitted, &place, self.last_id, &mut self.record).await;
+            let sent = self.handler.send(&self.admitted, &slot, self.last_id, &mut self.record).await;
             match sent {
                 Ok(TargetAnswer::Events(answer)) => {
-                    self.source = Some(EventSource { place, answer });
+                    self.source = Some(EventSource { slot, answer });
                     return Ok(());
                 }
                 Ok(TargetAnswer::Whole(whole)) => {
@@ -231,18 +233,18 @@
                 }
                 Err(next) => {
                     failure = next;
-                    target = Some(place.record.clone());
+                    target = Some(slot.record.clone());
                 }
             }
         }
     }
 
-    fn give_up(&self, detail: &str) -> io::Error {
+    fn end_incomplete(&self, detail: &str) -> io::Error {
         self.guard.ended.set(true);
-        self.course.metrics.broken_stream();
-        info!(self.course.logger, "stream ended incomplete"; "event" => "stream_unfinished",
-            "request" => &*self.admitted.facts.attempt, "events" => self.passed_on, "last_id" => self.last_id,
-            "detail" => detail, "took_ms" => self.course.clock.now().since(self.admitted.arrival));
+        self.handler.metrics.broken_stream();
+        info!(self.handler.logger, "stream ended incomplete"; "event" => "stream_unfinished",
+            "request" => &*self.admitted.facts.attempt, "events" => self.forwarded, "last_id" => self.last_id,
+            "detail" => detail, "took_ms" => self.handler.clock.now().since(self.admitted.arrival));
         io::Error::other("the stream can't be resumed")
     }
 }
--- a/crates/porthoist-proxy/src/course/repeating.rs
+++ b/crates/porthoist-proxy/src/handler/retries.rs
@@ -1,7 +1,7 @@
 //! Retries: the route's attempt limit, the deadline and this process's retry budget.
 
 use super::ProxyHandler;
-use super::parts::{AdmittedRequest, CourseRefusal, SendRecord};
+use super::types::{AdmittedRequest, ProxyRefusal, SendRecord};
 use crate::exchange::SendFailure;
 use hyper::StatusCode;
 use porthoist_core::{RefusalReason, RetryReason, ServiceName};
@@ -11,57 +11,60 @@
 impl ProxyHandler {
     /// Whether another attempt is within the route's limit, the deadline and the retry budget. Takes it
     /// from the budget.
-    pub(super) fn may_repeat(&self, admitted: &AdmittedRequest, record: &SendRecord) -> bool {
+    pub(super) fn take_retry(&self, admitted: &AdmittedRequest, record: &SendRecord) -> bool {
         let attempts = record.attempts();
         let in_time = !admitted.deadline.passed(self.clock.now());
         let now = self.clock.now();
         attempts < admitted.rule.max_attempts
             && in_time
-            && self.share_of(&admitted.service, |share| share.take(now))
+            && self.with_retry_share(&admitted.service, |share| share.take(now))
     }
 
-    pub(super) fn repeat(&self, admitted: &AdmittedRequest, failure: &SendFailure) {
+    pub(super) fn record_retry(&self, admitted: &AdmittedRequest, failure: &SendFailure) {
         self.metrics.retry(failure.reason);
         info!(self.logger, "request sent again"; "event" => "sent_again", "request" => &*admitted.facts.attempt,
             "reason" => failure.reason.as_str());
     }
 
     /// Allows another attempt after a failure, or returns the refusal that ends the request.
-    pub(super) fn allow_repeat(
+    pub(super) fn allow_retry(
         &self,
         admitted: &AdmittedRequest,
         record: &SendRecord,
         failure: &SendFailure,
-    ) -> Result<(), CourseRefusal> {
-        let repeatable = !record.may_have_run || !admitted.once();
+    ) -> Result<(), ProxyRefusal> {
+        let repeatable = !record.may_have_run || !admitted.runs_once();
         // A move has already taken its retry from the budget.
         let moved = failure.reason == RetryReason::Moved;
-        if moved || repeatable && self.may_repeat(admitted, record) {
-            self.repeat(admitted, failure);
+        if moved || repeatable && self.take_retry(admitted, record) {
+            self.record_retry(admitted, failure);
             return Ok(());
         }
         let timed_out = admitted.deadline.passed(self.clock.now());
         Err(match (record.may_have_run, timed_out) {
-            (true, true) => {
-                CourseRefusal::unknown(RefusalReason::DeadlinePassed, StatusCode::GATEWAY_TIMEOUT)
-            }
-            (true, false) => CourseRefusal::unknown(RefusalReason::ConnectionLost, StatusCode::BAD_GATEWAY),
+            (true, true) => ProxyRefusal::unknown(RefusalReason::DeadlinePassed, StatusCode::GATEWAY_TIMEOUT),
+            (true, false) => ProxyRefusal::unknown(RefusalReason::ConnectionLost, StatusCode::BAD_GATEWAY),
             (false, _) => {
                 let reason = match failure.reason {
                     RetryReason::Unreachable => RefusalReason::Unreachable,
                     _ => RefusalReason::Overloaded,
                 };
-                CourseRefusal::later(
+                ProxyRefusal::retryable(
                     reason,
-                    self.dispatcher.return_millis(&admitted.service, admitted.deadline),
+                    self.dispatcher.retry_after_millis(&admitted.service, admitted.deadline),
                 )
             }
         })
     }
 
-    pub(super) fn share_of<T>(&self, service: &ServiceName, act: impl FnOnce(&mut RetryShare) -> T) -> T {
-        let mut shares = self.shares.borrow_mut();
-        let share = shares.entry(service.clone()).or_insert_with(|| RetryShare::new(self.settings.share));
+    pub(super) fn with_retry_share<T>(
+        &self,
+        service: &ServiceName,
+        act: impl FnOnce(&mut RetryShare) -> T,
+    ) -> T {
+        let mut retry_shares = self.retry_shares.borrow_mut();
+        let share =
+            retry_shares.entry(service.clone()).or_insert_with(|| RetryShare::new(self.settings.share));
         act(share)
     }
 }
--- a/crates/porthoist-proxy/src/course/sending.rs
+++ b/crates/porthoist-proxy/src/handler/sending.rs
@@ -1,8 +1,8 @@
 //! Sends a request to a target once and classifies the response.
 
-use super::parts::{AdmittedRequest, SendRecord, TargetAnswer, WholeAnswer};
+use super::types::{AdmittedRequest, SendRecord, TargetAnswer, WholeAnswer};
 use super::{LAST_EVENT_ID, MAX_WHOLE_ANSWER_BYTES, ProxyHandler};
-use crate::broker::TargetPlace;
+use crate::dispatcher::TargetSlot;
 use crate::exchange::{OpenAnswer, SendFailure};
 use crate::reply::strip_hop_headers;
 use crate::wire::SendFacts;
@@ -20,51 +20,51 @@
     pub(super) async fn send(
         &self,
         admitted: &AdmittedRequest,
-        place: &TargetPlace,
+        slot: &TargetSlot,
         after_event: Option<u64>,
         record: &mut SendRecord,
     ) -> Result<TargetAnswer, SendFailure> {
         let began = self.clock.now();
-        let request = self.outgoing(admitted, place, after_event, began);
+        let request = self.build_request(admitted, slot, after_event, began);
         if record.tried.is_empty() {
-            self.share_of(&admitted.service, |share| share.first(began));
+            self.with_retry_share(&admitted.service, |share| share.first(began));
         }
-        record.tried.push(place.record.id.clone());
+        record.tried.push(slot.record.id.clone());
         let sent = async {
-            let open = self.pool.send(&place.record, request, admitted.once(), admitted.deadline).await?;
-            self.read_answer(admitted, place, open, began).await
+            let open = self.pool.send(&slot.record, request, admitted.runs_once(), admitted.deadline).await?;
+            self.read_answer(admitted, slot, open, began).await
         };
         let answer = tokio::select! {
             answer = sent => answer,
-            cause = self.move_due(admitted, place, record, began, 0) => {
-                return Err(self.note_moved(admitted, place, cause, began));
+            cause = self.wait_for_move(admitted, slot, record, began, 0) => {
+                return Err(self.record_move(admitted, slot, cause, began));
             }
         };
         let millis = self.clock.now().since(began) as f64;
         if matches!(answer, Ok(TargetAnswer::Whole(_))) {
-            self.quarantine.answered(admitted);
+            self.quarantine.record_answer(admitted);
         }
         match &answer {
             Ok(TargetAnswer::Whole(whole)) if whole.status.is_server_error() => {
-                place.ended(SendOutcome::Failed);
+                slot.set_outcome(SendOutcome::Failed);
             }
             Ok(TargetAnswer::Whole(_whole)) => {
-                self.dispatcher.began(&place.record, millis);
-                place.ended(SendOutcome::Answered(millis));
+                self.dispatcher.first_event_received(&slot.record, millis);
+                slot.set_outcome(SendOutcome::Answered(millis));
             }
-            Ok(TargetAnswer::Events(_answer)) => place.ended(SendOutcome::Answered(millis)),
+            Ok(TargetAnswer::Events(_answer)) => slot.set_outcome(SendOutcome::Answered(millis)),
             Err(failure) => {
                 // A service whose targets back off is not down.
                 if !matches!(failure.reason, RetryReason::Misdirected | RetryReason::Resting) {
                     self.dispatcher.refused(&admitted.service);
                 }
-                place.ended(match failure.reason {
+                slot.set_outcome(match failure.reason {
                     RetryReason::Refused | RetryReason::Resting => SendOutcome::Shed,
                     RetryReason::Misdirected => SendOutcome::Gone,
                     _ => SendOutcome::Lost,
                 });
                 info!(self.logger, "send failed"; "event" => "send_failed",
-                    "request" => &*admitted.facts.attempt, "target" => place.record.id.to_string(),
+                    "request" => &*admitted.facts.attempt, "target" => slot.record.id.to_string(),
                     "reason" => failure.reason.as_str(), "verdict" => failure.verdict.as_str(),
                     "detail" => &failure.detail, "took_ms" => millis);
             }
@@ -72,10 +72,10 @@
         answer
     }
 
-    fn outgoing(
+    fn build_request(
         &self,
         admitted: &AdmittedRequest,
-        place: &TargetPlace,
+        slot: &TargetSlot,
         after_event: Option<u64>,
         now: UnixMillis,
     ) -> Request<Full<Bytes>> {
@@ -92,7 +92,7 @@
             headers.insert(LAST_EVENT_ID, HeaderValue::from(id));
         }
         let facts = SendFacts {
-            target: &place.record.id,
+            target: &slot.record.id,
             team: admitted.grant.as_ref().map(|grant| &grant.team),
             remaining_millis: admitted.deadline.0.since(now),
             priority: admitted.priority().min(9),
@@ -105,7 +105,7 @@
     async fn read_answer(
         &self,
         admitted: &AdmittedRequest,
-        place: &TargetPlace,
+        slot: &TargetSlot,
         answer: OpenAnswer,
         sent: UnixMillis,
     ) -> Result<TargetAnswer, SendFailure> {
@@ -115,13 +115,13 @@
             return Err(SendFailure::lost("response names another request"));
         }
         if !facts.misdirected {
-            self.note_word(&place.record, &facts.word, sent);
+            self.apply_signals(&slot.record, &facts.signals, sent);
         }
         if facts.not_executed {
             let whole = self.read_whole(admitted, answer).await;
             let detail =
                 whole.map_or_else(|failure| failure.detail, |whole| format!("status {}", whole.status));
-            let reason = match (facts.misdirected, facts.word.rest_millis) {
+            let reason = match (facts.misdirected, facts.signals.rest_millis) {
                 (true, _) => RetryReason::Misdirected,
                 (false, SignalValue::Present(_millis)) => RetryReason::Resting,
                 (false, SignalValue::Absent | SignalValue::Unreadable) => RetryReason::Refused,
@@ -152,14 +152,14 @@
         answer: OpenAnswer,
     ) -> Result<WholeAnswer, SendFailure> {
         let OpenAnswer { head, body, lease } = answer;
-        let patience = admitted.deadline.remaining(self.clock.now());
+        let remaining = admitted.deadline.remaining(self.clock.now());
         let reading = Limited::new(body, MAX_WHOLE_ANSWER_BYTES).collect();
-        let collected = tokio::time::timeout(patience, reading).await;
+        let collected = tokio::time::timeout(remaining, reading).await;
         let body = collected
             .map_err(|_elapsed| SendFailure::lost("response not complete in time"))?
             .map_err(SendFailure::closed)?
             .to_bytes();
-        lease.give_back(&head.headers);
+        lease.release(&head.headers);
         Ok(WholeAnswer { status: head.status, headers: head.headers, body })
     }
 }
--- a/crates/porthoist-proxy/src/course/placing.rs
+++ b/crates/porthoist-proxy/src/handler/slots.rs
@@ -1,22 +1,22 @@
 //! Requests a slot from the dispatcher and turns a refusal into a response.
 
 use super::ProxyHandler;
-use super::parts::{AdmittedRequest, CourseRefusal, SendRecord};
-use crate::broker::{SlotError, SlotRequest, TargetPlace};
+use super::types::{AdmittedRequest, ProxyRefusal, SendRecord};
+use crate::dispatcher::{SlotError, SlotRequest, TargetSlot};
 use hyper::StatusCode;
 use porthoist_core::RefusalReason;
 use porthoist_policy::proxy::waiting::QueueClass;
 use slog::info;
 
 impl ProxyHandler {
-    pub(super) async fn find_place(
+    pub(super) async fn request_slot(
         &self,
         admitted: &AdmittedRequest,
         record: &SendRecord,
-    ) -> Result<TargetPlace, CourseRefusal> {
+    ) -> Result<TargetSlot, ProxyRefusal> {
         let now = self.clock.now();
         let again = !record.tried.is_empty();
-        let turn = match (again, admitted.came_back) {
+        let class = match (again, admitted.is_caller_retry) {
             (true, _) => QueueClass::Resent,
             (false, true) => QueueClass::CallerRetry,
             (false, false) => QueueClass::First,
@@ -26,31 +26,36 @@
             ranked: admitted.ranked,
             work: admitted.work(),
             priority: admitted.priority(),
-            tried: self.places_to_avoid(admitted, record),
+            tried: self.targets_to_avoid(admitted, record),
             arrival: if again { now } else { admitted.arrival },
             latency_millis: admitted.rule.target_latency_millis,
             deadline: admitted.deadline,
-            class: turn,
+            class,
         };
-        let placed = self.dispatcher.place(demand).await;
+        let assigned = self.dispatcher.acquire_slot(demand).await;
         let waited = self.clock.now().since(now);
         self.metrics.queue_wait(waited as f64);
-        match placed {
-            Ok(place) => {
+        match assigned {
+            Ok(slot) => {
                 info!(self.logger, "placed"; "event" => "placed", "request" => &*admitted.facts.attempt,
-                    "target" => place.record.id.to_string(), "zone" => place.record.zone.to_string(),
-                    "group" => place.group.map(|group| group.index.place()),
-                    "pass_ms" => place.group.map(|group| group.status.millis), "in_flight" => place.in_flight,
-                    "reported" => place.report.map(|report| report.requests),
-                    "report_age_ms" => place.report.map(|report| report.age_millis), "waited_ms" => waited,
-                    "rate" => place.rate.map(|rate| rate.to_string()));
-                Ok(place)
+                    "target" => slot.record.id.to_string(), "zone" => slot.record.zone.to_string(),
+                    "group" => slot.group.map(|group| group.index.place()),
+                    "pass_ms" => slot.group.map(|group| group.status.millis), "in_flight" => slot.in_flight,
+                    "reported" => slot.report.map(|report| report.requests),
+                    "report_age_ms" => slot.report.map(|report| report.age_millis), "waited_ms" => waited,
+                    "rate" => slot.rate.map(|rate| rate.to_string()));
+                Ok(slot)
             }
-            Err(error) => Err(self.no_place(admitted, record, error)),
+            Err(error) => Err(self.slot_refusal(admitted, record, error)),
         }
     }
 
-    fn no_place(&self, admitted: &AdmittedRequest, record: &SendRecord, error: SlotError) -> CourseRefusal {
+    fn slot_refusal(
+        &self,
+        admitted: &AdmittedRequest,
+        record: &SendRecord,
+        error: SlotError,
+    ) -> ProxyRefusal {
         let reason = match error {
             SlotError::Busy | SlotError::Full | SlotError::Down => RefusalReason::Overloaded,
             SlotError::Limited => RefusalReason::TargetLimits,
@@ -60,8 +65,11 @@
             SlotError::NoTarget => RefusalReason::NoTarget,
         };
         if record.may_have_run {
-            return CourseRefusal::unknown(reason, StatusCode::BAD_GATEWAY);
+            return ProxyRefusal::unknown(reason, StatusCode::BAD_GATEWAY);
         }
-        CourseRefusal::later(reason, self.dispatcher.return_millis(&admitted.service, admitted.deadline))
+        ProxyRefusal::retryable(
+            reason,
+            self.dispatcher.retry_after_millis(&admitted.service, admitted.deadline),
+        )
     }
 }
--- a/crates/porthoist-proxy/src/course/parts.rs
+++ b/crates/porthoist-proxy/src/handler/types.rs
@@ -20,7 +20,7 @@
 
 /// Maximum number of attempts per request that don't count against the route's limit because a target asked
 /// for backoff.
-const MAX_RESTED: u32 = 3;
+const MAX_BACKOFF_REJECTIONS: u32 = 3;
 
 /// An admitted request with its body.
 pub(super) struct AdmittedRequest {
@@ -34,7 +34,7 @@
     pub(super) arrival: UnixMillis,
     pub(super) deadline: UnixDeadline,
     /// Whether the caller was refused before and is retrying.
-    pub(super) came_back: bool,
+    pub(super) is_caller_retry: bool,
     /// Digest of the request, computed on demand.
     pub(super) marked: OnceCell<RequestMark>,
 }
@@ -48,7 +48,7 @@
         RequestWork { prompt_tokens: self.facts.prompt_tokens }
     }
 
-    pub(super) fn once(&self) -> bool {
+    pub(super) fn runs_once(&self) -> bool {
         !self.rule.kind.repeatable()
     }
 }
@@ -88,14 +88,14 @@
 
 /// A response of the proxy itself, without an answer from a target.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct CourseRefusal {
+pub(super) struct ProxyRefusal {
     pub(super) reason: RefusalReason,
     pub(super) status: StatusCode,
     pub(super) verdict: RunVerdict,
     pub(super) retry_millis: Option<u64>,
 }
 
-impl CourseRefusal {
+impl ProxyRefusal {
     /// Refuses a request that fails unless the caller changes it.
     pub(super) fn denied(reason: RefusalReason) -> Self {
         let status = StatusCode::from_u16(reason.status()).unwrap_or(StatusCode::BAD_REQUEST);
@@ -103,7 +103,7 @@
     }
 
     /// Refuses a request that did not run and may be retried.
-    pub(super) fn later(reason: RefusalReason, retry_millis: u64) -> Self {
+    pub(super) fn retryable(reason: RefusalReason, retry_millis: u64) -> Self {
         Self {
             reason,
             status: StatusCode::SERVICE_UNAVAILABLE,
@@ -137,7 +137,7 @@
     pub(super) tried: Vec<TargetName>,
     pub(super) may_have_run: bool,
     /// Attempts rejected by targets that asked for backoff.
-    rested: u32,
+    backoff_rejections: u32,
     pub(super) last_reason: Option<RetryReason>,
     /// The exclusive run of a suspected request.
     pub(super) suspect: Option<SuspectRun>,
@@ -147,12 +147,12 @@
     pub(super) fn failed(&mut self, failure: &SendFailure) {
         self.may_have_run |= failure.verdict != RunVerdict::NotRun;
         self.last_reason = Some(failure.reason);
-        self.rested += u32::from(failure.reason == RetryReason::Resting);
+        self.backoff_rejections += u32::from(failure.reason == RetryReason::Resting);
     }
 
     /// Attempts that count against the route's limit. If several targets begin to back off at the same
     /// time, their rejections would otherwise use up the attempts although other targets have capacity.
     pub(super) fn attempts(&self) -> u32 {
-        self.tried.len() as u32 - self.rested.min(MAX_RESTED)
+        self.tried.len() as u32 - self.backoff_rejections.min(MAX_BACKOFF_REJECTIONS)
     }
 }
--- a/crates/porthoist-proxy/src/patch.rs
+++ b/crates/porthoist-proxy/src/patch.rs
@@ -11,7 +11,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Minimum, average and maximum chunk size in bytes.
-const PART_BYTES: [u32; 3] = [64, 256, 1_024];
+const CHUNK_BYTES: [u32; 3] = [64, 256, 1_024];
 
 /// A part of a value.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -36,13 +36,13 @@
     /// Computes the patch from the earlier value, which the row held at version `base`.
     pub fn new(base: u64, earlier: &[u8], value: &[u8]) -> Self {
         let known: HashMap<&[u8], usize> =
-            cuts(earlier).map(|range| (&earlier[range.clone()], range.start)).collect();
+            chunks(earlier).map(|range| (&earlier[range.clone()], range.start)).collect();
         let mut parts = Vec::new();
-        for range in cuts(value) {
+        for range in chunks(value) {
             let part = &value[range];
             match known.get(part) {
-                Some(from) => keep(&mut parts, *from, part.len()),
-                None => add(&mut parts, part),
+                Some(from) => push_kept(&mut parts, *from, part.len()),
+                None => push_new(&mut parts, part),
             }
         }
         Self { base, digest: xxh3_64(value), parts }
@@ -74,12 +74,12 @@
     }
 }
 
-fn cuts(value: &[u8]) -> impl Iterator<Item = Range<usize>> + '_ {
-    let [least, mean, most] = PART_BYTES;
-    FastCDC::new(value, least, mean, most).map(|cut| cut.offset..cut.offset + cut.length)
+fn chunks(value: &[u8]) -> impl Iterator<Item = Range<usize>> + '_ {
+    let [least, mean, most] = CHUNK_BYTES;
+    FastCDC::new(value, least, mean, most).map(|chunk| chunk.offset..chunk.offset + chunk.length)
 }
 
-fn keep(parts: &mut Vec<ValuePart>, place: usize, length: usize) {
+fn push_kept(parts: &mut Vec<ValuePart>, place: usize, length: usize) {
     let (place, length) = (place as u32, length as u32);
     match parts.last_mut() {
         Some(ValuePart::Kept { from, bytes }) if *from + *bytes == place => *bytes += length,
@@ -87,7 +87,7 @@
     }
 }
 
-fn add(parts: &mut Vec<ValuePart>, part: &[u8]) {
+fn push_new(parts: &mut Vec<ValuePart>, part: &[u8]) {
     match parts.last_mut() {
         Some(ValuePart::New(bytes)) => bytes.extend_from_slice(part),
         _ => parts.push(ValuePart::New(part.to_vec())),
--- a/crates/porthoist-proxy/src/shared.rs
+++ b/crates/porthoist-proxy/src/peer_rows.rs
@@ -27,28 +27,28 @@
 const HOLD: Duration = Duration::from_secs(1);
 /// Time beyond the hold within which a peer must respond: network latency within a zone, and scheduling
 /// delay on a host with 0.15 of a core.
-const ANSWER_TIME: Duration = Duration::from_millis(300);
+const PEER_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long a peer is avoided that did not answer, or whose own calls fail.
-const AVOIDED: Duration = Duration::from_secs(2);
+const AVOID_TIME: Duration = Duration::from_secs(2);
 /// Mean interval between calls of this process while the table service is unavailable and peers call it
 /// too.
-const PROBE: Duration = Duration::from_secs(3);
+const PROBE_INTERVAL: Duration = Duration::from_secs(3);
 
 /// How long a starting process waits for peers to send the tables that it does not need before there are
 /// targets.
 const START_TIME: Duration = Duration::from_secs(6);
 /// Interval at which a starting process looks for peers.
-const START_LOOK: Duration = Duration::from_millis(100);
+const START_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// How long a process waits for peers if it starts while others serve. Callers may already come to it.
 const LATE_START_TIME: Duration = Duration::from_millis(300);
 /// Minimum interval between this process's calls for targets at a start while there is no peer: when a
 /// fleet starts, rows come one by one, and each would wake all processes.
 const START_PAUSE: Duration = Duration::from_secs(4);
 
-/// Initial backoff after a failed call if there is no peer. It doubles up to [`MAX_PAUSE`].
-const PAUSE: Duration = Duration::from_millis(60);
+/// Initial backoff after a failed call if there is no peer. It doubles up to [`MAX_BACKOFF`].
+const MIN_BACKOFF: Duration = Duration::from_millis(60);
 /// Maximum backoff. The process must be ready again within a second of the table service's recovery.
-const MAX_PAUSE: Duration = Duration::from_millis(480);
+const MAX_BACKOFF: Duration = Duration::from_millis(480);
 
 /// Access to the peers that may follow the tables on behalf of others.
 pub trait TablePeers: fmt::Debug {
@@ -66,7 +66,7 @@
 
 /// Why the table service itself is called.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AskReason {
+pub enum ServiceCallReason {
     /// Nothing is known yet.
     Start,
     /// No peer answers.
@@ -79,7 +79,7 @@
     Probe,
 }
 
-impl AskReason {
+impl ServiceCallReason {
     /// Name in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
@@ -115,9 +115,9 @@
     }
 
     /// Returns the complete rows, with patches applied, or `None` if a patch does not apply.
-    fn whole_rows(&self, news: Stamped<Vec<RowUpdate>>) -> Option<Stamped<Vec<TableRow>>> {
+    fn apply_patches(&self, update: Stamped<Vec<RowUpdate>>) -> Option<Stamped<Vec<TableRow>>> {
         let known = self.rows.borrow();
-        let Stamped { value, revision, stamp, origin } = news;
+        let Stamped { value, revision, stamp, origin } = update;
         let rows: Option<Vec<TableRow>> = value
             .into_iter()
             .map(|row| {
@@ -153,13 +153,13 @@
 
     /// Takes another response into account. The one that places the service's clock latest is the most
     /// accurate.
-    fn tightened(self, sent: UnixMillis, stamp: u64) -> Self {
+    fn refined(self, sent: UnixMillis, stamp: u64) -> Self {
         let other = Self { sent, stamp, ..self };
-        if other.local(stamp) > self.local(stamp) { other } else { self }
+        if other.local_lower_bound(stamp) > self.local_lower_bound(stamp) { other } else { self }
     }
 
     /// Returns a lower bound of the local time of a time of the table service's clock.
-    fn local(self, stamp: u64) -> UnixMillis {
+    fn local_lower_bound(self, stamp: u64) -> UnixMillis {
         UnixMillis((self.sent.0 + stamp).saturating_sub(self.stamp))
     }
 }
@@ -180,13 +180,13 @@
     /// Until when a fleet that starts together may still be without peers.
     start_over: Cell<UnixDeadline>,
     /// Whether there were targets when they were first listed.
-    began_late: Cell<bool>,
+    joined_late: Cell<bool>,
     /// When the table service may be called again after a failure.
     probe_at: Cell<Option<UnixDeadline>>,
     /// The next backoff if there is no peer.
-    pause: Cell<Duration>,
+    backoff: Cell<Duration>,
     /// Offset between the table service's clock and the local one; `None` before the first response.
-    clocks: Cell<Option<ClockOffset>>,
+    clock_offset: Cell<Option<ClockOffset>>,
     /// Peers that are not queried for a while.
     avoided: RefCell<HashMap<Ipv4Addr, UnixDeadline>>,
     /// Includes the time in which the host was suspended, unlike the runtime's timers.
@@ -213,10 +213,10 @@
             targets_listed: Notify::new(),
             targets_due: Cell::default(),
             start_over: Cell::default(),
-            began_late: Cell::new(false),
+            joined_late: Cell::new(false),
             probe_at: Cell::new(None),
-            pause: Cell::new(PAUSE),
-            clocks: Cell::new(None),
+            backoff: Cell::new(MIN_BACKOFF),
+            clock_offset: Cell::new(None),
             avoided: RefCell::default(),
             clock,
             logger,
@@ -232,7 +232,7 @@
     }
 
     /// Returns the first peer that is not avoided.
-    fn peer(&self) -> Option<Ipv4Addr> {
+    fn first_peer(&self) -> Option<Ipv4Addr> {
         let now = self.clock.now();
         let mut avoided = self.avoided.borrow_mut();
         avoided.retain(|_host, until| !until.passed(now));
@@ -240,37 +240,37 @@
     }
 
     /// Whether a peer is not avoided.
-    fn asked(&self, host: Ipv4Addr) -> bool {
+    fn is_available(&self, host: Ipv4Addr) -> bool {
         let now = self.clock.now();
         self.avoided.borrow().get(&host).is_none_or(|until| until.passed(now))
     }
 
     fn avoid(&self, host: Ipv4Addr) {
-        let until = self.after(AVOIDED);
+        let until = self.after(AVOID_TIME);
         self.avoided.borrow_mut().insert(host, until);
     }
 
     /// Waits for peers to provide changes after a revision. An error states why the table service must be
     /// called.
-    async fn ask_peers(
+    async fn query_peers(
         &self,
         table: ControlTable,
         after: TableRevision,
         wait: Duration,
         until: UnixDeadline,
-    ) -> Result<Stamped<Vec<TableRow>>, AskReason> {
+    ) -> Result<Stamped<Vec<TableRow>>, ServiceCallReason> {
         let copy = self.copy(table);
-        let mut reason = AskReason::Outdated;
+        let mut reason = ServiceCallReason::Outdated;
         loop {
             let left = until.remaining(self.clock.now());
             if left.is_zero() {
                 return Err(reason);
             }
-            let Some(host) = self.peer() else { return Err(AskReason::NoPeer) };
-            let ask = TableQuery { table, after, stamp: copy.stamp.get(), hold: HOLD.min(left), wait };
+            let Some(host) = self.first_peer() else { return Err(ServiceCallReason::NoPeer) };
+            let query = TableQuery { table, after, stamp: copy.stamp.get(), hold: HOLD.min(left), wait };
             // A long response arrives in pieces. The known state must not become too old meanwhile.
-            let asked = self.peers.query(host, ask, ANSWER_TIME);
-            match tokio::time::timeout(left + ANSWER_TIME, asked).await {
+            let asked = self.peers.query(host, query, PEER_TIMEOUT);
+            match tokio::time::timeout(left + PEER_TIMEOUT, asked).await {
                 // A response that is not newer than the known state proves nothing. A peer that repeats it
                 // must not be queried for ever.
                 Ok(Ok(TableUpdate::Newer { rows, .. }))
@@ -280,7 +280,7 @@
                 }
                 Ok(Ok(TableUpdate::Newer { rows, keys, gap })) => {
                     // The patch applies to another value than the known one, so the complete row is needed.
-                    let Some(rows) = copy.whole_rows(rows) else { return Err(AskReason::History) };
+                    let Some(rows) = copy.apply_patches(rows) else { return Err(ServiceCallReason::History) };
                     let mut rows = Stamped { origin: AnswerOrigin::Peer { gap }, ..rows };
                     if let Some(keys) = keys {
                         rows.value.extend(copy.removed(&keys, rows.revision));
@@ -290,25 +290,26 @@
                 Ok(Ok(TableUpdate::Nothing { failing })) => {
                     // Another peer may reach the table service. If none does, this one responds as soon as
                     // it does.
-                    if failing && self.peers.hosts().iter().any(|other| *other != host && self.asked(*other))
+                    if failing
+                        && self.peers.hosts().iter().any(|other| *other != host && self.is_available(*other))
                     {
                         self.avoid(host);
                     }
-                    reason = if failing { AskReason::Probe } else { AskReason::Outdated };
+                    reason = if failing { ServiceCallReason::Probe } else { ServiceCallReason::Outdated };
                 }
-                Ok(Ok(TableUpdate::TooMuch)) => return Err(AskReason::History),
+                Ok(Ok(TableUpdate::TooMuch)) => return Err(ServiceCallReason::History),
                 Ok(Err(_)) | Err(_) => self.avoid(host),
             }
         }
     }
 
     /// Calls the table service itself.
-    async fn ask_itself(
+    async fn call_service(
         &self,
         table: ControlTable,
         revision: Option<TableRevision>,
         wait: Duration,
-        reason: AskReason,
+        reason: ServiceCallReason,
     ) -> Result<Stamped<Vec<TableRow>>, SourceError> {
         let sent = self.clock.now();
         if table == ControlTable::Targets {
@@ -321,19 +322,19 @@
             Some(revision) => self.table_service.after(table, revision, wait),
             None => self.table_service.list(table),
         };
-        let answer = answer_within(self.table_service.patience(wait), question).await;
+        let answer = answer_within(self.table_service.answer_timeout(wait), question).await;
         let answer = answer.and_then(|answer| self.reject_earlier_era(table, answer));
         if let Ok(answer) = &answer {
-            let known = self.clocks.get().filter(|known| known.era == answer.revision.era);
-            self.clocks.set(Some(known.map_or_else(
+            let known = self.clock_offset.get().filter(|known| known.era == answer.revision.era);
+            self.clock_offset.set(Some(known.map_or_else(
                 || ClockOffset::new(sent, answer.revision.era, answer.stamp),
-                |known| known.tightened(sent, answer.stamp),
+                |known| known.refined(sent, answer.stamp),
             )));
         }
         let failed = matches!(&answer, Err(error) if *error != SourceError::HistoryGone);
-        self.probe_at.set(failed.then(|| self.after(self.pause())));
+        self.probe_at.set(failed.then(|| self.after(self.backoff())));
         if !failed {
-            self.pause.set(PAUSE);
+            self.backoff.set(MIN_BACKOFF);
         }
         answer
     }
@@ -351,19 +352,19 @@
     }
 
     /// Returns the backoff before this process calls the table service again after a failure.
-    fn pause(&self) -> Duration {
+    fn backoff(&self) -> Duration {
         // Processes that failed together must not retry together.
         let jitter = rand::random::<f64>() + 0.5;
-        if self.peer().is_some() {
-            return PROBE.mul_f64(jitter);
+        if self.first_peer().is_some() {
+            return PROBE_INTERVAL.mul_f64(jitter);
         }
-        let pause = self.pause.get();
-        self.pause.set((pause * 2).min(MAX_PAUSE));
-        pause.mul_f64(jitter)
+        let backoff = self.backoff.get();
+        self.backoff.set((backoff * 2).min(MAX_BACKOFF));
+        backoff.mul_f64(jitter)
     }
 
     /// Applies a response to the copy. Rows older than the copy's are ignored.
-    fn take(&self, table: ControlTable, answer: &Stamped<Vec<TableRow>>, whole: bool) {
+    fn apply(&self, table: ControlTable, answer: &Stamped<Vec<TableRow>>, whole: bool) {
         let copy = self.copy(table);
         let mut rows = copy.rows.borrow_mut();
         if whole {
@@ -390,23 +391,23 @@
         let probe_at = self.probe_at.get();
         let Some(revision) = self.copy(table).revision.get() else {
             self.sleep_until(probe_at).await;
-            if let Some(first) = self.first_news(table).await {
+            if let Some(first) = self.query_peers_at_start(table).await {
                 return Ok(first);
             }
-            return self.list_itself(table, AskReason::Start).await;
+            return self.list_from_service(table, ServiceCallReason::Start).await;
         };
         // Peers call the table service too, and only changes are needed from them.
-        let heard = self.ask_peers(table, revision, PROBE, self.after(PROBE * 2));
+        let from_peers = self.query_peers(table, revision, PROBE_INTERVAL, self.after(PROBE_INTERVAL * 2));
         let listed = async {
-            self.sleep_until(probe_at.or_else(|| Some(self.after(Self::peers_time(table))))).await;
-            self.list_itself(table, AskReason::Probe).await
+            self.sleep_until(probe_at.or_else(|| Some(self.after(Self::peer_time_limit(table))))).await;
+            self.list_from_service(table, ServiceCallReason::Probe).await
         };
-        tokio::pin!(heard, listed);
+        tokio::pin!(from_peers, listed);
         let reason = tokio::select! {
-            answer = &mut heard => match answer {
+            answer = &mut from_peers => match answer {
                 Ok(answer) => {
                     self.probe_at.set(None);
-                    self.take(table, &answer, false);
+                    self.apply(table, &answer, false);
                     return Ok(self.whole_copy(table, answer));
                 }
                 Err(reason) => reason,
@@ -415,8 +416,8 @@
         };
         // A host that can't reach the service learns from peers that the update is too large, and must not
         // call the service again and again without a pause.
-        if reason == AskReason::History && probe_at.is_none() {
-            return self.list_itself(table, reason).await;
+        if reason == ServiceCallReason::History && probe_at.is_none() {
+            return self.list_from_service(table, reason).await;
         }
         listed.await
     }
@@ -424,25 +425,26 @@
     /// Asks peers for a table of which nothing is known. Each process lists the targets itself: they show
     /// which peers there are, and the response shows the table service's clock, which is needed to judge
     /// the peers' updates.
-    async fn first_news(&self, table: ControlTable) -> Option<Stamped<Vec<TableRow>>> {
+    async fn query_peers_at_start(&self, table: ControlTable) -> Option<Stamped<Vec<TableRow>>> {
         let mut until = self.after(START_TIME * 2);
         let mut known = false;
-        while !self.starts_alone(table) && !until.passed(self.clock.now()) {
+        while !self.lists_itself_at_start(table) && !until.passed(self.clock.now()) {
             if !known && !self.targets.rows.borrow().is_empty() {
                 known = true;
                 // The first targets may all be without a peer.
-                until = self.after(if self.began_late.get() { LATE_START_TIME } else { START_TIME });
+                until = self.after(if self.joined_late.get() { LATE_START_TIME } else { START_TIME });
             }
-            if known && self.peer().is_some() {
-                let patience = if self.began_late.get() { until } else { self.after(START_TIME) };
-                let answer = self.ask_peers(table, TableRevision::default(), PROBE, patience).await;
+            if known && self.first_peer().is_some() {
+                let deadline = if self.joined_late.get() { until } else { self.after(START_TIME) };
+                let answer =
+                    self.query_peers(table, TableRevision::default(), PROBE_INTERVAL, deadline).await;
                 if let Ok(answer) = answer {
-                    self.take(table, &answer, true);
+                    self.apply(table, &answer, true);
                     return Some(answer);
                 }
             }
             // The list of targets is what usually ends the wait.
-            drop(tokio::time::timeout(START_LOOK, self.targets_listed.notified()).await);
+            drop(tokio::time::timeout(START_CHECK_INTERVAL, self.targets_listed.notified()).await);
         }
         None
     }
@@ -450,37 +452,37 @@
     /// Whether this process lists a table itself at its start. If targets are known, callers may be
     /// waiting: a hundred processes that restart together get their routes sooner from the table service
     /// than over the link of one host.
-    fn starts_alone(&self, table: ControlTable) -> bool {
+    fn lists_itself_at_start(&self, table: ControlTable) -> bool {
         match table {
             ControlTable::Targets => true,
-            ControlTable::Routes => self.began_late.get(),
+            ControlTable::Routes => self.joined_late.get(),
             ControlTable::Crashes => false,
         }
     }
 
     /// How long peers are given to provide a table before it is listed. Crashes are rare, and the peers
     /// need them as much: with the time for routes, each entry would list them in every outage.
-    fn peers_time(table: ControlTable) -> Duration {
+    fn peer_time_limit(table: ControlTable) -> Duration {
         match table {
-            ControlTable::Routes | ControlTable::Targets => ANSWER_TIME,
-            ControlTable::Crashes => PROBE,
+            ControlTable::Routes | ControlTable::Targets => PEER_TIMEOUT,
+            ControlTable::Crashes => PROBE_INTERVAL,
         }
     }
 
-    async fn list_itself(
+    async fn list_from_service(
         &self,
         table: ControlTable,
-        reason: AskReason,
+        reason: ServiceCallReason,
     ) -> Result<Stamped<Vec<TableRow>>, SourceError> {
-        let answer = self.ask_itself(table, None, Duration::ZERO, reason).await?;
+        let answer = self.call_service(table, None, Duration::ZERO, reason).await?;
         if table == ControlTable::Targets && self.targets.revision.get().is_none() {
-            self.began_late.set(!answer.value.is_empty());
+            self.joined_late.set(!answer.value.is_empty());
             if answer.value.is_empty() {
                 self.start_over.set(self.after(START_TIME * 2));
             }
             self.targets_listed.notify_waiters();
         }
-        self.take(table, &answer, true);
+        self.apply(table, &answer, true);
         Ok(answer)
     }
 
@@ -501,22 +503,25 @@
         wait: Duration,
     ) -> Result<Stamped<Vec<TableRow>>, SourceError> {
         // The latest update may have been delayed, so the wait counts from the time that it proves.
-        let known = self.clocks.get().map(|clocks| clocks.local(self.copy(table).stamp.get()));
+        let known = self
+            .clock_offset
+            .get()
+            .map(|clock_offset| clock_offset.local_lower_bound(self.copy(table).stamp.get()));
         let now = self.clock.now();
         let end = UnixDeadline::after(known.unwrap_or(now).min(now), wait.as_millis() as u64);
-        let answer = match self.ask_peers(table, revision, wait, end).await {
+        let answer = match self.query_peers(table, revision, wait, end).await {
             Ok(answer) => answer,
             Err(reason) => {
-                if reason == AskReason::NoPeer && !self.start_over.get().passed(now) {
-                    let pause = self.targets_due.get().remaining(self.clock.now());
-                    tokio::time::sleep(pause.min(end.remaining(self.clock.now()))).await;
+                if reason == ServiceCallReason::NoPeer && !self.start_over.get().passed(now) {
+                    let delay = self.targets_due.get().remaining(self.clock.now());
+                    tokio::time::sleep(delay.min(end.remaining(self.clock.now()))).await;
                 }
                 // If there was no peer at all, the call waits as long as it may.
                 let left = end.remaining(self.clock.now());
-                self.ask_itself(table, Some(revision), left, reason).await?
+                self.call_service(table, Some(revision), left, reason).await?
             }
         };
-        self.take(table, &answer, false);
+        self.apply(table, &answer, false);
         Ok(answer)
     }
 }
@@ -535,12 +540,12 @@
         Box::pin(self.changes_shared(table, revision, wait))
     }
 
-    fn paces_itself(&self) -> bool {
+    fn handles_backoff(&self) -> bool {
         true
     }
 
     /// Each call to the table service has a timeout of its own; queries to peers come before it.
-    fn patience(&self, wait: Duration) -> Duration {
-        self.table_service.patience(wait) + PROBE * 2 + HOLD + ANSWER_TIME
+    fn answer_timeout(&self, wait: Duration) -> Duration {
+        self.table_service.answer_timeout(wait) + PROBE_INTERVAL * 2 + HOLD + PEER_TIMEOUT
     }
 }
--- a/crates/porthoist-proxy/src/quarantine.rs
+++ b/crates/porthoist-proxy/src/quarantine.rs
@@ -39,7 +39,7 @@
 
 /// Quarantine of one process.
 pub struct RequestQuarantine {
-    book: RefCell<QuarantineTracker>,
+    tracker: RefCell<QuarantineTracker>,
     /// State of the crash table.
     crashes: RefCell<watch::Receiver<CrashSnapshot>>,
     /// Receives changes to be written to the crash table.
@@ -59,14 +59,14 @@
 impl fmt::Debug for RequestQuarantine {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("RequestQuarantine")
-            .field("requests", &self.book.borrow().len())
+            .field("requests", &self.tracker.borrow().len())
             .finish_non_exhaustive()
     }
 }
 
 /// A run of a suspected request; ends when dropped.
 pub struct SuspectRun {
-    desk: Rc<RequestQuarantine>,
+    quarantine: Rc<RequestQuarantine>,
     mark: RequestMark,
     target: Option<TargetName>,
 }
@@ -75,7 +75,7 @@
     /// Records the target of the run.
     pub fn at(&mut self, target: &TargetName) {
         if self.target.replace(target.clone()).is_none() {
-            self.desk.occupied.borrow_mut().push(target.clone());
+            self.quarantine.occupied.borrow_mut().push(target.clone());
         }
     }
 }
@@ -88,11 +88,11 @@
 
 impl Drop for SuspectRun {
     fn drop(&mut self) {
-        self.desk.book.borrow_mut().ended(&self.mark);
+        self.quarantine.tracker.borrow_mut().ended(&self.mark);
         let Some(target) = &self.target else { return };
-        let mut occupied = self.desk.occupied.borrow_mut();
-        if let Some(place) = occupied.iter().position(|other| other == target) {
-            occupied.swap_remove(place);
+        let mut occupied = self.quarantine.occupied.borrow_mut();
+        if let Some(index) = occupied.iter().position(|other| other == target) {
+            occupied.swap_remove(index);
         }
     }
 }
@@ -110,7 +110,7 @@
         logger: Logger,
     ) -> Rc<Self> {
         Rc::new(Self {
-            book: RefCell::new(QuarantineTracker::new(QuarantineRules::default())),
+            tracker: RefCell::new(QuarantineTracker::new(QuarantineRules::default())),
             crashes: RefCell::new(crashes),
             changes,
             occupied: RefCell::default(),
@@ -128,22 +128,22 @@
     /// Asks for permission to send a request. A suspected request gets a [`SuspectRun`] that ends when it
     /// is dropped.
     pub fn begin(self: &Rc<Self>, request: &impl MarkedRequest) -> Result<Option<SuspectRun>, RequestBlock> {
-        self.take_news();
+        self.apply_update();
         let known = {
-            let book = self.book.borrow();
-            !book.is_empty() && book.knows_head(request.head_digest())
+            let tracker = self.tracker.borrow();
+            !tracker.is_empty() && tracker.knows_head(request.head_digest())
         };
         if !known {
             return Ok(None);
         }
         let mark = request.mark();
-        let permit = self.book.borrow_mut().begin(&mark, self.clock.now());
+        let permit = self.tracker.borrow_mut().begin(&mark, self.clock.now());
         match permit {
             Ok(SendPermit::Clear) => Ok(None),
             Ok(SendPermit::Suspected) => {
                 info!(self.logger, "suspected request sent"; "event" => "suspect_sent",
                     "request" => request.attempt(), "mark" => mark.short());
-                Ok(Some(SuspectRun { desk: Rc::clone(self), mark, target: None }))
+                Ok(Some(SuspectRun { quarantine: Rc::clone(self), mark, target: None }))
             }
             Err(kept) => {
                 info!(self.logger, "suspected request refused"; "event" => "kept_back",
@@ -163,7 +163,12 @@
     }
 
     /// Records that a connection to a target ended under a request, with the result of the probe.
-    pub fn lost(&self, request: &impl MarkedRequest, target: &TargetRecord, liveness: TargetLiveness) {
+    pub fn record_lost_connection(
+        &self,
+        request: &impl MarkedRequest,
+        target: &TargetRecord,
+        liveness: TargetLiveness,
+    ) {
         if liveness != TargetLiveness::Dead {
             return;
         }
@@ -171,8 +176,8 @@
         let life = target.life();
         let key = CrashKey { mark: request.mark(), target: format!("{}@{}", life.id, life.born).into() };
         let report = CrashReport { died: now, ranked: request.ranked(), by: self.host.as_str().into() };
-        let verdict = self.book.borrow_mut().died(&key, report.clone(), now);
-        let (level, deaths) = match verdict {
+        let outcome = self.tracker.borrow_mut().died(&key, report.clone(), now);
+        let (level, deaths) = match outcome {
             DeathOutcome::Held { level, deaths } => (level.as_str(), deaths),
             DeathOutcome::Trusted => ("trusted", 0),
             DeathOutcome::Known => return,
@@ -181,23 +186,23 @@
             "request" => request.attempt(), "mark" => key.mark.short(), "target" => life.id.to_string(),
             "level" => level, "deaths" => deaths);
         self.metrics.crash_event(level);
-        if verdict != DeathOutcome::Trusted {
-            self.tell(CrashChange::Put(key, report));
+        if outcome != DeathOutcome::Trusted {
+            self.queue_change(CrashChange::Put(key, report));
         }
-        self.drop_beyond();
+        self.evict_excess();
     }
 
     /// Records that a target answered a request completely, which clears the request.
-    pub fn answered(&self, request: &impl MarkedRequest) {
+    pub fn record_answer(&self, request: &impl MarkedRequest) {
         let known = {
-            let book = self.book.borrow();
-            !book.is_empty() && book.knows_head(request.head_digest())
+            let tracker = self.tracker.borrow();
+            !tracker.is_empty() && tracker.knows_head(request.head_digest())
         };
         if !known && request.body_bytes() > TRUSTED_BODY_BYTES {
             return;
         }
         let mark = request.mark();
-        let rows = self.book.borrow_mut().answered(&mark, self.clock.now());
+        let rows = self.tracker.borrow_mut().answered(&mark, self.clock.now());
         if rows.is_empty() {
             return;
         }
@@ -209,8 +214,8 @@
 
     /// Applies a new state of the crash table, if there is one. Called before each send: the process can
     /// report ready before another task of this thread has run.
-    pub fn take_news(&self) {
-        let news = {
+    pub fn apply_update(&self) {
+        let snapshot = {
             let mut receiver = self.crashes.borrow_mut();
             let changed = receiver.has_changed().unwrap_or(false);
             if self.listed.get() && !changed {
@@ -218,23 +223,23 @@
             }
             receiver.borrow_and_update().clone()
         };
-        if !news.listed {
+        if !snapshot.listed {
             return;
         }
         let mut first = !self.listed.replace(true);
-        if self.era.replace(news.era) < news.era && !first {
+        if self.era.replace(snapshot.era) < snapshot.era && !first {
             // Rows from the backup are not new: they count from their own crash times, as in the first
             // listing.
             first = true;
-            self.book.borrow_mut().schedule_rewrites(
-                &news.rows,
+            self.tracker.borrow_mut().schedule_rewrites(
+                &snapshot.rows,
                 self.host.as_str(),
                 rand::random(),
                 self.clock.now(),
             );
             self.write_due_rewrites();
         }
-        let changes = self.book.borrow_mut().apply_rows(&news.rows, first, self.clock.now());
+        let changes = self.tracker.borrow_mut().apply_rows(&snapshot.rows, first, self.clock.now());
         let QuarantineChanges { heard, lifted, remove } = changes;
         for (mark, level, deaths) in heard {
             info!(self.logger, "learned of crashes under a request"; "event" => "suspect_heard",
@@ -247,15 +252,15 @@
             self.metrics.crash_event("lifted");
         }
         self.remove(remove);
-        self.metrics.suspects(self.book.borrow().len() as u64);
+        self.metrics.suspects(self.tracker.borrow().len() as u64);
     }
 
     /// Writes rows again that a restore of the table lost.
     fn write_due_rewrites(&self) {
-        for (key, report) in self.book.borrow_mut().take_due_rewrites(self.clock.now()) {
+        for (key, report) in self.tracker.borrow_mut().take_due_rewrites(self.clock.now()) {
             info!(self.logger, "rewriting a crash row that was lost in a restore"; "event" => "crash_rewritten",
                 "mark" => key.mark.short(), "target" => &*key.target);
-            self.tell(CrashChange::Put(key, report));
+            self.queue_change(CrashChange::Put(key, report));
         }
     }
 
@@ -263,18 +268,18 @@
     pub fn remove_expired_crashes(&self) {
         self.write_due_rewrites();
         let now = self.clock.now();
-        let rows = self.book.borrow_mut().take_expired(self.host.as_str(), rand::random(), now);
+        let rows = self.tracker.borrow_mut().take_expired(self.host.as_str(), rand::random(), now);
         for row in &rows {
             info!(self.logger, "crash expired"; "event" => "suspect_lapsed",
                 "mark" => row.mark.short(), "target" => &*row.target);
             self.metrics.crash_event("lapsed");
         }
         self.remove(rows);
-        self.metrics.suspects(self.book.borrow().len() as u64);
+        self.metrics.suspects(self.tracker.borrow().len() as u64);
     }
 
-    fn drop_beyond(&self) {
-        let rows = self.book.borrow_mut().evict_excess();
+    fn evict_excess(&self) {
+        let rows = self.tracker.borrow_mut().evict_excess();
         for row in &rows {
             warn!(self.logger, "too many suspected requests, a crash dropped"; "event" => "suspect_dropped",
                 "mark" => row.mark.short());
@@ -285,11 +290,11 @@
 
     fn remove(&self, rows: Vec<CrashKey>) {
         for row in rows {
-            self.tell(CrashChange::Remove(row));
+            self.queue_change(CrashChange::Remove(row));
         }
     }
 
-    fn tell(&self, change: CrashChange) {
+    fn queue_change(&self, change: CrashChange) {
         if self.changes.try_send(change).is_err() {
             self.metrics.crash_event("unwritten");
             warn!(self.logger, "too many pending crashes, one dropped"; "event" => "crash_dropped");
--- a/crates/porthoist-proxy/src/reader.rs
+++ b/crates/porthoist-proxy/src/reader.rs
@@ -3,7 +3,7 @@
 //! It starts to follow a table on the first query, and stops when there have been none for a while. Updates
 //! carry the table service's own clock, by which each process computes the age of what it receives.
 
-use crate::earlier::EarlierValues;
+use crate::earlier_values::EarlierValues;
 use crate::patch::ValuePatch;
 use crate::revision::{TableEra, TableRevision};
 use crate::rows::{ControlTable, RowSource, RowValue, TableRow, answer_within};
@@ -24,7 +24,7 @@
 
 /// How long a table is followed after the last query, in milliseconds: some ten times the longest pause
 /// between two queries of one process.
-const WANTED_MILLIS: u64 = 10_000;
+const FOLLOW_MILLIS: u64 = 10_000;
 /// How much shorter its long polls are than those of the querying processes, in milliseconds. Its next
 /// update must reach them before they would poll the service themselves.
 const AHEAD_MILLIS: u64 = 500;
@@ -40,9 +40,9 @@
 /// Mean interval between two calls while the service does not answer, whether or not earlier calls have
 /// timed out. Other processes learn of the recovery from here and must be ready within a second; waiting
 /// for a timeout would take 0.9 s.
-const PROBE_STEP: Duration = Duration::from_millis(350);
+const PROBE_INTERVAL: Duration = Duration::from_millis(350);
 /// Maximum number of removed rows that are remembered. A process that needs older ones receives all keys.
-const REMOVED_KEPT: usize = 2_000;
+const MAX_REMOVED: usize = 2_000;
 
 /// Query for changes of a table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -136,19 +136,19 @@
 
 /// A row with the revision of its change. For a removal, this is the revision at which it was noticed.
 #[derive(Debug, Clone)]
-struct LearntRow {
+struct TrackedRow {
     row: TableRow,
-    learnt: TableRevision,
+    changed_at: TableRevision,
 }
 
 /// Known state of one table.
 #[derive(Debug, Default)]
 struct KnownTable {
-    rows: HashMap<String, LearntRow>,
+    rows: HashMap<String, TrackedRow>,
     /// Earlier values of large rows.
     earlier: EarlierValues,
     /// Removals after this revision are known individually.
-    floor: TableRevision,
+    removal_floor: TableRevision,
     revision: TableRevision,
     /// The table service's clock in its last response.
     stamp: Option<u64>,
@@ -159,14 +159,14 @@
 }
 
 impl KnownTable {
-    fn listed(&mut self, answer: Stamped<Vec<TableRow>>) {
+    fn apply_listing(&mut self, answer: Stamped<Vec<TableRow>>) {
         let restored = answer.revision.era > self.revision.era;
         if restored {
             self.rows.retain(|_key, known| known.row.value != RowValue::Removed);
             self.stamp = None;
         }
         if self.stamp.is_none() {
-            self.floor = answer.revision;
+            self.removal_floor = answer.revision;
         }
         let listed: HashSet<&str> = answer.value.iter().map(|row| row.key.as_str()).collect();
         let missing: Vec<TableRow> = self
@@ -179,68 +179,70 @@
                 version: answer.revision,
             })
             .collect();
-        let learnt = answer.revision;
+        let changed_at = answer.revision;
         for row in missing {
-            self.put(row, learnt);
+            self.put(row, changed_at);
         }
-        self.changed(answer);
+        self.apply_changes(answer);
     }
 
-    fn changed(&mut self, answer: Stamped<Vec<TableRow>>) {
-        let learnt = answer.revision;
+    fn apply_changes(&mut self, answer: Stamped<Vec<TableRow>>) {
+        let changed_at = answer.revision;
         for row in answer.value {
-            let learnt = if row.value == RowValue::Removed { learnt } else { row.version };
-            self.put(row, learnt);
+            let changed_at = if row.value == RowValue::Removed { changed_at } else { row.version };
+            self.put(row, changed_at);
         }
-        self.revision = self.revision.max(learnt);
+        self.revision = self.revision.max(changed_at);
         self.stamp = Some(self.stamp.map_or(answer.stamp, |known| known.max(answer.stamp)));
-        self.forget_removed();
+        self.prune_removed();
     }
 
-    fn put(&mut self, row: TableRow, learnt: TableRevision) {
+    fn put(&mut self, row: TableRow, changed_at: TableRevision) {
         if self.rows.get(&row.key).is_some_and(|known| known.row == row) {
             return;
         }
-        let known = self.rows.insert(row.key.clone(), LearntRow { row, learnt });
+        let known = self.rows.insert(row.key.clone(), TrackedRow { row, changed_at });
         if let Some(known) = known {
-            self.earlier.replaced(known.row);
+            self.earlier.record_replaced(known.row);
         }
     }
 
-    fn forget_removed(&mut self) {
+    fn prune_removed(&mut self) {
         let removed = self.rows.values().filter(|known| known.row.value == RowValue::Removed);
-        let mut learnt: Vec<TableRevision> = removed.map(|known| known.learnt).collect();
-        if learnt.len() <= REMOVED_KEPT {
+        let mut changed_at: Vec<TableRevision> = removed.map(|known| known.changed_at).collect();
+        if changed_at.len() <= MAX_REMOVED {
             return;
         }
-        learnt.sort_unstable();
-        let floor = learnt[learnt.len() / 2];
-        self.floor = self.floor.max(floor);
-        self.rows.retain(|_key, known| known.row.value != RowValue::Removed || known.learnt > floor);
+        changed_at.sort_unstable();
+        let removal_floor = changed_at[changed_at.len() / 2];
+        self.removal_floor = self.removal_floor.max(removal_floor);
+        self.rows
+            .retain(|_key, known| known.row.value != RowValue::Removed || known.changed_at > removal_floor);
     }
 
     /// Returns the response to a query, or `None` if the query must wait.
-    fn news(&self, ask: &TableQuery, now: UnixMillis) -> Option<TableUpdate> {
+    fn response(&self, query: &TableQuery, now: UnixMillis) -> Option<TableUpdate> {
         let stamp = self.stamp?;
-        if self.revision.era < ask.after.era {
+        if self.revision.era < query.after.era {
             return None;
         }
-        let is_later = self.revision.era > ask.after.era || stamp > ask.stamp;
+        let is_later = self.revision.era > query.after.era || stamp > query.stamp;
         // The querying process may know a later state of the table; then there is nothing to report.
-        if self.revision < ask.after && !is_later {
+        if self.revision < query.after && !is_later {
             return None;
         }
         // A process without any rows has none to remove.
-        let keys = (ask.after > TableRevision::default() && ask.after < self.floor).then(|| self.live_keys());
-        let newer = self.rows.values().filter(|known| known.learnt > ask.after);
+        let keys = (query.after > TableRevision::default() && query.after < self.removal_floor)
+            .then(|| self.live_keys());
+        let newer = self.rows.values().filter(|known| known.changed_at > query.after);
         let mut rows: Vec<RowUpdate> =
-            newer.map(|known| RowUpdate::of(&known.row, &self.earlier, ask.after)).collect();
+            newer.map(|known| RowUpdate::of(&known.row, &self.earlier, query.after)).collect();
         if rows.is_empty() && keys.is_none() && !is_later {
             return None;
         }
         rows.sort_by_key(|row| row.version);
         // Never reports an older revision than the querying process has.
-        let revision = self.revision.max(ask.after);
+        let revision = self.revision.max(query.after);
         let ages =
             |gap: AnswerGap| GapAges { asked: now.since(gap.asked), returned: now.since(gap.returned) };
         Some(TableUpdate::Newer { rows: Stamped::of(rows, revision, stamp), keys, gap: self.gap.map(ages) })
@@ -259,7 +261,7 @@
     known: RefCell<KnownTable>,
     /// Incremented with each response and each failure.
     changed: watch::Sender<u64>,
-    wanted_until: Cell<UnixDeadline>,
+    follow_until: Cell<UnixDeadline>,
     wait: Cell<Duration>,
     running: Cell<bool>,
 }
@@ -270,7 +272,7 @@
             table,
             known: RefCell::default(),
             changed: watch::Sender::new(0),
-            wanted_until: Cell::default(),
+            follow_until: Cell::default(),
             wait: Cell::new(Duration::MAX),
             running: Cell::new(false),
         })
@@ -285,7 +287,7 @@
     tables: [Rc<FollowedTable>; 3],
     /// Incremented when a call for routes fails: the other calls may be waiting on the same lost
     /// connection.
-    breaks: watch::Sender<u64>,
+    route_failures: watch::Sender<u64>,
 }
 
 impl fmt::Debug for TableReader {
@@ -298,7 +300,7 @@
     /// Creates a reader without queries.
     pub fn new(source: Rc<dyn RowSource>, clock: Arc<dyn ClockSource>, logger: Logger) -> Rc<Self> {
         let tables = ControlTable::ALL.map(FollowedTable::new);
-        Rc::new(Self { source, clock, logger, tables, breaks: watch::Sender::new(0) })
+        Rc::new(Self { source, clock, logger, tables, route_failures: watch::Sender::new(0) })
     }
 
     fn followed(&self, table: ControlTable) -> &Rc<FollowedTable> {
@@ -310,10 +312,10 @@
     }
 
     /// Answers a query as soon as there is something newer, or after its hold time.
-    pub async fn query(self: &Rc<Self>, ask: TableQuery) -> TableUpdate {
-        let table = Rc::clone(self.followed(ask.table));
-        table.wanted_until.set(UnixDeadline::after(self.clock.now(), WANTED_MILLIS));
-        table.wait.set(table.wait.get().min(ask.wait));
+    pub async fn query(self: &Rc<Self>, query: TableQuery) -> TableUpdate {
+        let table = Rc::clone(self.followed(query.table));
+        table.follow_until.set(UnixDeadline::after(self.clock.now(), FOLLOW_MILLIS));
+        table.wait.set(table.wait.get().min(query.wait));
         if !table.running.replace(true) {
             tokio::task::spawn_local(Rc::clone(self).follow(Rc::clone(&table)));
         }
@@ -321,16 +323,16 @@
         let answered = async {
             loop {
                 changed.mark_unchanged();
-                let news = table.known.borrow().news(&ask, self.clock.now());
-                if let Some(news) = news {
-                    return news;
+                let response = table.known.borrow().response(&query, self.clock.now());
+                if let Some(response) = response {
+                    return response;
                 }
                 if changed.changed().await.is_err() {
                     std::future::pending::<()>().await;
                 }
             }
         };
-        let held = tokio::time::timeout(ask.hold, answered).await;
+        let held = tokio::time::timeout(query.hold, answered).await;
         held.unwrap_or_else(|_elapsed| TableUpdate::Nothing { failing: table.known.borrow().failing })
     }
 
@@ -338,16 +340,16 @@
     async fn follow(self: Rc<Self>, table: Rc<FollowedTable>) {
         info!(self.logger, "following a table for other processes"; "event" => "table_followed",
             "table" => table.table.as_str());
-        let mut breaks = self.breaks.subscribe();
+        let mut route_failures = self.route_failures.subscribe();
         let mut revision = None;
         let mut paused = Duration::ZERO;
-        while !table.wanted_until.get().passed(self.clock.now()) {
-            breaks.mark_unchanged();
+        while !table.follow_until.get().passed(self.clock.now()) {
+            route_failures.mark_unchanged();
             let sent = self.clock.now();
-            let question = self.ask(&table, revision, std::mem::take(&mut paused));
+            let question = self.poll(&table, revision, std::mem::take(&mut paused));
             let answer = tokio::select! {
                 answer = question => answer,
-                _changed = breaks.changed(), if revision.is_some() && table.table != ControlTable::Routes => {
+                _changed = route_failures.changed(), if revision.is_some() && table.table != ControlTable::Routes => {
                     revision = None;
                     continue;
                 }
@@ -356,7 +358,7 @@
                 Ok(answer) => {
                     let changed = !answer.value.is_empty() && revision.is_some();
                     let whole = revision.replace(answer.revision).is_none();
-                    self.take(&table, answer, whole);
+                    self.apply(&table, answer, whole);
                     if changed {
                         paused = match table.table {
                             ControlTable::Routes => ROUTES_PAUSE,
@@ -369,7 +371,7 @@
                 Err(SourceError::HistoryGone) => revision = None,
                 Err(error) => {
                     revision = None;
-                    self.failed(&table, sent, &error);
+                    self.record_failure(&table, sent, &error);
                 }
             }
         }
@@ -378,7 +380,7 @@
         table.running.set(false);
     }
 
-    async fn ask(
+    async fn poll(
         &self,
         table: &FollowedTable,
         revision: Option<TableRevision>,
@@ -387,7 +389,7 @@
         let Some(revision) = revision else {
             if table.known.borrow().failing {
                 if table.table == ControlTable::Crashes {
-                    self.until_routes_answer().await;
+                    self.wait_for_routes().await;
                 }
                 return self.probe(table).await;
             }
@@ -397,49 +399,50 @@
         // The querying processes wait from the last response on, not from this poll.
         let ahead = Duration::from_millis(AHEAD_MILLIS) + paused;
         let wait = table.wait.get().saturating_sub(ahead).max(least);
-        answer_within(self.source.patience(wait), self.source.after(table.table, revision, wait)).await
+        answer_within(self.source.answer_timeout(wait), self.source.after(table.table, revision, wait)).await
     }
 
     /// Waits while the service does not answer calls for routes, which are made anyway.
-    async fn until_routes_answer(&self) {
+    async fn wait_for_routes(&self) {
         let routes = self.followed(ControlTable::Routes);
         let mut changed = routes.changed.subscribe();
         while routes.running.get() && routes.known.borrow().failing {
             changed.mark_unchanged();
             // The sender is not dropped while this process runs.
-            drop(tokio::time::timeout(PROBE_STEP, changed.changed()).await);
+            drop(tokio::time::timeout(PROBE_INTERVAL, changed.changed()).await);
         }
     }
 
     async fn list(&self, table: ControlTable) -> Result<Stamped<Vec<TableRow>>, SourceError> {
-        answer_within(self.source.patience(Duration::ZERO), self.source.list(table)).await
+        answer_within(self.source.answer_timeout(Duration::ZERO), self.source.list(table)).await
     }
 
     /// Calls a service that does not answer, again before earlier calls time out, until it responds or the
     /// table is no longer queried.
     async fn probe(&self, table: &FollowedTable) -> Result<Stamped<Vec<TableRow>>, SourceError> {
         let mut probes = FuturesUnordered::new();
-        while !table.wanted_until.get().passed(self.clock.now()) {
+        while !table.follow_until.get().passed(self.clock.now()) {
             let sent = self.clock.now();
             probes.push(async move { (sent, self.list(table.table).await) });
             // Processes that failed together must not retry together.
-            let step = tokio::time::sleep(PROBE_STEP.mul_f64(rand::random::<f64>().mul_add(0.5, 0.75)));
-            tokio::pin!(step);
+            let interval =
+                tokio::time::sleep(PROBE_INTERVAL.mul_f64(rand::random::<f64>().mul_add(0.5, 0.75)));
+            tokio::pin!(interval);
             loop {
                 let (sent, answer) = tokio::select! {
-                    () = &mut step => break,
+                    () = &mut interval => break,
                     Some(probe) = probes.next() => probe,
                 };
                 match answer {
                     Ok(answer) => return Ok(answer),
-                    Err(error) => self.failed(table, sent, &error),
+                    Err(error) => self.record_failure(table, sent, &error),
                 }
             }
         }
         Err(SourceError::Unavailable("the table is no longer queried".to_owned()))
     }
 
-    fn take(&self, table: &FollowedTable, answer: Stamped<Vec<TableRow>>, whole: bool) {
+    fn apply(&self, table: &FollowedTable, answer: Stamped<Vec<TableRow>>, whole: bool) {
         let mut known = table.known.borrow_mut();
         known.failing = false;
         if let Some(asked) = known.unanswered.take() {
@@ -448,15 +451,15 @@
                 "dependency" => "table");
         }
         if whole {
-            known.listed(answer);
+            known.apply_listing(answer);
         } else {
-            known.changed(answer);
+            known.apply_changes(answer);
         }
         drop(known);
         table.changed.send_modify(|changes| *changes += 1);
     }
 
-    fn failed(&self, table: &FollowedTable, sent: UnixMillis, error: &SourceError) {
+    fn record_failure(&self, table: &FollowedTable, sent: UnixMillis, error: &SourceError) {
         let mut known = table.known.borrow_mut();
         known.failing = true;
         let last = known.unanswered.max(Some(sent));
@@ -466,7 +469,7 @@
         }
         drop(known);
         if table.table == ControlTable::Routes {
-            self.breaks.send_modify(|breaks| *breaks += 1);
+            self.route_failures.send_modify(|route_failures| *route_failures += 1);
         }
         table.changed.send_modify(|changes| *changes += 1);
     }
--- a/crates/porthoist-proxy/src/reply.rs
+++ b/crates/porthoist-proxy/src/reply.rs
@@ -13,9 +13,9 @@
 use std::io;
 
 /// A streamed body. An error closes the connection, so that the caller does not take the body for complete.
-pub type PieceStream = LocalBoxStream<'static, Result<Frame<Bytes>, io::Error>>;
+pub type BodyStream = LocalBoxStream<'static, Result<Frame<Bytes>, io::Error>>;
 /// Body of a response to a caller.
-pub type ReplyBody = Either<Full<Bytes>, StreamBody<PieceStream>>;
+pub type ReplyBody = Either<Full<Bytes>, StreamBody<BodyStream>>;
 /// A response to a caller.
 pub type Reply = Response<ReplyBody>;
 
@@ -53,7 +53,7 @@
 }
 
 /// Creates a response with a complete body.
-pub fn whole_reply(status: StatusCode, headers: HeaderMap, body: Bytes) -> Reply {
+pub fn complete_reply(status: StatusCode, headers: HeaderMap, body: Bytes) -> Reply {
     let mut reply = Response::new(Either::Left(Full::new(body)));
     *reply.status_mut() = status;
     *reply.headers_mut() = headers;
@@ -61,8 +61,8 @@
 }
 
 /// Creates a response with a streamed body.
-pub fn piecewise_reply(status: StatusCode, headers: HeaderMap, pieces: PieceStream) -> Reply {
-    let mut reply = Response::new(Either::Right(StreamBody::new(pieces)));
+pub fn streamed_reply(status: StatusCode, headers: HeaderMap, stream: BodyStream) -> Reply {
+    let mut reply = Response::new(Either::Right(StreamBody::new(stream)));
     *reply.status_mut() = status;
     *reply.headers_mut() = headers;
     reply
@@ -70,7 +70,7 @@
 
 /// Creates a refusal or error of the proxy itself. `retry_millis` is the time after which the caller should
 /// retry.
-pub fn own_reply(status: StatusCode, reason: RefusalReason, retry_millis: Option<u64>) -> Reply {
+pub fn refusal_reply(status: StatusCode, reason: RefusalReason, retry_millis: Option<u64>) -> Reply {
     let text = format!("{reason}\n");
     let mut headers = HeaderMap::new();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain; charset=utf-8"));
@@ -79,5 +79,5 @@
         let value = HeaderValue::from_str(&seconds).expect("digits and a point fit a header");
         headers.insert(RETRY_AFTER, value);
     }
-    whole_reply(status, headers, Bytes::from(text))
+    complete_reply(status, headers, Bytes::from(text))
 }
--- a/crates/porthoist-proxy/src/rows.rs
+++ b/crates/porthoist-proxy/src/rows.rs
@@ -67,11 +67,11 @@
         wait: Duration,
     ) -> SourceFuture<'_, Vec<TableRow>>;
     /// Whether the source makes the pauses between failed calls itself.
-    fn paces_itself(&self) -> bool {
+    fn handles_backoff(&self) -> bool {
         false
     }
     /// Maximum time for a response to a call that waits for the given time.
-    fn patience(&self, wait: Duration) -> Duration {
+    fn answer_timeout(&self, wait: Duration) -> Duration {
         wait + Duration::from_millis(ANSWER_MILLIS)
     }
 }
@@ -97,10 +97,10 @@
 
 /// Awaits a response with a timeout.
 pub async fn answer_within<T>(
-    patience: Duration,
+    answer_timeout: Duration,
     question: SourceFuture<'_, T>,
 ) -> Result<Stamped<T>, SourceError> {
-    match tokio::time::timeout(patience, question).await {
+    match tokio::time::timeout(answer_timeout, question).await {
         Ok(answer) => answer,
         Err(_elapsed) => Err(SourceError::Unavailable("no response in time".to_owned())),
     }
--- a/crates/porthoist-proxy/src/server.rs
+++ b/crates/porthoist-proxy/src/server.rs
@@ -1,6 +1,6 @@
 //! The callers' listener: accepts connections, serves requests and shuts down gracefully.
 
-use crate::course::ProxyHandler;
+use crate::handler::ProxyHandler;
 use crate::reply::Reply;
 use hyper::Request;
 use hyper::body::Incoming;
--- a/crates/porthoist-proxy/src/source.rs
+++ b/crates/porthoist-proxy/src/source.rs
@@ -98,11 +98,11 @@
     /// Waits for changes of targets after a revision. Returns none after the wait.
     fn targets_after(&self, revision: TableRevision, wait: Duration) -> SourceFuture<'_, Vec<TargetChange>>;
     /// Whether the source makes the pauses between failed calls itself.
-    fn paces_itself(&self) -> bool {
+    fn handles_backoff(&self) -> bool {
         false
     }
     /// Maximum time for a response to a call that waits for the given time.
-    fn patience(&self, wait: Duration) -> Duration {
+    fn answer_timeout(&self, wait: Duration) -> Duration {
         wait + Duration::from_millis(ANSWER_MILLIS)
     }
 }
--- a/crates/porthoist-proxy/src/wire.rs
+++ b/crates/porthoist-proxy/src/wire.rs
@@ -59,7 +59,7 @@
     /// Whether the request did not run because another target has the address.
     pub misdirected: bool,
     /// Backpressure signals of the target.
-    pub word: BackpressureSignals,
+    pub signals: BackpressureSignals,
 }
 
 /// Parses and writes headers of one format.
--- a/crates/porthoist-proxy/tests/control.rs
+++ b/crates/porthoist-proxy/tests/control.rs
@@ -81,19 +81,19 @@
     fn put(&self, id: &str, state: TargetState) {
         self.remove_row(id);
         self.rows.borrow_mut().push(record(id, state));
-        self.note(TargetChange::Put(record(id, state)));
+        self.record_change(TargetChange::Put(record(id, state)));
     }
 
     fn remove(&self, id: &str) {
         self.remove_row(id);
-        self.note(TargetChange::Gone(id.parse().unwrap()));
+        self.record_change(TargetChange::Gone(id.parse().unwrap()));
     }
 
     fn remove_row(&self, id: &str) {
         self.rows.borrow_mut().retain(|row| row.id.as_str() != id);
     }
 
-    fn note(&self, change: TargetChange) {
+    fn record_change(&self, change: TargetChange) {
         let revision = *self.revision.borrow() + 1;
         self.history.borrow_mut().push((revision, change));
         self.revision.send_replace(revision);
@@ -105,7 +105,7 @@
     }
 
     /// Receives a call. Returns if the source answers at all.
-    async fn taken(&self) -> Result<(), SourceError> {
+    async fn receive(&self) -> Result<(), SourceError> {
         sleep(Duration::from_millis(self.answer_millis.get())).await;
         match self.fault.get() {
             SourceFault::None => Ok(()),
@@ -141,14 +141,14 @@
 impl ControlSource for TableSource {
     fn list_routes(&self) -> SourceFuture<'_, OperatorUpdate> {
         Box::pin(unless_lost(&self.routes_lost, async {
-            self.taken().await?;
+            self.receive().await?;
             Ok(self.stamped(OperatorUpdate::default()))
         }))
     }
 
     fn routes_after(&self, _revision: TableRevision, wait: Duration) -> SourceFuture<'_, OperatorUpdate> {
         Box::pin(unless_lost(&self.routes_lost, async move {
-            self.taken().await?;
+            self.receive().await?;
             sleep(wait).await;
             Ok(self.stamped(OperatorUpdate::default()))
         }))
@@ -156,7 +156,7 @@
 
     fn list_targets(&self) -> SourceFuture<'_, Vec<TargetChange>> {
         Box::pin(unless_lost(&self.targets_lost, async {
-            self.taken().await?;
+            self.receive().await?;
             Ok(self.stamped(self.rows.borrow().iter().cloned().map(TargetChange::from).collect()))
         }))
     }
@@ -167,7 +167,7 @@
                 std::future::pending::<()>().await;
             }
             self.newer(revision.number, wait).await;
-            self.taken().await?;
+            self.receive().await?;
             Ok(self.stamped(self.changes_after(revision.number)))
         }))
     }
@@ -273,7 +273,7 @@
 #[test_case(Lost::Both, Leaving::Removed)]
 #[tokio::test(start_paused = true)]
 async fn a_leaving_target_is_known_although_a_connection_fell_silent(lost: Lost, how: Leaving) {
-    let played = async {
+    let test = async {
         for phase in (0..4_000).step_by(250) {
             let watched = WatchedTable::start(&["t1", "t2"]).await;
             sleep(Duration::from_millis(phase)).await;
@@ -284,14 +284,14 @@
             assert!(watched.takes("t2"));
         }
     };
-    LocalSet::new().run_until(played).await;
+    LocalSet::new().run_until(test).await;
 }
 
 /// Guards against the same fault if the idle connection falls silent during the pause after a change, and
 /// the next poll uses it.
 #[tokio::test(start_paused = true)]
 async fn a_leaving_target_is_known_although_an_idle_connection_fell_silent() {
-    let played = async {
+    let test = async {
         for phase in (0..800).step_by(100) {
             let watched = WatchedTable::start(&["t1", "t2"]).await;
             watched.source.put("t3", TargetState::Ready);
@@ -302,14 +302,14 @@
             assert!(known + SEND_MILLIS <= LEAVING_MILLIS, "{known} ms at phase {phase}");
         }
     };
-    LocalSet::new().run_until(played).await;
+    LocalSet::new().run_until(test).await;
 }
 
 /// Guards against treating a silent connection as an outage: a row that disappears later has not expired,
 /// so there is no grace period.
 #[tokio::test(start_paused = true)]
 async fn a_silent_connection_is_no_outage_for_rows_that_vanish_later() {
-    let played = async {
+    let test = async {
         for pause in [3_000, 4_000, 5_000, 6_000, 7_000] {
             let watched = WatchedTable::start(&["t1", "t2"]).await;
             Lost::Both.silence(&watched.source);
@@ -318,7 +318,7 @@
             assert!(known + SEND_MILLIS <= LEAVING_MILLIS, "{known} ms, {pause} ms after the silence");
         }
     };
-    LocalSet::new().run_until(played).await;
+    LocalSet::new().run_until(test).await;
 }
 
 /// Guards against dropping targets whose rows expired during an outage of the table service and are written
@@ -327,7 +327,7 @@
 #[test_case(SourceFault::Silent)]
 #[tokio::test(start_paused = true)]
 async fn rows_that_lapsed_in_an_outage_are_kept_until_they_can_be_back(fault: SourceFault) {
-    let played = async {
+    let test = async {
         let watched = WatchedTable::start(&["t1", "t2"]).await;
         watched.source.fault.set(fault);
         sleep(Duration::from_secs(7)).await;
@@ -341,7 +341,7 @@
         sleep(Duration::from_secs(3)).await;
         assert!(watched.takes("t1"));
     };
-    LocalSet::new().run_until(played).await;
+    LocalSet::new().run_until(test).await;
 }
 
 /// Guards against late detection if a target leaves within the pause after another change, also if
@@ -350,7 +350,7 @@
 #[test_case(300; "slow answers")]
 #[tokio::test(start_paused = true)]
 async fn a_leaving_within_the_pause_after_a_change_is_known_in_time(answer_millis: u64) {
-    let played = async {
+    let test = async {
         for pause in (0..1_200).step_by(100) {
             let watched = WatchedTable::start(&["t1", "t2"]).await;
             watched.source.answer_millis.set(answer_millis);
@@ -360,5 +360,5 @@
             assert!(known + SEND_MILLIS <= LEAVING_MILLIS, "{known} ms, {pause} ms after a change");
         }
     };
-    LocalSet::new().run_until(played).await;
+    LocalSet::new().run_until(test).await;
 }
--- a/crates/porthoist-proxy/tests/quarantine.rs
+++ b/crates/porthoist-proxy/tests/quarantine.rs
@@ -51,75 +51,77 @@
     }
 }
 
-fn desk(news: &watch::Sender<CrashSnapshot>) -> (Rc<RequestQuarantine>, mpsc::Receiver<CrashChange>) {
+fn quarantine(
+    crashes: &watch::Sender<CrashSnapshot>,
+) -> (Rc<RequestQuarantine>, mpsc::Receiver<CrashChange>) {
     let (changes, noted) = mpsc::channel(16);
-    let desk = RequestQuarantine::builder()
+    let quarantine = RequestQuarantine::builder()
         .host("h".parse().unwrap())
-        .crashes(news.subscribe())
+        .crashes(crashes.subscribe())
         .changes(changes)
         .clock(Arc::new(FixedClock))
         .metrics(Arc::new(MetricsHub::new().unwrap()))
         .logger(Logger::root(Discard, o!()))
         .build();
-    (desk, noted)
+    (quarantine, noted)
 }
 
-fn tell(news: &watch::Sender<CrashSnapshot>, deaths: usize) {
-    tell_in_era(news, "other", deaths, TableEra::default());
+fn tell(crashes: &watch::Sender<CrashSnapshot>, deaths: usize) {
+    tell_in_era(crashes, "other", deaths, TableEra::default());
 }
 
-fn tell_in_era(news: &watch::Sender<CrashSnapshot>, by: &str, deaths: usize, era: TableEra) {
+fn tell_in_era(crashes: &watch::Sender<CrashSnapshot>, by: &str, deaths: usize, era: TableEra) {
     let report = CrashReport { died: UnixMillis(1_000_000), ranked: false, by: by.into() };
     let row = |index: usize| {
         (CrashKey { mark: Request("x").mark(), target: format!("t{index}").into() }, report.clone())
     };
     let rows: CrashRows = (0..deaths).map(row).collect();
-    news.send_replace(CrashSnapshot { rows: Arc::new(rows), listed: true, era });
+    crashes.send_replace(CrashSnapshot { rows: Arc::new(rows), listed: true, era });
 }
 
 #[test]
 fn a_permit_that_is_asked_for_anew_after_a_wait_knows_what_was_heard_since() {
-    let news = watch::Sender::new(CrashSnapshot::default());
-    let (desk, _noted) = desk(&news);
-    tell(&news, 1);
-    let run = desk.begin(&Request("x")).unwrap();
+    let crashes = watch::Sender::new(CrashSnapshot::default());
+    let (quarantine, _noted) = quarantine(&crashes);
+    tell(&crashes, 1);
+    let run = quarantine.begin(&Request("x")).unwrap();
     assert!(run.is_some(), "one death of a plain target: it may run, alone");
-    assert_eq!(desk.begin(&Request("x")).unwrap_err().level, SuspicionLevel::Watched);
-    tell(&news, 3);
+    assert_eq!(quarantine.begin(&Request("x")).unwrap_err().level, SuspicionLevel::Watched);
+    tell(&crashes, 3);
     drop(run);
-    assert_eq!(desk.begin(&Request("x")).unwrap_err().level, SuspicionLevel::Quarantined);
-    assert!(desk.begin(&Request("y")).unwrap().is_none());
+    assert_eq!(quarantine.begin(&Request("x")).unwrap_err().level, SuspicionLevel::Quarantined);
+    assert!(quarantine.begin(&Request("y")).unwrap().is_none());
 }
 
 #[test]
 fn a_whole_answer_removes_the_rows_of_a_request() {
-    let news = watch::Sender::new(CrashSnapshot::default());
-    let (desk, mut noted) = desk(&news);
-    tell(&news, 2);
-    desk.take_news();
-    desk.answered(&Request("x"));
+    let crashes = watch::Sender::new(CrashSnapshot::default());
+    let (quarantine, mut noted) = quarantine(&crashes);
+    tell(&crashes, 2);
+    quarantine.apply_update();
+    quarantine.record_answer(&Request("x"));
     let removed: Vec<CrashChange> = std::iter::from_fn(|| noted.try_recv().ok()).collect();
     assert_eq!(removed.len(), 2);
     assert!(removed.iter().all(|change| matches!(change, CrashChange::Remove(_))), "{removed:?}");
-    assert!(desk.begin(&Request("x")).unwrap().is_none());
+    assert!(quarantine.begin(&Request("x")).unwrap().is_none());
 }
 
 /// Guards against lifting a quarantine because a restore of the table lost its rows.
 #[test_case("h", 3; "noted by this process")]
 #[test_case("other", 0; "noted by another process")]
 fn a_quarantine_survives_a_restore_of_the_table(by: &str, rewritten: usize) {
-    let news = watch::Sender::new(CrashSnapshot::default());
-    let (desk, mut noted) = desk(&news);
-    tell_in_era(&news, by, 3, TableEra(1));
-    desk.take_news();
-    tell_in_era(&news, by, 0, TableEra(2));
-    assert_eq!(desk.begin(&Request("x")).unwrap_err().level, SuspicionLevel::Quarantined);
+    let crashes = watch::Sender::new(CrashSnapshot::default());
+    let (quarantine, mut noted) = quarantine(&crashes);
+    tell_in_era(&crashes, by, 3, TableEra(1));
+    quarantine.apply_update();
+    tell_in_era(&crashes, by, 0, TableEra(2));
+    assert_eq!(quarantine.begin(&Request("x")).unwrap_err().level, SuspicionLevel::Quarantined);
     let written: Vec<CrashChange> = std::iter::from_fn(|| noted.try_recv().ok()).collect();
     assert_eq!(written.len(), rewritten);
     assert!(written.iter().all(|change| matches!(change, CrashChange::Put(_, _))), "{written:?}");
     // Rows that are removed after they were listed again lift the quarantine.
-    tell_in_era(&news, by, 3, TableEra(2));
-    desk.take_news();
-    tell_in_era(&news, by, 0, TableEra(2));
-    assert!(desk.begin(&Request("x")).unwrap().is_none());
+    tell_in_era(&crashes, by, 3, TableEra(2));
+    quarantine.apply_update();
+    tell_in_era(&crashes, by, 0, TableEra(2));
+    assert!(quarantine.begin(&Request("x")).unwrap().is_none());
 }
--- a/crates/porthoist-proxy/tests/shared.rs
+++ b/crates/porthoist-proxy/tests/shared.rs
@@ -21,13 +21,13 @@
 
 #[tokio::test(start_paused = true)]
 async fn one_process_asks_for_a_zone_in_calm_times() {
-    play(async || {
+    run_local(async || {
         let zone = Deployment::start(ENTRIES, 2).await;
         let before = zone.service.calls.get();
-        zone.stay_fresh(Duration::from_mins(1)).await;
+        zone.assert_fresh(Duration::from_mins(1)).await;
         let calls = zone.service.calls.get() - before;
         assert!(calls <= CALM_CALLS, "{calls} calls in a minute");
-        let own: usize = zone.entries.iter().map(|entry| entry.way.calls.get()).sum();
+        let own: usize = zone.entries.iter().map(|entry| entry.link.calls.get()).sum();
         assert!(own <= ENTRIES * 4, "{own} calls of entries since their start");
     })
     .await;
@@ -36,7 +36,7 @@
 /// Guards against slow propagation of changes to the entries of a zone.
 #[tokio::test(start_paused = true)]
 async fn changes_are_passed_on_at_once() {
-    play(async || {
+    run_local(async || {
         let zone = Deployment::start(ENTRIES, 2).await;
         zone.service.put("b", b"leaving");
         let took = zone.until_all(|entry| entry.targets()["b"] == TargetState::Draining).await;
@@ -57,18 +57,18 @@
 #[test_case(ReaderFault::Repeating; "repeating old news")]
 #[tokio::test(start_paused = true)]
 async fn a_reader_that_fails_makes_no_belief_too_old(fault: ReaderFault) {
-    play(async || {
+    run_local(async || {
         for all in [false, true] {
             let zone = Deployment::start(4, 2).await;
             zone.reader(0).fault.set(fault);
             if all {
                 zone.reader(1).fault.set(fault);
             }
-            zone.stay_fresh(Duration::from_secs(12)).await;
+            zone.assert_fresh(Duration::from_secs(12)).await;
             zone.service.put("b", b"leaving");
             let took = zone.until_all(|entry| entry.targets()["b"] == TargetState::Draining).await;
             assert!(took <= TARGETS_MILLIS + 600, "{took} ms until a leaving target was known");
-            zone.stay_fresh(Duration::from_secs(6)).await;
+            zone.assert_fresh(Duration::from_secs(6)).await;
         }
     })
     .await;
@@ -78,7 +78,7 @@
 /// at once, and it is renewed by the next call, not at the end of the pending one.
 #[tokio::test(start_paused = true)]
 async fn suspended_time_makes_beliefs_old() {
-    play(async || {
+    run_local(async || {
         for (phase, frozen) in (0..10).flat_map(|phase| [(phase, false), (phase, true)]) {
             let millis = 6_000;
             let zone = Deployment::start(4, 1).await;
@@ -93,7 +93,7 @@
             }
             // The query that a reader holds back ends by a timer.
             sleep(Duration::from_millis(1_320)).await;
-            zone.stay_fresh(Duration::from_secs(6)).await;
+            zone.assert_fresh(Duration::from_secs(6)).await;
         }
     })
     .await;
@@ -103,14 +103,14 @@
 /// report that the update is too large.
 #[tokio::test(start_paused = true)]
 async fn an_entry_that_is_cut_off_does_not_try_without_a_pause() {
-    play(async || {
+    run_local(async || {
         let zone = Deployment::start(4, 2).await;
-        zone.entries[0].way.reset.set(true);
+        zone.entries[0].link.reset.set(true);
         zone.reader(0).fault.set(ReaderFault::Full);
         zone.reader(1).fault.set(ReaderFault::Full);
-        let before = zone.entries[0].way.calls.get();
+        let before = zone.entries[0].link.calls.get();
         sleep(Duration::from_secs(8)).await;
-        let tried = zone.entries[0].way.calls.get() - before;
+        let tried = zone.entries[0].link.calls.get() - before;
         assert!((1..=16).contains(&tried), "{tried} questions in 8 s");
     })
     .await;
@@ -119,7 +119,7 @@
 /// Guards against replacing an entry's state by older state from a reader.
 #[tokio::test(start_paused = true)]
 async fn old_news_never_follow_newer_ones() {
-    play(async || {
+    run_local(async || {
         let zone = Deployment::start(4, 1).await;
         zone.service.put("b", b"leaving");
         zone.until_all(|entry| entry.targets()["b"] == TargetState::Draining).await;
@@ -140,7 +140,7 @@
 /// Guards against missing removals from before a restart of the reader.
 #[tokio::test(start_paused = true)]
 async fn a_reader_that_begins_anew_tells_of_removals_that_it_did_not_see() {
-    play(async || {
+    run_local(async || {
         let zone = Deployment::start(4, 1).await;
         zone.reader(0).fault.set(ReaderFault::Gone);
         zone.service.remove("b");
@@ -148,7 +148,7 @@
         zone.reader(0).restart();
         zone.reader(0).fault.set(ReaderFault::None);
         zone.until_all(|entry| !entry.targets().contains_key("b") && entry.targets().contains_key("c")).await;
-        zone.stay_fresh(Duration::from_secs(10)).await;
+        zone.assert_fresh(Duration::from_secs(10)).await;
     })
     .await;
 }
@@ -156,10 +156,10 @@
 /// Guards against staying with a reader that can't reach the table service.
 #[tokio::test(start_paused = true)]
 async fn a_reader_that_is_cut_off_from_the_service_is_left_for_another() {
-    play(async || {
+    run_local(async || {
         let zone = Deployment::start(ENTRIES, 2).await;
-        zone.reader(0).way.cut.set(true);
-        zone.stay_fresh(Duration::from_secs(20)).await;
+        zone.reader(0).link.cut.set(true);
+        zone.assert_fresh(Duration::from_secs(20)).await;
         zone.service.put("b", b"leaving");
         zone.until_all(|entry| entry.targets()["b"] == TargetState::Draining).await;
     })
@@ -169,10 +169,10 @@
 /// Guards against losing the tables in an entry that alone can't reach the table service.
 #[tokio::test(start_paused = true)]
 async fn an_entry_that_is_cut_off_hears_of_the_tables_from_its_zone() {
-    play(async || {
+    run_local(async || {
         let zone = Deployment::start(4, 2).await;
-        zone.entries[2].way.cut.set(true);
-        zone.stay_fresh(Duration::from_secs(20)).await;
+        zone.entries[2].link.cut.set(true);
+        zone.assert_fresh(Duration::from_secs(20)).await;
         zone.service.put("b", b"leaving");
         zone.until_all(|entry| entry.targets()["b"] == TargetState::Draining).await;
     })
@@ -189,7 +189,7 @@
 #[test_case(false; "refusing")]
 #[tokio::test(start_paused = true)]
 async fn few_ask_while_the_service_is_away_and_all_know_of_its_return(silent: bool) {
-    play(async || {
+    run_local(async || {
         let zone = Deployment::start(ENTRIES, 2).await;
         if silent {
             zone.service.set_silent(true);
@@ -220,7 +220,7 @@
 /// reader: they have the same grace period.
 #[tokio::test(start_paused = true)]
 async fn rows_that_lapsed_in_an_outage_have_their_grace_with_all() {
-    play(async || {
+    run_local(async || {
         let zone = Deployment::start(4, 1).await;
         // The outage is too short for entries to notice, but the reader notices it.
         zone.service.refusing.set(true);
@@ -229,7 +229,7 @@
         zone.service.remove("b");
         zone.service.refusing.set(false);
         sleep(Duration::from_millis(1_300)).await;
-        let own: usize = zone.entries.iter().map(|entry| entry.way.calls.get()).sum();
+        let own: usize = zone.entries.iter().map(|entry| entry.link.calls.get()).sum();
         assert!(own <= zone.entries.len() * 4, "no entry noticed it itself");
         for entry in &zone.entries {
             assert!(entry.targets().contains_key("b"), "it may be back within two seconds of the return");
@@ -242,9 +242,9 @@
 /// Guards against depending on readers: without any, an entry calls the service itself.
 #[tokio::test(start_paused = true)]
 async fn a_zone_without_readers_asks_for_itself() {
-    play(async || {
+    run_local(async || {
         let zone = Deployment::start(2, 0).await;
-        zone.stay_fresh(Duration::from_secs(10)).await;
+        zone.assert_fresh(Duration::from_secs(10)).await;
         zone.service.put("b", b"leaving");
         zone.until_all(|entry| entry.targets()["b"] == TargetState::Draining).await;
     })
@@ -259,7 +259,7 @@
 #[test_case(2; "entries that ask others")]
 #[tokio::test(start_paused = true)]
 async fn a_change_of_the_last_moments_of_a_silence_is_in_force_in_time(readers: usize) {
-    play(async || {
+    run_local(async || {
         for outage in [1_300, 2_700, 3_300, 3_900, 4_700, 6_100] {
             let zone = Deployment::start(6, readers).await;
             zone.service.set_silent(true);
@@ -293,7 +293,7 @@
 #[test_case(2_000, 3_300, START_CALLS + 1; "the first targets have nobody to ask beside them")]
 #[tokio::test(start_paused = true)]
 async fn a_start_of_all_before_any_target_asks_little(first_row: u64, alone_millis: u64, most: usize) {
-    play(async || {
+    run_local(async || {
         let zone = Deployment::begin(TableService::empty(), ENTRIES, 2);
         sleep(Duration::from_millis(first_row)).await;
         zone.service.put("a", b"first");
@@ -311,11 +311,11 @@
             |entry: &Entry| entry.targets().contains_key("k") && entry.state.borrow().routes.is_some();
         zone.until_all(known).await;
         for entry in &zone.entries {
-            assert!(entry.way.calls.get() <= most, "{} calls of one entry", entry.way.calls.get());
+            assert!(entry.link.calls.get() <= most, "{} calls of one entry", entry.link.calls.get());
         }
-        zone.stay_fresh(Duration::from_secs(10)).await;
+        zone.assert_fresh(Duration::from_secs(10)).await;
         // No entry lists again later.
-        let own: usize = zone.entries.iter().map(|entry| entry.way.calls.get()).sum();
+        let own: usize = zone.entries.iter().map(|entry| entry.link.calls.get()).sum();
         assert!(own <= ENTRIES * most, "{own} calls of entries since their start");
     })
     .await;
@@ -324,7 +324,7 @@
 /// Guards against a long start of an entry without any reader.
 #[tokio::test(start_paused = true)]
 async fn a_start_without_anybody_to_ask_is_not_held_up_for_long() {
-    play(async || {
+    run_local(async || {
         let zone = Deployment::begin(TableService::empty(), 2, 0);
         let began = Instant::now();
         zone.service.put("a", b"first");
@@ -354,11 +354,11 @@
 /// 260 routes and 333 teams, each of 531 entries fetched the whole row after each of seven changes.
 #[tokio::test(start_paused = true)]
 async fn a_change_of_a_large_row_reaches_all_without_calls_of_their_own() {
-    play(async || {
+    run_local(async || {
         let zone = Deployment::start(ENTRIES, 2).await;
         zone.service.put("a", &large_row(0));
         sleep(Duration::from_secs(2)).await;
-        let own = || -> usize { zone.entries.iter().map(|entry| entry.way.calls.get()).sum() };
+        let own = || -> usize { zone.entries.iter().map(|entry| entry.link.calls.get()).sum() };
         let before = own();
         for change in 1..8 {
             zone.service.put("a", &large_row(change));
@@ -380,18 +380,18 @@
 /// tables. Half of the zone is rejected, including one reader.
 #[tokio::test(start_paused = true)]
 async fn hosts_that_the_service_turns_away_go_on_with_their_zone() {
-    play(async || {
+    run_local(async || {
         let zone = Deployment::start(ENTRIES, 3).await;
         zone.service.put("a", &large_row(0));
         sleep(Duration::from_secs(3)).await;
         for entry in zone.entries.iter().step_by(2) {
-            entry.way.reset.set(true);
+            entry.link.reset.set(true);
         }
-        zone.reader(0).way.reset.set(true);
+        zone.reader(0).link.reset.set(true);
         zone.service.reset.send_modify(|resets| *resets += 1);
         for change in 1..6 {
             zone.service.put("a", &large_row(change));
-            zone.stay_fresh(Duration::from_millis(1_500)).await;
+            zone.assert_fresh(Duration::from_millis(1_500)).await;
         }
         let newest = *zone.service.version.borrow();
         for entry in &zone.entries {
--- a/crates/porthoist-proxy/tests/shared/harness.rs
+++ b/crates/porthoist-proxy/tests/shared/harness.rs
@@ -173,7 +173,7 @@
         )
     }
 
-    pub async fn taken(&self) -> Result<(), SourceError> {
+    pub async fn receive(&self) -> Result<(), SourceError> {
         self.calls.set(self.calls.get() + 1);
         sleep(Duration::from_millis(self.answer_millis.get())).await;
         if self.silent.get() {
@@ -185,7 +185,7 @@
 
 /// One process's connection to the service, which may be cut for it alone.
 #[derive(Debug)]
-pub struct ServiceWay {
+pub struct ServiceLink {
     pub service: Rc<TableService>,
     pub cut: Cell<bool>,
     /// Each call over it fails at once.
@@ -193,7 +193,7 @@
     pub calls: Cell<usize>,
 }
 
-impl ServiceWay {
+impl ServiceLink {
     pub fn new(service: &Rc<TableService>) -> Rc<Self> {
         Rc::new(Self {
             service: Rc::clone(service),
@@ -226,10 +226,10 @@
     }
 }
 
-impl RowSource for ServiceWay {
+impl RowSource for ServiceLink {
     fn list(&self, _table: ControlTable) -> SourceFuture<'_, Vec<TableRow>> {
         Box::pin(self.unless_lost(async {
-            self.service.taken().await?;
+            self.service.receive().await?;
             Ok(self.service.rows(|value, _version| *value != RowValue::Removed))
         }))
     }
@@ -241,7 +241,7 @@
         wait: Duration,
     ) -> SourceFuture<'_, Vec<TableRow>> {
         Box::pin(self.unless_lost(async move {
-            self.service.taken().await?;
+            self.service.receive().await?;
             let era = revision.era;
             let revision = self.service.revision_number(revision)?;
             let mut versions = self.service.version.subscribe();
@@ -276,35 +276,35 @@
 #[derive(Debug)]
 pub struct ReaderProcess {
     pub reader: RefCell<Rc<TableReader>>,
-    pub way: Rc<ServiceWay>,
+    pub link: Rc<ServiceLink>,
     pub fault: Cell<ReaderFault>,
     pub first: RefCell<Option<TableUpdate>>,
 }
 
 impl ReaderProcess {
     pub fn new(service: &Rc<TableService>) -> Rc<Self> {
-        let way = ServiceWay::new(service);
-        let reader = Self::reader(&way);
+        let link = ServiceLink::new(service);
+        let reader = Self::reader(&link);
         Rc::new(Self {
             reader: RefCell::new(reader),
-            way,
+            link,
             fault: Cell::new(ReaderFault::None),
             first: RefCell::default(),
         })
     }
 
-    pub fn reader(way: &Rc<ServiceWay>) -> Rc<TableReader> {
-        let source: Rc<dyn RowSource> = Rc::<ServiceWay>::clone(way);
+    pub fn reader(link: &Rc<ServiceLink>) -> Rc<TableReader> {
+        let source: Rc<dyn RowSource> = Rc::<ServiceLink>::clone(link);
         // Its time of day is an hour ahead of the entries'.
         TableReader::new(source, RuntimeClock::ahead(3_600_000), logger())
     }
 
     /// Replaces the reader by one that knows nothing.
     pub fn restart(&self) {
-        *self.reader.borrow_mut() = Self::reader(&self.way);
+        *self.reader.borrow_mut() = Self::reader(&self.link);
     }
 
-    pub async fn news(&self, ask: TableQuery) -> Result<TableUpdate, String> {
+    pub async fn query(&self, query: TableQuery) -> Result<TableUpdate, String> {
         match self.fault.get() {
             ReaderFault::Frozen => std::future::pending().await,
             ReaderFault::Gone => return Err("connection refused".to_owned()),
@@ -320,13 +320,13 @@
             return Ok(first);
         }
         let reader = Rc::clone(&self.reader.borrow());
-        let news = reader.query(ask).await;
+        let update = reader.query(query).await;
         if self.fault.get() == ReaderFault::Frozen {
             std::future::pending::<()>().await;
         }
         let mut first = self.first.borrow_mut();
-        first.get_or_insert_with(|| news.clone());
-        Ok(news)
+        first.get_or_insert_with(|| update.clone());
+        Ok(update)
     }
 }
 
@@ -350,7 +350,7 @@
         query: TableQuery,
         answer_timeout: Duration,
     ) -> LocalBoxFuture<'_, Result<TableUpdate, String>> {
-        let asked = self.readers[usize::from(host.octets()[3])].news(query);
+        let asked = self.readers[usize::from(host.octets()[3])].query(query);
         Box::pin(async move {
             let answered = timeout(query.hold + answer_timeout, asked).await;
             answered.unwrap_or_else(|_elapsed| Err("no news in time".to_owned()))
@@ -442,31 +442,31 @@
         })
     }
 
-    fn paces_itself(&self) -> bool {
-        self.0.paces_itself()
+    fn handles_backoff(&self) -> bool {
+        self.0.handles_backoff()
     }
 
-    fn patience(&self, wait: Duration) -> Duration {
-        self.0.patience(wait)
+    fn answer_timeout(&self, wait: Duration) -> Duration {
+        self.0.answer_timeout(wait)
     }
 }
 
 /// An entry of the zone.
 pub struct Entry {
     pub state: watch::Receiver<ControlState>,
-    pub way: Rc<ServiceWay>,
+    pub link: Rc<ServiceLink>,
     pub clock: Arc<RuntimeClock>,
 }
 
 impl Entry {
     pub fn start(service: &Rc<TableService>, zone: &Rc<Zone>) -> Self {
-        let way = ServiceWay::new(service);
+        let link = ServiceLink::new(service);
         let clock = RuntimeClock::ahead(0);
         let metrics = Arc::new(MetricsHub::new().unwrap());
         let peers: Rc<dyn TablePeers> = Rc::<Zone>::clone(zone);
         let shared_clock: Arc<dyn ClockSource> = Arc::<RuntimeClock>::clone(&clock);
         let rows = PeerRowSource::new(
-            Rc::<ServiceWay>::clone(&way),
+            Rc::<ServiceLink>::clone(&link),
             peers,
             shared_clock,
             Arc::clone(&metrics),
@@ -482,7 +482,7 @@
             .logger(logger())
             .build();
         tokio::task::spawn_local(async move { watch.run().await });
-        Self { state, way, clock }
+        Self { state, link, clock }
     }
 
     pub fn targets(&self) -> HashMap<String, TargetState> {
@@ -528,7 +528,7 @@
     }
 
     /// Asserts for a time that no entry's proofs become too old.
-    pub async fn stay_fresh(&self, time: Duration) {
+    pub async fn assert_fresh(&self, time: Duration) {
         let end = Instant::now() + time;
         while Instant::now() < end {
             for (number, entry) in self.entries.iter().enumerate() {
@@ -551,6 +551,6 @@
     }
 }
 
-pub async fn play(test: impl AsyncFnOnce()) {
+pub async fn run_local(test: impl AsyncFnOnce()) {
     LocalSet::new().run_until(test()).await;
 }
--- a/crates/porthoist-proxy/tests/shared/random_restores.rs
+++ b/crates/porthoist-proxy/tests/shared/random_restores.rs
@@ -92,7 +92,7 @@
 #[tokio::test(start_paused = true)]
 async fn random_restores_lose_no_change(readers: usize) {
     let seed_count = std::env::var("PORTHOIST_SEEDS").map_or(20, |seeds| seeds.parse().unwrap());
-    play(async || {
+    run_local(async || {
         for seed in 0..seed_count {
             run_seed(seed, readers).await;
         }
