--- a/crates/porthoist-proxy/tests/shared/restored.rs
+++ b/crates/porthoist-proxy/tests/shared/restored.rs
@@ -25,7 +25,7 @@
 #[test_case(2; "entries ask readers")]
 #[tokio::test(start_paused = true)]
 async fn change_after_restore_is_in_force_in_time(readers: usize) {
-    play(async || {
+    run_local(async || {
         for lost in LOST_WRITES {
             let zone = Deployment::start(6, readers).await;
             let backup = zone.service.backup();
@@ -52,7 +52,7 @@
 #[test_case(2; "entries ask readers")]
 #[tokio::test(start_paused = true)]
 async fn restore_between_questions_does_not_hide_changes(readers: usize) {
-    play(async || {
+    run_local(async || {
         for lost in LOST_WRITES {
             let zone = Deployment::start(6, readers).await;
             let backup = zone.service.backup();
@@ -116,7 +116,7 @@
     departure: Departure,
     outage_millis: u64,
 ) {
-    play(async || {
+    run_local(async || {
         let zone = Deployment::start(6, readers).await;
         let backup = zone.service.backup();
         departure.write(&zone);
@@ -146,7 +146,7 @@
 #[test_case(2; "entries ask readers")]
 #[tokio::test(start_paused = true)]
 async fn target_registered_again_before_first_answer_after_restore_is_used(readers: usize) {
-    play(async || {
+    run_local(async || {
         let zone = Deployment::start(6, readers).await;
         let backup = zone.service.backup();
         zone.service.remove("b");
@@ -168,7 +168,7 @@
 #[test_case(0, 0; "restore without an outage")]
 #[tokio::test(start_paused = true)]
 async fn target_registered_after_backup_is_kept_after_restore(readers: usize, outage_millis: u64) {
-    play(async || {
+    run_local(async || {
         let zone = Deployment::start(6, readers).await;
         let backup = zone.service.backup();
         zone.service.put("c", b"ready");
@@ -202,7 +202,7 @@
 #[test_case(2, false; "not written again, entries ask readers")]
 #[tokio::test(start_paused = true)]
 async fn zone_emptied_after_backup_stays_emptied_after_restore(readers: usize, written_again: bool) {
-    play(async || {
+    run_local(async || {
         let zone = Deployment::start(6, readers).await;
         let backup = zone.service.backup();
         zone.service.put("emptied-z", b"");
