--- a/crates/porthoist-proxy/src/control.rs
+++ b/crates/porthoist-proxy/src/control.rs
@@ -203,10 +203,10 @@
 
     /// Returns the long-poll timeout for targets.
     ///
-    /// A silent connection is indistinguishable from "no change" until the wait is over. Targets are then
-    /// listed again, which must happen within the staleness bound: with the longest wait that the source
-    /// accepts, requests would reach targets that have left. The connection may have failed during the
-    /// pause before the poll, so the pause is subtracted.
+    /// A silent connection is indistinguishable from "no change" until the wait is over. Without a response,
+    /// targets are then listed again, which must happen within the staleness bound: with the longest wait
+    /// that the source accepts, requests would reach targets that have left. The connection may have failed
+    /// during the pause before the poll, so the pause is subtracted.
     fn targets_wait(&self, paused: Duration) -> Duration {
         let wait = self.bound.millis.saturating_sub(ANSWER_MILLIS + LIST_MARGIN_MILLIS);
         let wait = Duration::from_millis(wait.min(MAX_TARGETS_WAIT_MILLIS)).saturating_sub(paused);
--- a/crates/porthoist-proxy/src/crashes.rs
+++ b/crates/porthoist-proxy/src/crashes.rs
@@ -104,9 +104,9 @@
             match answer {
                 Ok(answer) => {
                     failing = false;
-                    let whole = revision.replace(answer.revision).is_none();
-                    if !answer.value.is_empty() || whole {
-                        self.take(&answer, whole, &mut unreadable);
+                    let is_listing = revision.replace(answer.revision).is_none();
+                    if !answer.value.is_empty() || is_listing {
+                        self.apply(&answer, is_listing, &mut unreadable);
                         tokio::time::sleep(CHANGE_PAUSE).await;
                     }
                 }
@@ -138,20 +138,20 @@
                 answer_within(answer_timeout, self.source.list(ControlTable::Crashes)).await
             }
             Some(revision) => {
-                let question = self.source.after(ControlTable::Crashes, revision, POLL_TIMEOUT);
-                answer_within(self.source.answer_timeout(POLL_TIMEOUT), question).await
+                let call = self.source.after(ControlTable::Crashes, revision, POLL_TIMEOUT);
+                answer_within(self.source.answer_timeout(POLL_TIMEOUT), call).await
             }
         }
     }
 
-    fn take(
+    fn apply(
         &self,
         answer: &Stamped<Vec<TableRow>>,
-        whole: bool,
+        is_listing: bool,
         unreadable: &mut HashSet<(String, TableRevision)>,
     ) {
         self.crashes.send_modify(|snapshot| {
-            let known = if whole { CrashRows::new() } else { (*snapshot.rows).clone() };
+            let known = if is_listing { CrashRows::new() } else { (*snapshot.rows).clone() };
             let known = answer.value.iter().fold(known, |mut known, row| {
                 match read_row(row) {
                     Ok((key, Some(report))) => drop(known.insert(key, report)),
--- a/crates/porthoist-proxy/src/dispatcher.rs
+++ b/crates/porthoist-proxy/src/dispatcher.rs
@@ -58,7 +58,7 @@
     pub assigned: UnixMillis,
     work: RequestWork,
     outcome: Cell<SendOutcome>,
-    broker: RequestDispatcher,
+    dispatcher: RequestDispatcher,
 }
 
 impl fmt::Debug for TargetSlot {
@@ -76,7 +76,7 @@
 
 impl Drop for TargetSlot {
     fn drop(&mut self) {
-        self.broker.release(self);
+        self.dispatcher.release(self);
     }
 }
 
@@ -87,11 +87,16 @@
     }
 
     /// Applies the known targets and the operators' settings for them, and serves queued requests.
-    pub fn sync(&self, book: &TargetRegistry, rules: HashMap<ServiceName, ColdRule>, zones: &EmptiedZones) {
+    pub fn sync(
+        &self,
+        registry: &TargetRegistry,
+        rules: HashMap<ServiceName, ColdRule>,
+        zones: &EmptiedZones,
+    ) {
         let mut scheduler = self.scheduler.borrow_mut();
         scheduler.set_cold_rules(rules);
         scheduler.set_emptied(zones, self.clock.now());
-        scheduler.sync(book);
+        scheduler.sync(registry);
         drop(scheduler);
         for service in self.awaited_services() {
             self.refuse_unservable(&service);
@@ -259,7 +264,7 @@
             assigned: self.clock.now(),
             work,
             outcome: Cell::new(SendOutcome::Abandoned),
-            broker: self.clone(),
+            dispatcher: self.clone(),
         }
     }
 
--- a/crates/porthoist-proxy/src/handler.rs
+++ b/crates/porthoist-proxy/src/handler.rs
@@ -67,7 +67,7 @@
     pub share: RetryShareSettings,
 }
 
-/// State shared by all requests of a process.
+/// Handles the requests of a process and holds the state that they share.
 pub struct ProxyHandler {
     settings: ProxyHandlerSettings,
     codec: Rc<dyn WireCodec>,
@@ -81,7 +81,7 @@
     note_publisher: RefCell<NotePublisher>,
     in_flight: Cell<u64>,
     /// Whether listed targets have been applied.
-    targets_taken: Cell<bool>,
+    targets_applied: Cell<bool>,
     stopping: Cell<bool>,
     /// Number of cold targets at the last check.
     cold: Cell<usize>,
@@ -142,7 +142,7 @@
             retry_detector: RefCell::default(),
             note_publisher: RefCell::new(NotePublisher::new(notes)),
             in_flight: Cell::new(0),
-            targets_taken: Cell::new(false),
+            targets_applied: Cell::new(false),
             stopping: Cell::new(false),
             cold: Cell::new(0),
             next_stall_check: Cell::default(),
@@ -172,7 +172,7 @@
     /// Applies the known targets.
     pub fn sync_targets(&self) {
         let state = self.state.borrow();
-        self.targets_taken.set(state.targets_listed);
+        self.targets_applied.set(state.targets_listed);
         let services = state.routes.iter().flat_map(|routes| routes.services.values());
         let rules = services.filter_map(|spec| Some((spec.name.clone(), spec.cold?))).collect();
         self.dispatcher.sync(&state.targets, rules, &state.emptied);
@@ -230,7 +230,7 @@
         let arrival = self.clock.now();
         // The process can report ready before this thread has applied the first list of targets; its first
         // callers would be refused without a target.
-        if !self.targets_taken.get() {
+        if !self.targets_applied.get() {
             self.sync_targets();
         }
         self.metrics.request();
--- a/crates/porthoist-proxy/src/patch.rs
+++ b/crates/porthoist-proxy/src/patch.rs
@@ -79,11 +79,11 @@
     FastCDC::new(value, least, mean, most).map(|chunk| chunk.offset..chunk.offset + chunk.length)
 }
 
-fn push_kept(parts: &mut Vec<ValuePart>, place: usize, length: usize) {
-    let (place, length) = (place as u32, length as u32);
+fn push_kept(parts: &mut Vec<ValuePart>, offset: usize, length: usize) {
+    let (offset, length) = (offset as u32, length as u32);
     match parts.last_mut() {
-        Some(ValuePart::Kept { from, bytes }) if *from + *bytes == place => *bytes += length,
-        _ => parts.push(ValuePart::Kept { from: place, bytes: length }),
+        Some(ValuePart::Kept { from, bytes }) if *from + *bytes == offset => *bytes += length,
+        _ => parts.push(ValuePart::Kept { from: offset, bytes: length }),
     }
 }
 
--- a/crates/porthoist-proxy/src/peer_rows.rs
+++ b/crates/porthoist-proxy/src/peer_rows.rs
@@ -122,7 +122,7 @@
             .into_iter()
             .map(|row| {
                 let before = known.get(&row.key);
-                row.whole(revision.era, before)
+                row.into_row(revision.era, before)
             })
             .collect();
         Some(Stamped { value: rows?, revision, stamp, origin })
@@ -269,8 +269,8 @@
             let Some(host) = self.first_peer() else { return Err(ServiceCallReason::NoPeer) };
             let query = TableQuery { table, after, stamp: copy.stamp.get(), hold: HOLD.min(left), wait };
             // A long response arrives in pieces. The known state must not become too old meanwhile.
-            let asked = self.peers.query(host, query, PEER_TIMEOUT);
-            match tokio::time::timeout(left + PEER_TIMEOUT, asked).await {
+            let response = self.peers.query(host, query, PEER_TIMEOUT);
+            match tokio::time::timeout(left + PEER_TIMEOUT, response).await {
                 // A response that is not newer than the known state proves nothing. A peer that repeats it
                 // must not be queried for ever.
                 Ok(Ok(TableUpdate::Newer { rows, .. }))
@@ -318,11 +318,11 @@
         self.metrics.table_asked(reason.as_str());
         info!(self.logger, "calling the table service"; "event" => "table_asked",
             "table" => table.as_str(), "reason" => reason.as_str(), "wait_ms" => wait.as_millis() as u64);
-        let question = match revision {
+        let call = match revision {
             Some(revision) => self.table_service.after(table, revision, wait),
             None => self.table_service.list(table),
         };
-        let answer = answer_within(self.table_service.answer_timeout(wait), question).await;
+        let answer = answer_within(self.table_service.answer_timeout(wait), call).await;
         let answer = answer.and_then(|answer| self.reject_earlier_era(table, answer));
         if let Ok(answer) = &answer {
             let known = self.clock_offset.get().filter(|known| known.era == answer.revision.era);
@@ -364,10 +364,10 @@
     }
 
     /// Applies a response to the copy. Rows older than the copy's are ignored.
-    fn apply(&self, table: ControlTable, answer: &Stamped<Vec<TableRow>>, whole: bool) {
+    fn apply(&self, table: ControlTable, answer: &Stamped<Vec<TableRow>>, is_listing: bool) {
         let copy = self.copy(table);
         let mut rows = copy.rows.borrow_mut();
-        if whole {
+        if is_listing {
             rows.clear();
         }
         for row in &answer.value {
--- a/crates/porthoist-proxy/src/reader.rs
+++ b/crates/porthoist-proxy/src/reader.rs
@@ -99,7 +99,7 @@
 
     /// Returns the complete row, with its version in `era`. A patch is applied to `known`. Returns `None`
     /// if the patch does not apply to it.
-    pub fn whole(self, era: TableEra, known: Option<&TableRow>) -> Option<TableRow> {
+    pub fn into_row(self, era: TableEra, known: Option<&TableRow>) -> Option<TableRow> {
         let Self { key, version, value } = self;
         let value = match value {
             ValueUpdate::Whole(value) => value,
@@ -346,9 +346,9 @@
         while !table.follow_until.get().passed(self.clock.now()) {
             route_failures.mark_unchanged();
             let sent = self.clock.now();
-            let question = self.poll(&table, revision, std::mem::take(&mut paused));
+            let call = self.poll(&table, revision, std::mem::take(&mut paused));
             let answer = tokio::select! {
-                answer = question => answer,
+                answer = call => answer,
                 _changed = route_failures.changed(), if revision.is_some() && table.table != ControlTable::Routes => {
                     revision = None;
                     continue;
@@ -357,8 +357,8 @@
             match answer {
                 Ok(answer) => {
                     let changed = !answer.value.is_empty() && revision.is_some();
-                    let whole = revision.replace(answer.revision).is_none();
-                    self.apply(&table, answer, whole);
+                    let is_listing = revision.replace(answer.revision).is_none();
+                    self.apply(&table, answer, is_listing);
                     if changed {
                         paused = match table.table {
                             ControlTable::Routes => ROUTES_PAUSE,
@@ -442,7 +442,7 @@
         Err(SourceError::Unavailable("the table is no longer queried".to_owned()))
     }
 
-    fn apply(&self, table: &FollowedTable, answer: Stamped<Vec<TableRow>>, whole: bool) {
+    fn apply(&self, table: &FollowedTable, answer: Stamped<Vec<TableRow>>, is_listing: bool) {
         let mut known = table.known.borrow_mut();
         known.failing = false;
         if let Some(asked) = known.unanswered.take() {
@@ -450,7 +450,7 @@
             info!(self.logger, "table service answers again"; "event" => "dependency_regained",
                 "dependency" => "table");
         }
-        if whole {
+        if is_listing {
             known.apply_listing(answer);
         } else {
             known.apply_changes(answer);
--- a/crates/porthoist-proxy/src/rows.rs
+++ b/crates/porthoist-proxy/src/rows.rs
@@ -98,9 +98,9 @@
 /// Awaits a response with a timeout.
 pub async fn answer_within<T>(
     answer_timeout: Duration,
-    question: SourceFuture<'_, T>,
+    call: SourceFuture<'_, T>,
 ) -> Result<Stamped<T>, SourceError> {
-    match tokio::time::timeout(answer_timeout, question).await {
+    match tokio::time::timeout(answer_timeout, call).await {
         Ok(answer) => answer,
         Err(_elapsed) => Err(SourceError::Unavailable("no response in time".to_owned())),
     }
--- a/crates/porthoist-proxy/src/server.rs
+++ b/crates/porthoist-proxy/src/server.rs
@@ -71,8 +71,8 @@
         }
     }
     drop(listener);
-    let patience = grace_end.map(|deadline| deadline.remaining(now())).unwrap_or_default();
-    let ended = tokio::time::timeout(patience, graceful.shutdown()).await;
+    let time_left = grace_end.map(|deadline| deadline.remaining(now())).unwrap_or_default();
+    let ended = tokio::time::timeout(time_left, graceful.shutdown()).await;
     info!(server.logger, "stopped"; "event" => "stopped", "cut_off" => server.handler.in_flight(),
         "in_time" => ended.is_ok());
 }
@@ -90,9 +90,9 @@
     let limits = server.handler.limits();
     let header_bytes = limits.map_or(MIN_HEADER_BYTES, |limits| limits.header_bytes.max(MIN_HEADER_BYTES));
     let idle_millis = limits.map_or(IDLE_MILLIS, |limits| limits.idle_millis);
-    let course = Rc::clone(&server.handler);
+    let handler = Rc::clone(&server.handler);
     let service = service_fn(move |request: Request<Incoming>| {
-        let answer = Rc::clone(&course).serve(request);
+        let answer = Rc::clone(&handler).serve(request);
         async move { Ok::<Reply, Infallible>(answer.await) }
     });
     let connection = http1::Builder::new()
