--- a/crates/porthoist-proxy/src/lib.rs
+++ b/crates/porthoist-proxy/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! It accepts callers, selects a target for each request, and relays the target's response or event stream.
 //! Header formats are defined by a [`wire::WireCodec`], and routes and targets come from a
-//! [`control::ControlSource`].
+//! [`source::ControlSource`].
 
 pub mod control;
 pub mod crashes;
