--- a/crates/porthoist-policy/src/admission.rs
+++ b/crates/porthoist-policy/src/admission.rs
@@ -1,64 +1,65 @@
-//! The queue of one target: who starts next, and who is refused at once.
+//! Admission queue of one target: orders waiting requests and refuses those that cannot meet their deadline.
 //!
-//! Requests are ordered by priority, then by weighted fair queueing between teams. One whose first token is
-//! predicted after its deadline is refused when it arrives, not when the deadline has passed.
+//! Requests are ordered by priority, then by weighted fair queueing between teams. A request whose first token is
+//! predicted to come after its deadline is refused on arrival, so that the caller can try elsewhere in time.
 
 use porthoist_core::{
     AttemptId, LoadReport, RefusalReason, RequestPriority, TeamName, UnixDeadline, UnixMillis,
 };
 use std::collections::{BTreeMap, HashMap};
 
-/// Weight of the newest observation in moving averages.
-const EWMA_SHARE: f64 = 0.05;
-/// Assumed service time before any was observed, in milliseconds.
+/// Weight of the newest observation in the moving average of the service time.
+const EWMA_WEIGHT: f64 = 0.05;
+/// Service time assumed before the first observation, in milliseconds.
 const INITIAL_SERVICE_MILLIS: f64 = 50.0;
-/// Refused requests are told to come back no sooner than this, in milliseconds.
+/// Shortest retry delay given to a refused request, in milliseconds.
 pub const MIN_RETRY_MILLIS: u64 = 50;
 
-/// Settings of the queue.
+/// Settings of an [`AdmissionQueue`].
 #[derive(Debug, Clone, Copy, bon::Builder)]
 pub struct AdmissionSettings {
-    /// Requests that run at once.
+    /// Maximum number of running requests.
     pub slots: u32,
-    /// Requests that wait at most.
+    /// Maximum number of waiting requests.
     pub queue: usize,
-    /// Prompt tokens computed a second, 0 where prompts cost nothing.
+    /// Prompt tokens computed per second; 0 if prompts cost nothing.
     #[builder(default = 0)]
     pub prefill_rate: u32,
-    /// Duration of a step at the start, in microseconds.
+    /// Initial duration of an engine step, in microseconds.
     #[builder(default = 4500)]
     pub step_micros: u32,
 }
 
-/// A request that asks to run.
+/// A request offered to the queue.
 #[derive(Debug, Clone)]
 pub struct AdmissionRequest {
-    /// Its attempt.
+    /// Identifier of the attempt.
     pub attempt: AttemptId,
-    /// Who pays.
+    /// Team that the request counts against.
     pub team: TeamName,
-    /// The team's weight.
+    /// The team's weight in fair queueing.
     pub weight: f64,
-    /// Its priority.
+    /// Priority; higher ones start first.
     pub priority: RequestPriority,
     /// Prompt tokens to compute.
     pub prompt_tokens: u32,
-    /// When the first token is due.
+    /// Deadline of the first token.
     pub deadline: UnixDeadline,
 }
 
-/// Answer to a request that asks to run.
+/// Decision on an offered request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdmissionDecision {
     /// Start now.
     Start,
-    /// Wait: it is named by a later [`AdmissionQueue::next_starts`] or [`AdmissionQueue::expired`].
+    /// Wait until [`AdmissionQueue::next_starts`] or [`AdmissionQueue::expired`] returns the attempt.
     Queued,
-    /// Refused; another try makes sense at that time.
+    /// Refused, with the time from which a retry may succeed.
     Refused(RefusalReason, UnixMillis),
 }
 
-/// Order in the queue, smallest first; the finish time is not negative, so that its bits order as it does.
+/// Sort key in the queue, smallest first. `finish_bits` are the bits of the virtual finish time; for non-negative
+/// floats they sort in the same order as the values.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueRank {
     urgency: u8,
@@ -80,7 +81,7 @@
     prefilled: bool,
 }
 
-/// The queue.
+/// Running and waiting requests of one target.
 #[derive(Debug)]
 pub struct AdmissionQueue {
     settings: AdmissionSettings,
@@ -96,7 +97,7 @@
 }
 
 impl AdmissionQueue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new(settings: AdmissionSettings) -> Self {
         Self {
             settings,
@@ -112,18 +113,18 @@
         }
     }
 
-    /// Takes the step duration and prefill rate that the engine reports.
+    /// Updates the step duration and prefill rate from the engine's report.
     pub fn set_pace(&mut self, step_micros: u32, prefill_rate: u32) {
         self.step_micros = step_micros;
         self.settings.prefill_rate = prefill_rate;
     }
 
-    /// Predicted time to the first token of a request with so many prompt tokens, in milliseconds.
+    /// Predicts the time to first token of a request with `prompt_tokens`, in milliseconds.
     pub fn predicted_millis(&self, priority: RequestPriority, prompt_tokens: u32) -> f64 {
         let ahead = self.queue.keys().filter(|rank| rank.urgency <= urgency(priority)).count();
-        let free = self.settings.slots as usize - self.running.len().min(self.settings.slots as usize);
-        let waits = (ahead + 1).saturating_sub(free);
-        let slot_wait = waits as f64 * self.slot_millis();
+        let free_slots = self.settings.slots as usize - self.running.len().min(self.settings.slots as usize);
+        let completions_needed = (ahead + 1).saturating_sub(free_slots);
+        let slot_wait = completions_needed as f64 * self.slot_millis();
         let step = f64::from(self.step_micros) / 1000.0;
         if self.settings.prefill_rate == 0 {
             return slot_wait + step;
@@ -132,7 +133,7 @@
         slot_wait + tokens * 1000.0 / f64::from(self.settings.prefill_rate) + step
     }
 
-    /// Decides on a request.
+    /// Starts, queues or refuses a request.
     pub fn offer(&mut self, now: UnixMillis, request: AdmissionRequest) -> AdmissionDecision {
         let predicted = self.predicted_millis(request.priority, request.prompt_tokens);
         if request.deadline.passed(now) {
@@ -155,7 +156,7 @@
         AdmissionDecision::Queued
     }
 
-    /// When a refused request may find room: the time in which half of the queue drains.
+    /// Time at which a refused request should retry: when half of the queue is expected to have drained.
     pub fn retry_at(&self, now: UnixMillis) -> UnixMillis {
         let drain = self.queue.len() as f64 / 2.0 * self.slot_millis();
         now.plus(MIN_RETRY_MILLIS.max(drain as u64))
@@ -180,7 +181,7 @@
         self.running.insert(attempt, RunningRequest { started: now, tokens, prefilled: false });
     }
 
-    /// The first token of a running request came: its prompt is no longer in the backlog.
+    /// Records the first token of a running request, whose prompt then leaves the backlog.
     pub fn first_token(&mut self, attempt: AttemptId) {
         let Some(running) = self.running.get_mut(&attempt) else {
             return;
@@ -191,14 +192,14 @@
         }
     }
 
-    /// A running request is over, or a waiting one is given up by its caller.
+    /// Removes a running request that ended, or a waiting one that its caller cancelled.
     pub fn finished(&mut self, now: UnixMillis, attempt: AttemptId) {
         if let Some(running) = self.running.remove(&attempt) {
             if !running.prefilled {
                 self.backlog_tokens -= u64::from(running.tokens);
             }
-            let took = now.since(running.started) as f64;
-            self.service_millis += EWMA_SHARE * (took - self.service_millis);
+            let elapsed_millis = now.since(running.started) as f64;
+            self.service_millis += EWMA_WEIGHT * (elapsed_millis - self.service_millis);
             return;
         }
         if let Some(rank) = self.ranks.remove(&attempt) {
@@ -212,12 +213,12 @@
         Some(queued)
     }
 
-    /// Whether a request still waits for a slot.
+    /// Returns whether a request still waits for a slot.
     pub fn is_waiting(&self, attempt: AttemptId) -> bool {
         self.ranks.contains_key(&attempt)
     }
 
-    /// Waiting requests that start now.
+    /// Starts waiting requests while slots are free, and returns them.
     pub fn next_starts(&mut self, now: UnixMillis) -> Vec<AttemptId> {
         let mut starts = Vec::new();
         while self.running.len() < self.settings.slots as usize {
@@ -235,16 +236,16 @@
         starts
     }
 
-    /// Waiting requests whose deadline passed; they are refused.
+    /// Removes and returns waiting requests whose deadline has passed; the caller refuses them.
     pub fn expired(&mut self, now: UnixMillis) -> Vec<AttemptId> {
-        let late: Vec<QueueRank> = self
+        let overdue: Vec<QueueRank> = self
             .queue
             .iter()
             .filter(|(_rank, queued)| queued.deadline.passed(now))
             .map(|(rank, _)| *rank)
             .collect();
-        let mut attempts = Vec::with_capacity(late.len());
-        for rank in late {
+        let mut attempts = Vec::with_capacity(overdue.len());
+        for rank in overdue {
             if let Some(queued) = self.drop_queued(rank) {
                 self.ranks.remove(&queued.attempt);
                 attempts.push(queued.attempt);
@@ -253,7 +254,7 @@
         attempts
     }
 
-    /// The load that goes out with every answer.
+    /// Returns the load report that is sent with every answer.
     pub fn load(&self, now: UnixMillis, draining: bool) -> LoadReport {
         LoadReport {
             queued: self.queue.len() as u32,
--- a/crates/porthoist-policy/src/adoption.rs
+++ b/crates/porthoist-policy/src/adoption.rs
@@ -1,47 +1,48 @@
-//! Adoption of configuration: only higher revisions, only changes that join without a gap.
+//! Adoption of configuration changes by revision.
 //!
-//! Sources are the table's change feed, a snapshot in the object store and peers; whichever is first wins.
+//! A process adopts only changes that lead to a higher revision and leave no gap. They come from the table's change
+//! feed, a snapshot in the object store, or peers; the first to arrive is adopted.
 
 use crate::table::{RowKey, TableRow};
 use std::collections::BTreeMap;
 
-/// A set of changed rows between two revisions.
+/// Rows changed between two revisions.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct ConfigChange<R = TableRow> {
-    /// The change holds everything after this revision; 0 makes it a snapshot.
+    /// The change contains everything after this revision; 0 marks a snapshot of the whole table.
     pub since: u64,
-    /// The revision that it leads to.
+    /// Revision that is in force after the change.
     pub revision: u64,
-    /// Rows set, or removed where empty.
+    /// Changed rows; `None` removes the row.
     pub rows: Vec<(RowKey, Option<R>)>,
 }
 
-/// What became of a change.
+/// Result of [`ConfigState::adopt`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum AdoptOutcome {
-    /// In force from now on.
+    /// The change is in force.
     Adopted,
-    /// Not newer than what is in force.
+    /// The change is not newer than the revision in force.
     Stale,
-    /// Changes in between are missing; ask again since the revision in force.
+    /// Changes in between are missing; query again from the revision in force.
     Gap,
 }
 
-/// Rules that the model checker breaks one at a time.
+/// Rules of adoption; the model checker disables them one at a time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct AdoptRules {
     /// Only higher revisions are adopted.
     pub higher_only: bool,
-    /// A change must start at or before the revision in force.
+    /// A change must build on the revision in force or an earlier one.
     pub no_gap: bool,
 }
 
 impl AdoptRules {
-    /// The rules in force.
+    /// All rules enabled.
     pub const SOUND: Self = Self { higher_only: true, no_gap: true };
 }
 
-/// The configuration in force in one process.
+/// Configuration in force in one process.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ConfigState<R = TableRow> {
     rules: AdoptRules,
@@ -56,32 +57,32 @@
 }
 
 impl<R: Clone> ConfigState<R> {
-    /// An empty state with given rules, for the model checker.
+    /// Creates an empty state with the given rules, for the model checker.
     pub fn with_rules(rules: AdoptRules) -> Self {
         Self { rules, revision: 0, rows: BTreeMap::new() }
     }
 
-    /// The revision in force, 0 before the first adoption.
+    /// Returns the revision in force, or 0 before the first adoption.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Whether any configuration was adopted.
+    /// Returns whether any configuration was adopted.
     pub fn ready(&self) -> bool {
         self.revision > 0
     }
 
-    /// A row in force.
+    /// Returns a row in force.
     pub fn row(&self, key: &RowKey) -> Option<&R> {
         self.rows.get(key)
     }
 
-    /// All rows in force.
+    /// Returns all rows in force.
     pub fn rows(&self) -> &BTreeMap<RowKey, R> {
         &self.rows
     }
 
-    /// Adopts a change if it is newer and joins without a gap.
+    /// Adopts a change if it is newer and leaves no gap.
     pub fn adopt(&mut self, change: ConfigChange<R>) -> AdoptOutcome {
         if self.rules.higher_only && change.revision <= self.revision {
             return AdoptOutcome::Stale;
@@ -102,14 +103,14 @@
         AdoptOutcome::Adopted
     }
 
-    /// The whole state as a change that any process can adopt.
+    /// Returns the whole state as a snapshot that any process can adopt.
     pub fn snapshot(&self) -> ConfigChange<R> {
         let rows = self.rows.iter().map(|(key, row)| (key.clone(), Some(row.clone()))).collect();
         ConfigChange { since: 0, revision: self.revision, rows }
     }
 }
 
-/// Recent changes, so that a peer that is a little behind is told only what it lacks.
+/// Recent changes, from which a peer that is slightly behind gets only what it lacks.
 #[derive(Debug, Clone)]
 pub struct ChangeHistory<R = TableRow> {
     capacity: usize,
@@ -117,12 +118,12 @@
 }
 
 impl<R: Clone> ChangeHistory<R> {
-    /// A history of at most `capacity` changes.
+    /// Creates a history of at most `capacity` changes.
     pub fn new(capacity: usize) -> Self {
         Self { capacity, changes: std::collections::VecDeque::new() }
     }
 
-    /// Adds a change that was adopted; a snapshot starts the history anew.
+    /// Adds an adopted change; a snapshot clears the history.
     pub fn push(&mut self, change: ConfigChange<R>) {
         if change.since == 0 {
             self.changes.clear();
@@ -134,7 +135,8 @@
         self.changes.push_back(change);
     }
 
-    /// One change from `since` to the newest, if the history reaches back so far.
+    /// Merges the changes from `since` to the newest into one, or returns `None` if the history does not reach back to
+    /// `since`.
     pub fn since(&self, since: u64) -> Option<ConfigChange<R>> {
         let revision = self.changes.back()?.revision;
         let start =
--- a/crates/porthoist-policy/src/answer.rs
+++ b/crates/porthoist-policy/src/answer.rs
@@ -1,33 +1,33 @@
-//! Assembly of one caller's answer from the frames of its attempts.
+//! Assembles one caller's answer from the frames of its attempts.
 //!
-//! Frames that are stale, repeated or foreign are dropped and counted; a gap ends the attempt.
+//! Repeated frames and frames of other attempts are dropped and counted; a missing frame ends the attempt.
 
 use porthoist_core::offer::AnswerDigest;
 use porthoist_core::{AnswerFrame, AttemptId};
 
-/// What to do with a frame.
+/// Result of checking a frame.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum FrameVerdict {
-    /// Pass it to the caller.
+    /// The frame is next and goes to the caller.
     Deliver,
-    /// It belongs to another request or an earlier attempt.
+    /// The frame belongs to another request or an earlier attempt.
     Foreign,
-    /// It was delivered before.
+    /// The frame was delivered before.
     Repeated,
-    /// A frame before it is missing: the attempt can't be trusted any more.
+    /// An earlier frame is missing, so the rest of the attempt cannot be used.
     Gap,
 }
 
-/// Counts of frames that were not delivered.
+/// Counts of dropped frames.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct DroppedFrames {
-    /// Of another request or attempt.
+    /// Frames of another request or attempt.
     pub foreign: u64,
-    /// Delivered before.
+    /// Frames delivered before.
     pub repeated: u64,
 }
 
-/// The assembler of one caller's streamed answer.
+/// Assembles one caller's streamed answer.
 #[derive(Debug, Clone)]
 pub struct AnswerAssembler {
     attempt: AttemptId,
@@ -38,7 +38,7 @@
 }
 
 impl AnswerAssembler {
-    /// Starts with the first attempt; `resume_after` is the last event that the caller has, 0 for none.
+    /// Starts with the first attempt; `resume_after` is the last event that the caller has, or 0.
     pub fn new(attempt: AttemptId, resume_after: u64) -> Self {
         let digest = AnswerDigest::default();
         Self {
@@ -50,24 +50,24 @@
         }
     }
 
-    /// Moves on to another attempt, which resumes after the last delivered event.
+    /// Switches to another attempt, which resumes after the last delivered event.
     pub fn restart(&mut self, attempt: AttemptId) {
         self.attempt = attempt;
         self.next_sequence = 0;
         self.digest = AnswerDigest::default();
     }
 
-    /// The last event that was delivered, 0 for none.
+    /// Returns the last delivered event, or 0.
     pub fn last_event(&self) -> u64 {
         self.last_event
     }
 
-    /// Frames that were dropped.
+    /// Returns the counts of dropped frames.
     pub fn dropped(&self) -> DroppedFrames {
         self.dropped
     }
 
-    /// Judges a frame.
+    /// Checks a frame and advances the answer if it is the next one.
     pub fn frame(&mut self, frame: &AnswerFrame) -> FrameVerdict {
         if frame.attempt != self.attempt {
             self.dropped.foreign += 1;
@@ -93,7 +93,7 @@
         FrameVerdict::Deliver
     }
 
-    /// Whether the attempt's end fits the frames that came.
+    /// Returns whether the frame count and digest at the attempt's end match the received frames.
     pub fn complete(&self, frames: u64, digest: u64) -> bool {
         frames == self.next_sequence && digest == self.digest.value()
     }
--- a/crates/porthoist-policy/src/claim.rs
+++ b/crates/porthoist-policy/src/claim.rs
@@ -1,52 +1,52 @@
-//! Claims of callers' own idempotency keys: key to ticket, one row in the table.
+//! Claims of callers' idempotency keys: a table row maps each key to a ticket.
 //!
-//! The row is written before the request is sent. "Not run" is said of a key only after its row was moved away
-//! from the refused ticket by a conditional write; a write whose answer was lost is recognised by its writer id.
+//! The row is written before the request is sent. "Not run" is reported for a key only after a conditional write has
+//! replaced the refused ticket in its row. A write whose response was lost is recognised by its writer id.
 
 use porthoist_core::{RefusalReason, RunVerdict};
 
-/// Most tickets that one keyed request goes through before it is refused.
+/// Maximum number of tickets for one keyed request.
 pub const MAX_TICKETS: u8 = 3;
-/// Most offers of one ticket whose answer was lost.
+/// Number of offers with a lost answer after which a request is refused.
 pub const MAX_REPLAYS: u8 = 3;
-/// Most table calls without an answer in a row.
-pub const MAX_SILENT_CALLS: u8 = 3;
+/// Number of consecutive table calls without a response after which a request is refused.
+pub const MAX_UNANSWERED_CALLS: u8 = 3;
 
-/// What a claim row says about its key.
+/// State of a key in its claim row.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize)]
 pub enum ClaimState<T> {
-    /// The request runs under this ticket or not at all.
+    /// The request runs under this ticket, or not at all.
     Ticket(T),
     /// The request did not run and never will.
     Closed(RefusalReason),
 }
 
-/// A claim row.
+/// Table row of a claimed key.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize)]
 pub struct ClaimRow<T> {
     /// Fingerprint of the request that the key belongs to.
     pub fingerprint: u64,
-    /// What the key stands for.
+    /// State of the key.
     pub state: ClaimState<T>,
-    /// Unique for each write, so that its writer recognises it.
+    /// Unique for each write, so that the writer recognises its own row.
     pub writer: u64,
 }
 
-/// A row as read: its version and content.
+/// A row and its version, as read from the table.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct VersionedClaim<T> {
-    /// Version for a conditional write.
+    /// Version that a conditional write names.
     pub version: u64,
     /// The row.
     pub row: ClaimRow<T>,
 }
 
-/// What the machine asks its driver to do.
+/// Action for the driver of a [`ClaimMachine`].
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ClaimAction<T> {
-    /// Get a ticket from a target.
+    /// Request a ticket from a target.
     Mint,
-    /// Write the row if its version is `expected` (`None`: absent).
+    /// Write the row if its version is `expected`; `None` means that it must be absent.
     Write {
         /// Version that the row must have.
         expected: Option<u64>,
@@ -57,51 +57,51 @@
     Read,
     /// Offer the request under this ticket.
     Offer(T),
-    /// Done: the answer that the last offer gave goes to the caller.
+    /// Done: return the answer of the last offer to the caller.
     Answer,
-    /// Done: refuse.
+    /// Done: refuse the request.
     Refuse(RefusalReason, RunVerdict),
 }
 
-/// What the driver reports.
+/// Event reported by the driver.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ClaimEvent<T> {
     /// A ticket was minted.
     Minted(T),
-    /// No ticket could be had.
+    /// No target issued a ticket.
     MintFailed(RefusalReason),
     /// The write took effect with this version.
     Written(u64),
-    /// The write's condition failed; the row in force, if any.
+    /// The condition of the write failed; contains the current row, if any.
     Conflict(Option<VersionedClaim<T>>),
-    /// The row as read.
+    /// The current row, if any.
     Read(Option<VersionedClaim<T>>),
-    /// The table did not answer; a write may still take effect.
+    /// The table did not respond; a write may still take effect.
     TableUnavailable,
-    /// The target answered in full.
+    /// The target answered completely.
     Answered,
-    /// The target refused.
+    /// The target refused the offer.
     OfferRefused(RefusalReason, RunVerdict),
-    /// The offer's answer was lost.
+    /// The answer to the offer was lost.
     OfferLost,
 }
 
-/// Rules that the model checker breaks one at a time.
+/// Rules of a claim; the model checker disables them one at a time.
 #[expect(clippy::struct_excessive_bools, reason = "each flag is one rule that the checker breaks alone")]
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClaimRules {
-    /// The row is closed before "not run" is said.
+    /// The row is closed before "not run" is reported.
     pub close_before_not_run: bool,
     /// The row is written before the first offer.
     pub claim_before_offer: bool,
-    /// A lost offer is repeated only under the same ticket.
+    /// An offer with a lost answer is repeated only under the same ticket.
     pub same_ticket_after_loss: bool,
-    /// The row moves only by a conditional write.
+    /// The row is changed only by a conditional write.
     pub conditional_move: bool,
 }
 
 impl ClaimRules {
-    /// The rules in force.
+    /// All rules enabled.
     pub const SOUND: Self = Self {
         close_before_not_run: true,
         claim_before_offer: true,
@@ -119,7 +119,7 @@
     Done,
 }
 
-/// One keyed request at one entry.
+/// State machine of one keyed request at one entry.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClaimMachine<T> {
     rules: ClaimRules,
@@ -127,13 +127,13 @@
     writer: u64,
     tickets: u8,
     replays: u8,
-    silent: u8,
+    unanswered_calls: u8,
     reason: RefusalReason,
     step: ClaimStep<T>,
 }
 
 impl<T: Clone + PartialEq> ClaimMachine<T> {
-    /// Starts a claim; `writer` is random and the low byte counts its writes.
+    /// Starts a claim. `writer` is random; its low byte is replaced by a counter of writes.
     pub fn start(fingerprint: u64, writer: u64, rules: ClaimRules) -> (Self, ClaimAction<T>) {
         let machine = Self {
             rules,
@@ -141,14 +141,14 @@
             writer: writer & !0xff,
             tickets: 0,
             replays: 0,
-            silent: 0,
+            unanswered_calls: 0,
             reason: RefusalReason::ClaimUnavailable,
             step: ClaimStep::Minting { expected: None },
         };
         (machine, ClaimAction::Mint)
     }
 
-    /// Takes an event and returns the next action; events that don't fit the present step change nothing.
+    /// Handles an event and returns the next action. Events that do not fit the current step are ignored.
     pub fn on(&mut self, event: ClaimEvent<T>) -> Option<ClaimAction<T>> {
         match (self.step.clone(), event) {
             (ClaimStep::Minting { expected }, ClaimEvent::Minted(ticket)) => {
@@ -158,35 +158,37 @@
                 self.reason = reason;
                 Some(self.close(expected))
             }
-            (ClaimStep::Writing { row, .. }, ClaimEvent::Written(version)) => Some(self.holds(version, row)),
+            (ClaimStep::Writing { row, .. }, ClaimEvent::Written(version)) => {
+                Some(self.continue_with(version, row))
+            }
             (ClaimStep::Writing { expected, row }, ClaimEvent::Conflict(found)) => {
-                Some(self.lost_race(expected, row, found))
+                Some(self.on_conflict(expected, row, found))
             }
             (
                 ClaimStep::Writing { expected, row } | ClaimStep::ReadingBack { expected, row },
                 ClaimEvent::TableUnavailable,
             ) => Some(self.read_back(expected, row)),
             (ClaimStep::ReadingBack { expected, row }, ClaimEvent::Read(found)) => {
-                Some(self.recognise(expected, row, found))
+                Some(self.check_write(expected, row, found))
             }
-            (ClaimStep::Offering { .. }, ClaimEvent::Answered) => Some(self.done(ClaimAction::Answer)),
+            (ClaimStep::Offering { .. }, ClaimEvent::Answered) => Some(self.finish(ClaimAction::Answer)),
             (ClaimStep::Offering { version, .. }, ClaimEvent::OfferRefused(reason, verdict)) => {
-                Some(self.refused(version, reason, verdict))
+                Some(self.on_refused(version, reason, verdict))
             }
             (ClaimStep::Offering { version, ticket }, ClaimEvent::OfferLost) => {
-                Some(self.lost(version, ticket))
+                Some(self.on_lost(version, ticket))
             }
             _ => None,
         }
     }
 
-    fn done(&mut self, action: ClaimAction<T>) -> ClaimAction<T> {
+    fn finish(&mut self, action: ClaimAction<T>) -> ClaimAction<T> {
         self.step = ClaimStep::Done;
         action
     }
 
-    fn unknown(&mut self, reason: RefusalReason) -> ClaimAction<T> {
-        self.done(ClaimAction::Refuse(reason, RunVerdict::MayHaveRun))
+    fn refuse_unknown(&mut self, reason: RefusalReason) -> ClaimAction<T> {
+        self.finish(ClaimAction::Refuse(reason, RunVerdict::MayHaveRun))
     }
 
     fn write(&mut self, expected: Option<u64>, ticket: T) -> ClaimAction<T> {
@@ -199,7 +201,7 @@
 
     fn close(&mut self, expected: Option<u64>) -> ClaimAction<T> {
         if !self.rules.close_before_not_run {
-            return self.done(ClaimAction::Refuse(self.reason, RunVerdict::NotRun));
+            return self.finish(ClaimAction::Refuse(self.reason, RunVerdict::NotRun));
         }
         self.write_row(expected, ClaimState::Closed(self.reason))
     }
@@ -216,15 +218,15 @@
     }
 
     fn read_back(&mut self, expected: Option<u64>, row: ClaimRow<T>) -> ClaimAction<T> {
-        self.silent += 1;
-        if self.silent >= MAX_SILENT_CALLS {
-            return self.unknown(RefusalReason::ClaimUnavailable);
+        self.unanswered_calls += 1;
+        if self.unanswered_calls >= MAX_UNANSWERED_CALLS {
+            return self.refuse_unknown(RefusalReason::ClaimUnavailable);
         }
         self.step = ClaimStep::ReadingBack { expected, row };
         ClaimAction::Read
     }
 
-    fn recognise(
+    fn check_write(
         &mut self,
         expected: Option<u64>,
         row: ClaimRow<T>,
@@ -232,43 +234,43 @@
     ) -> ClaimAction<T> {
         let version = found.as_ref().map(|claim| claim.version);
         if version == expected {
-            // The write has not taken effect yet: the same row again, under the same condition.
+            // The write has not taken effect yet: send the same row again, under the same condition.
             return self.send_write(expected, row);
         }
-        self.lost_race(expected, row, found)
+        self.on_conflict(expected, row, found)
     }
 
-    fn lost_race(
+    fn on_conflict(
         &mut self,
         expected: Option<u64>,
         row: ClaimRow<T>,
         found: Option<VersionedClaim<T>>,
     ) -> ClaimAction<T> {
         let Some(claim) = found else {
-            // The row is gone although it was there: expired, so nothing is known of the key.
-            return self.unknown(RefusalReason::ClaimUnavailable);
+            // The row existed and has expired, so it is unknown whether the request ran.
+            return self.refuse_unknown(RefusalReason::ClaimUnavailable);
         };
         if claim.row.writer == row.writer {
-            return self.holds(claim.version, row);
+            return self.continue_with(claim.version, row);
         }
         if !self.rules.conditional_move && expected.is_some() {
-            return self.holds(claim.version, row);
+            return self.continue_with(claim.version, row);
         }
-        self.follow(claim)
+        self.adopt_claim(claim)
     }
 
-    fn follow(&mut self, claim: VersionedClaim<T>) -> ClaimAction<T> {
+    fn adopt_claim(&mut self, claim: VersionedClaim<T>) -> ClaimAction<T> {
         if claim.row.fingerprint != self.fingerprint {
-            return self.unknown(RefusalReason::KeyMismatch);
+            return self.refuse_unknown(RefusalReason::KeyMismatch);
         }
-        self.holds(claim.version, claim.row)
+        self.continue_with(claim.version, claim.row)
     }
 
-    fn holds(&mut self, version: u64, row: ClaimRow<T>) -> ClaimAction<T> {
-        self.silent = 0;
+    fn continue_with(&mut self, version: u64, row: ClaimRow<T>) -> ClaimAction<T> {
+        self.unanswered_calls = 0;
         match row.state {
             ClaimState::Ticket(ticket) => self.offer(version, ticket),
-            ClaimState::Closed(reason) => self.done(ClaimAction::Refuse(reason, RunVerdict::NotRun)),
+            ClaimState::Closed(reason) => self.finish(ClaimAction::Refuse(reason, RunVerdict::NotRun)),
         }
     }
 
@@ -277,9 +279,9 @@
         ClaimAction::Offer(ticket)
     }
 
-    fn refused(&mut self, version: u64, reason: RefusalReason, verdict: RunVerdict) -> ClaimAction<T> {
+    fn on_refused(&mut self, version: u64, reason: RefusalReason, verdict: RunVerdict) -> ClaimAction<T> {
         if verdict != RunVerdict::NotRun {
-            return self.done(ClaimAction::Refuse(reason, verdict));
+            return self.finish(ClaimAction::Refuse(reason, verdict));
         }
         self.reason = reason;
         let expected = Some(version);
@@ -290,10 +292,10 @@
         ClaimAction::Mint
     }
 
-    fn lost(&mut self, version: u64, ticket: T) -> ClaimAction<T> {
+    fn on_lost(&mut self, version: u64, ticket: T) -> ClaimAction<T> {
         self.replays += 1;
         if self.replays >= MAX_REPLAYS {
-            return self.unknown(RefusalReason::ConnectionLost);
+            return self.refuse_unknown(RefusalReason::ConnectionLost);
         }
         if !self.rules.same_ticket_after_loss {
             self.step = ClaimStep::Minting { expected: Some(version) };
--- a/crates/porthoist-policy/src/explain.rs
+++ b/crates/porthoist-policy/src/explain.rs
@@ -1,4 +1,4 @@
-//! The decisions of recent requests, kept in a bounded ring so that an operator can ask why.
+//! Bounded log of recent routing decisions, so that an operator can ask why a request went where it did.
 
 use porthoist_core::{
     RefusalReason, RequestId, RetryReason, RunVerdict, ServiceName, TargetName, TeamName, UnixMillis,
@@ -6,76 +6,76 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Decisions kept by default; about 200 bytes each.
+/// Default capacity of the log, in decisions of about 200 bytes each.
 pub const DEFAULT_DECISIONS: usize = 50_000;
 
 /// One decision on a request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "decision", rename_all = "snake_case")]
 pub enum DecisionKind {
-    /// The request was read.
+    /// The request was received.
     Received {
-        /// Who sent it.
+        /// Team that sent it.
         team: TeamName,
-        /// The service asked for.
+        /// Requested service.
         service: ServiceName,
-        /// Estimated prompt length.
+        /// Estimated prompt length in tokens.
         prompt_tokens: u32,
     },
-    /// It was offered to a target.
+    /// The request was offered to a target.
     Offered {
-        /// The attempt's number.
+        /// Number of the attempt.
         attempt: u32,
         /// The target.
         target: TargetName,
-        /// Predicted time to the first token in milliseconds.
+        /// Predicted time to first token, in milliseconds.
         cost_millis: f64,
-        /// Prompt tokens expected in the target's cache.
+        /// Prompt tokens expected in the target's prefix cache.
         cached_tokens: u32,
-        /// Targets compared.
+        /// Number of targets compared.
         candidates: usize,
     },
     /// An attempt failed.
     Failed {
-        /// The attempt's number.
+        /// Number of the attempt.
         attempt: u32,
-        /// Why.
+        /// Reason.
         reason: RefusalReason,
-        /// Whether it may have run.
+        /// Whether the request may have run.
         verdict: RunVerdict,
     },
-    /// Another attempt was decided on.
+    /// Another attempt follows.
     Retried {
-        /// Why.
+        /// Reason.
         reason: RetryReason,
     },
-    /// The whole answer went out.
+    /// The complete answer was sent.
     Answered {
-        /// Time to the first byte in milliseconds.
+        /// Time to first byte, in milliseconds.
         first_byte_millis: u64,
     },
-    /// The final refusal went out.
+    /// The final refusal was sent.
     Refused {
-        /// Why.
+        /// Reason.
         reason: RefusalReason,
-        /// Whether it may have run.
+        /// Whether the request may have run.
         verdict: RunVerdict,
     },
 }
 
-/// A decision with its time.
+/// A decision with its request and time.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DecisionRecord {
-    /// The request.
+    /// Request that the decision is about.
     pub request: RequestId,
-    /// When it was decided.
+    /// Time of the decision.
     pub at: UnixMillis,
-    /// What.
+    /// The decision.
     #[serde(flatten)]
     pub kind: DecisionKind,
 }
 
-/// The ring.
+/// Ring buffer of decisions.
 #[derive(Debug)]
 pub struct DecisionLog {
     capacity: usize,
@@ -83,12 +83,12 @@
 }
 
 impl DecisionLog {
-    /// A ring of at most `capacity` decisions.
+    /// Creates a log of at most `capacity` decisions.
     pub fn new(capacity: usize) -> Self {
         Self { capacity: capacity.max(1), records: VecDeque::new() }
     }
 
-    /// Adds a decision; the oldest goes when the ring is full.
+    /// Adds a decision, and drops the oldest one if the log is full.
     pub fn record(&mut self, at: UnixMillis, request: RequestId, kind: DecisionKind) {
         if self.records.len() == self.capacity {
             self.records.pop_front();
@@ -96,7 +96,7 @@
         self.records.push_back(DecisionRecord { request, at, kind });
     }
 
-    /// All decisions kept on a request, oldest first.
+    /// Returns the decisions about a request, oldest first.
     pub fn for_request(&self, request: RequestId) -> Vec<DecisionRecord> {
         self.records.iter().filter(|record| record.request == request).cloned().collect()
     }
--- a/crates/porthoist-policy/src/gate.rs
+++ b/crates/porthoist-policy/src/gate.rs
@@ -1,20 +1,20 @@
-//! The gate of one target process: it decides whether an offer runs, and remembers what ran.
+//! Gate of one target process: decides whether an offer runs, and records what ran.
 //!
-//! Only the incarnation that minted a ticket may run it, and a refusal spends the ticket for ever.
+//! Only the incarnation that minted a ticket may run it, and a refusal spends the ticket permanently.
 
 use porthoist_core::{AttemptId, IncarnationId, RefusalReason, RunVerdict, UnixDeadline, UnixMillis};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What an offer is remembered under.
+/// Key under which an offer is recorded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum GateKey {
-    /// A minted ticket, by sequence.
+    /// Sequence of a minted ticket.
     Ticket(u64),
     /// An attempt without a ticket.
     Attempt(AttemptId),
 }
 
-/// What became of an offer.
+/// State of a recorded offer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum RecordState {
     Minted,
@@ -31,49 +31,49 @@
     state: RecordState,
 }
 
-/// An offer as the gate sees it; the caller has checked the ticket's signature.
+/// An offer whose ticket signature has already been checked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct GateOffer {
-    /// What it is remembered under.
+    /// Key of the record.
     pub key: GateKey,
-    /// The incarnation that the ticket names, or this one where there is no ticket.
+    /// The incarnation that the ticket names, or the current one without a ticket.
     pub incarnation: IncarnationId,
-    /// The request's fingerprint; a repeat must have the same.
+    /// Fingerprint of the request; a repeated offer must have the same one.
     pub fingerprint: u64,
-    /// The ticket's deadline, or the request's.
+    /// Deadline of the ticket, or of the request without a ticket.
     pub deadline: UnixDeadline,
 }
 
-/// The gate's decision on an offer.
+/// Decision on an offer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum GateDecision {
-    /// Run it now.
+    /// Run the offer now.
     Run,
-    /// It runs already: wait for its answer.
+    /// The offer is already running: wait for its answer.
     Attach,
-    /// It ran: send the kept answer again.
+    /// The offer has run: send the stored answer again.
     Replay,
-    /// Refused.
+    /// The offer is refused.
     Refuse(RefusalReason, RunVerdict),
 }
 
-/// Rules of the gate that the model checker breaks one at a time.
+/// Rules of the gate; the model checker disables them one at a time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct GateRules {
     /// A ticket of another incarnation is refused.
     pub own_incarnation_only: bool,
-    /// A refusal is remembered until the ticket's deadline.
+    /// A refusal is recorded until the ticket's deadline.
     pub refusal_spends: bool,
-    /// A run is remembered until the ticket's deadline.
+    /// A run is recorded until the ticket's deadline.
     pub remember_runs: bool,
 }
 
 impl GateRules {
-    /// The rules in force.
+    /// All rules enabled.
     pub const SOUND: Self = Self { own_incarnation_only: true, refusal_spends: true, remember_runs: true };
 }
 
-/// The gate of one incarnation.
+/// Gate of one incarnation of a target process.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct GateMachine {
     incarnation: IncarnationId,
@@ -86,12 +86,12 @@
 }
 
 impl GateMachine {
-    /// A gate that remembers at most `capacity` tickets and attempts.
+    /// Creates a gate that records at most `capacity` tickets and attempts.
     pub fn new(incarnation: IncarnationId, capacity: usize) -> Self {
         Self::with_rules(incarnation, capacity, GateRules::SOUND)
     }
 
-    /// A gate with given rules, for the model checker.
+    /// Creates a gate with the given rules, for the model checker.
     pub fn with_rules(incarnation: IncarnationId, capacity: usize, rules: GateRules) -> Self {
         Self {
             incarnation,
@@ -104,29 +104,29 @@
         }
     }
 
-    /// The incarnation whose tickets may run here.
+    /// Returns the incarnation whose tickets may run here.
     pub fn incarnation(&self) -> IncarnationId {
         self.incarnation
     }
 
-    /// Whether new work is refused.
+    /// Returns whether new work is refused.
     pub fn draining(&self) -> bool {
         self.draining
     }
 
-    /// Refuses new work from now on, or accepts it again.
+    /// Sets whether new work is refused.
     pub fn set_draining(&mut self, draining: bool) {
         self.draining = draining;
     }
 
-    /// Number of records kept.
-    pub fn remembered(&self) -> usize {
+    /// Returns the number of records.
+    pub fn record_count(&self) -> usize {
         self.records.len()
     }
 
-    /// Reserves the sequence of a new ticket, or nothing when the memory is full or the target is leaving.
+    /// Reserves the sequence of a new ticket, or returns `None` if all records are in use or the gate is draining.
     pub fn mint(&mut self, now: UnixMillis, deadline: UnixDeadline) -> Option<u64> {
-        self.forget(now);
+        self.expire_records(now);
         if self.draining || self.records.len() >= self.capacity {
             return None;
         }
@@ -137,14 +137,14 @@
         Some(sequence)
     }
 
-    /// Decides on an offer; `admission` asks the queue and is called only for a first offer.
+    /// Decides on an offer; `admission` asks the queue and is called only for the first offer of a key.
     pub fn offer(
         &mut self,
         now: UnixMillis,
         offer: GateOffer,
         admission: impl FnOnce() -> Result<(), RefusalReason>,
     ) -> GateDecision {
-        self.forget(now);
+        self.expire_records(now);
         if self.rules.own_incarnation_only && offer.incarnation != self.incarnation {
             return GateDecision::Refuse(RefusalReason::TicketForeign, RunVerdict::MayHaveRun);
         }
@@ -152,12 +152,12 @@
             return GateDecision::Refuse(RefusalReason::DeadlinePassed, RunVerdict::MayHaveRun);
         }
         match self.records.get(&offer.key).copied() {
-            Some(record) if record.state != RecordState::Minted => Self::repeated(record, offer),
-            known => self.first(offer, known.is_some(), admission),
+            Some(record) if record.state != RecordState::Minted => Self::repeated_offer(record, offer),
+            known => self.first_offer(offer, known.is_some(), admission),
         }
     }
 
-    fn repeated(record: GateRecord, offer: GateOffer) -> GateDecision {
+    fn repeated_offer(record: GateRecord, offer: GateOffer) -> GateDecision {
         if record.fingerprint != offer.fingerprint {
             return GateDecision::Refuse(RefusalReason::KeyMismatch, RunVerdict::MayHaveRun);
         }
@@ -171,7 +171,7 @@
         }
     }
 
-    fn first(
+    fn first_offer(
         &mut self,
         offer: GateOffer,
         reserved: bool,
@@ -200,19 +200,19 @@
         }
     }
 
-    /// A queued offer was given up before it ran: its ticket is spent.
+    /// Records that a queued offer was cancelled before it ran, which spends its ticket.
     pub fn cancelled(&mut self, key: GateKey) {
         self.set_state(key, RecordState::Refused);
     }
 
-    /// The run ended and its answer is kept.
+    /// Records that a run ended and its answer is stored.
     pub fn finished(&mut self, key: GateKey) {
         if self.rules.remember_runs {
             self.set_state(key, RecordState::Finished);
         }
     }
 
-    /// The kept answer was dropped; that it ran is still remembered.
+    /// Records that a stored answer was dropped; the record of the run remains.
     pub fn answer_dropped(&mut self, key: GateKey) {
         self.set_state(key, RecordState::AnswerDropped);
     }
@@ -230,7 +230,7 @@
         self.expiry.insert((record.deadline, key));
     }
 
-    fn forget(&mut self, now: UnixMillis) {
+    fn expire_records(&mut self, now: UnixMillis) {
         while let Some(&(deadline, key)) = self.expiry.first() {
             if !deadline.passed(now) {
                 return;
--- a/crates/porthoist-policy/src/lib.rs
+++ b/crates/porthoist-policy/src/lib.rs
@@ -1,7 +1,7 @@
-//! The decisions of porthoist, without I/O.
+//! Decision logic of porthoist, without I/O.
 //!
-//! Each module is a state machine: it takes events and the present time, and returns typed actions. The daemon, the
-//! model checker and the experiments all drive these same types.
+//! The modules contain state machines that take events and the current time and return typed actions. The daemon, the
+//! model checker and the experiments drive the same types.
 
 pub mod admission;
 pub mod adoption;
--- a/crates/porthoist-policy/src/limits.rs
+++ b/crates/porthoist-policy/src/limits.rs
@@ -1,7 +1,8 @@
-//! Limits of teams: a rate and a concurrency for each team in a zone.
+//! Rate and concurrency limits of each team in a zone.
 //!
-//! An entry admits on borrowed tokens or a small credit and settles with the team's coordinator, found by rendezvous among
-//! the zone's live entries. The coordinator's one bucket bounds the zone; an entry that can't hear it uses its fair share.
+//! An entry admits requests with borrowed tokens or on a small credit, and settles with the team's coordinator: the live
+//! entry of the zone that rendezvous hashing selects. The coordinator's token bucket limits the whole zone. An entry that
+//! cannot reach it uses its fair share of the rate.
 
 use porthoist_core::{RefusalReason, RequestRate, TeamName, UnixMillis};
 use std::collections::HashMap;
@@ -12,55 +13,55 @@
 use bucket::TokenBucket;
 use coordinator::{SettleAsk, SettleTold};
 
-/// Seconds of a team's rate that may be used in one burst.
+/// Burst of a team, in seconds of its rate.
 pub const BURST_SECONDS: f64 = 0.25;
-/// The same for a coordinator's bucket, which must hold what comes between two settlements.
+/// Burst of a coordinator's bucket, in seconds of the rate; it must hold the tokens between two settlements.
 pub const COORDINATOR_BURST_SECONDS: f64 = 1.5;
-/// An entry keeps no state of a team that was silent for so long, in milliseconds.
+/// Time without requests after which a team's state is dropped, in milliseconds.
 pub const IDLE_MILLIS: u64 = 60_000;
-/// A busy team is settled so often, in milliseconds.
+/// Interval between settlements of a busy team, in milliseconds.
 pub const SETTLE_MILLIS: u64 = 1000;
-/// Small debts are settled at every multiple of this, in milliseconds, so that they share messages.
+/// Small debts are settled at multiples of this time, in milliseconds, so that they share messages.
 pub const LAZY_SETTLE_MILLIS: u64 = 120_000;
-/// An entry's credit is at least so many requests of a team that has a rate at all.
+/// Minimum credit at an entry, in requests, for a team whose rate is not 0.
 pub const MIN_CREDIT: u32 = 4;
-/// After the coordinator was not heard an entry uses its fair share for so long, in milliseconds.
+/// Time for which an entry uses its fair share after it could not reach the coordinator, in milliseconds.
 pub const FALLBACK_MILLIS: u64 = 2000;
-/// Time over which demand is averaged, in milliseconds.
+/// Time constant of the moving average of demand, in milliseconds.
 const DEMAND_MILLIS: f64 = 5000.0;
-/// Tokens are borrowed ahead for so many settlements.
-const AHEAD: f64 = 1.5;
+/// Settlement intervals for which tokens are borrowed in advance.
+const INTERVALS_AHEAD: f64 = 1.5;
 
-/// A team's limits as the configuration in force has them.
+/// A team's limits in the configuration in force.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TeamLimit {
-    /// Requests a second in the zone.
+    /// Requests per second in the zone.
     pub rate: RequestRate,
     /// Requests in flight in the zone.
     pub concurrency: u32,
 }
 
-/// A refusal by a limit, with the time after which another try makes sense.
+/// A refusal because of a limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LimitRefusal {
-    /// Rate or concurrency.
+    /// The exceeded limit: rate or concurrency.
     pub reason: RefusalReason,
-    /// When a token is there again.
+    /// Time from which a retry may succeed.
     pub retry_at: UnixMillis,
 }
 
 #[derive(Debug)]
-struct TeamUse {
+struct TeamUsage {
     limit: TeamLimit,
-    stock: f64,
+    borrowed: f64,
     debt: u32,
     debt_since: UnixMillis,
     credit: u32,
-    /// Requests asked for, averaged.
+    /// Exponentially decayed number of requests, admitted or not.
     demand: f64,
     demand_at: UnixMillis,
     asked_at: UnixMillis,
-    waiting: bool,
+    awaiting_reply: bool,
     denied_until: UnixMillis,
     fallback_until: UnixMillis,
     fallback: TokenBucket,
@@ -68,15 +69,15 @@
     used_at: UnixMillis,
 }
 
-/// The limiter of one entry.
+/// Limiter of one entry.
 #[derive(Debug)]
 pub struct EntryLimiter {
     entries: u32,
-    teams: HashMap<TeamName, TeamUse>,
+    teams: HashMap<TeamName, TeamUsage>,
 }
 
 impl EntryLimiter {
-    /// A limiter in a zone with so many live entries.
+    /// Creates a limiter for a zone with `entries` live entries.
     pub fn new(entries: u32) -> Self {
         Self { entries: entries.max(1), teams: HashMap::new() }
     }
@@ -86,92 +87,92 @@
         self.entries = entries.max(1);
     }
 
-    /// Teams with state.
+    /// Returns the number of teams with state.
     pub fn teams(&self) -> usize {
         self.teams.len()
     }
 
-    /// Admits one request of a team, or refuses it.
+    /// Admits or refuses a request of a team.
     pub fn admit(&mut self, now: UnixMillis, team: &TeamName, limit: TeamLimit) -> Result<(), LimitRefusal> {
         let entries = self.entries;
         let concurrency = limit.concurrency.div_ceil(entries);
-        let team_use = self.teams.entry(team.clone()).or_insert_with(|| TeamUse::new(now, limit, entries));
-        team_use.used_at = now;
-        team_use.limit = limit;
-        team_use.credit = credit(limit.rate, entries);
-        team_use.note_demand(now);
-        if team_use.in_flight >= concurrency {
+        let usage = self.teams.entry(team.clone()).or_insert_with(|| TeamUsage::new(now, limit, entries));
+        usage.used_at = now;
+        usage.limit = limit;
+        usage.credit = credit(limit.rate, entries);
+        usage.record_demand(now);
+        if usage.in_flight >= concurrency {
             let retry_at = now.plus(bucket::MIN_WAIT_MILLIS);
             return Err(LimitRefusal { reason: RefusalReason::ConcurrencyLimit, retry_at });
         }
-        if let Err(retry_at) = team_use.take(now, entries) {
+        if let Err(retry_at) = usage.take(now, entries) {
             return Err(LimitRefusal { reason: RefusalReason::RateLimit, retry_at });
         }
-        team_use.in_flight += 1;
+        usage.in_flight += 1;
         Ok(())
     }
 
-    /// A request that was admitted is over.
+    /// Records the end of an admitted request.
     pub fn release(&mut self, team: &TeamName) {
-        if let Some(team_use) = self.teams.get_mut(team) {
-            team_use.in_flight = team_use.in_flight.saturating_sub(1);
+        if let Some(usage) = self.teams.get_mut(team) {
+            usage.in_flight = usage.in_flight.saturating_sub(1);
         }
     }
 
-    /// Teams to settle now, each with its coordinator.
+    /// Returns the teams to settle now, each with the message to its coordinator.
     pub fn due(&mut self, now: UnixMillis) -> Vec<(TeamName, SettleAsk)> {
         let mut asks = Vec::new();
-        for (team, team_use) in &mut self.teams {
-            if let Some((debt, wanted)) = team_use.due(now) {
+        for (team, usage) in &mut self.teams {
+            if let Some((debt, wanted)) = usage.due(now) {
                 asks.push((team.clone(), SettleAsk { team: coordinator::team_key(team), debt, wanted }));
             }
         }
         asks
     }
 
-    /// The coordinator's answer.
-    pub fn settled(&mut self, now: UnixMillis, team: &TeamName, ask: SettleAsk, told: SettleTold) {
-        let Some(team_use) = self.teams.get_mut(team) else { return };
-        team_use.waiting = false;
-        team_use.debt = team_use.debt.saturating_sub(ask.debt);
-        team_use.stock += f64::from(told.granted);
-        team_use.denied_until = now.plus(u64::from(told.wait_millis));
-        team_use.fallback_until = UnixMillis(0);
+    /// Applies the coordinator's reply.
+    pub fn settled(&mut self, now: UnixMillis, team: &TeamName, ask: SettleAsk, reply: SettleTold) {
+        let Some(usage) = self.teams.get_mut(team) else { return };
+        usage.awaiting_reply = false;
+        usage.debt = usage.debt.saturating_sub(ask.debt);
+        usage.borrowed += f64::from(reply.granted);
+        usage.denied_until = now.plus(u64::from(reply.wait_millis));
+        usage.fallback_until = UnixMillis(0);
     }
 
-    /// The coordinator could not be heard: the fair share holds for a while.
+    /// Falls back to the fair share for [`FALLBACK_MILLIS`] because the coordinator could not be reached.
     pub fn coordinator_unreachable(&mut self, now: UnixMillis, team: &TeamName) {
         let entries = self.entries;
-        let Some(team_use) = self.teams.get_mut(team) else { return };
-        team_use.waiting = false;
-        if team_use.fallback_until <= now {
-            let share = fair_share(team_use.limit.rate, entries);
-            team_use.fallback = TokenBucket::empty(now, share, burst(share));
+        let Some(usage) = self.teams.get_mut(team) else { return };
+        usage.awaiting_reply = false;
+        if usage.fallback_until <= now {
+            let share = fair_share(usage.limit.rate, entries);
+            usage.fallback = TokenBucket::empty(now, share, burst(share));
         }
-        team_use.fallback_until = now.plus(FALLBACK_MILLIS);
+        usage.fallback_until = now.plus(FALLBACK_MILLIS);
     }
 
-    /// Forgets teams that were silent for long.
+    /// Drops the state of idle teams.
     pub fn forget_idle(&mut self, now: UnixMillis) {
-        self.teams.retain(|_team, team_use| {
-            team_use.in_flight > 0 || team_use.debt > 0 || now.since(team_use.used_at) < IDLE_MILLIS
+        self.teams.retain(|_team, usage| {
+            usage.in_flight > 0 || usage.debt > 0 || now.since(usage.used_at) < IDLE_MILLIS
         });
     }
 }
 
-impl TeamUse {
+impl TeamUsage {
     fn new(now: UnixMillis, limit: TeamLimit, entries: u32) -> Self {
         let share = fair_share(limit.rate, entries);
         Self {
             limit,
-            stock: 0.0,
+            borrowed: 0.0,
             debt: 0,
             debt_since: now,
             credit: credit(limit.rate, entries),
             demand: 0.0,
             demand_at: now,
             asked_at: UnixMillis(0),
-            waiting: false,
+            awaiting_reply: false,
             denied_until: UnixMillis(0),
             fallback_until: UnixMillis(0),
             fallback: TokenBucket::full(now, share, burst(share)),
@@ -180,20 +181,20 @@
         }
     }
 
-    fn note_demand(&mut self, now: UnixMillis) {
+    fn record_demand(&mut self, now: UnixMillis) {
         self.demand = self.demand_rate(now) * DEMAND_MILLIS + 1.0;
         self.demand_at = now;
     }
 
-    /// Requests asked for in a millisecond.
+    /// Returns the demand in requests per millisecond.
     fn demand_rate(&self, now: UnixMillis) -> f64 {
         let age = now.since(self.demand_at) as f64;
         self.demand * (-age / DEMAND_MILLIS).exp() / DEMAND_MILLIS
     }
 
     fn take(&mut self, now: UnixMillis, entries: u32) -> Result<(), UnixMillis> {
-        if self.stock >= 1.0 {
-            self.stock -= 1.0;
+        if self.borrowed >= 1.0 {
+            self.borrowed -= 1.0;
             return Ok(());
         }
         if now < self.fallback_until {
@@ -213,11 +214,11 @@
 
     fn due(&mut self, now: UnixMillis) -> Option<(u32, u32)> {
         let since_asked = now.since(self.asked_at);
-        if self.waiting || since_asked < SETTLE_MILLIS {
+        if self.awaiting_reply || since_asked < SETTLE_MILLIS {
             return None;
         }
-        let ahead = self.demand_rate(now) * SETTLE_MILLIS as f64 * AHEAD;
-        let wanted = (ahead - self.stock).floor().max(0.0) as u32;
+        let ahead = self.demand_rate(now) * SETTLE_MILLIS as f64 * INTERVALS_AHEAD;
+        let wanted = (ahead - self.borrowed).floor().max(0.0) as u32;
         let busy = wanted >= 1 || self.debt * 2 >= self.credit;
         let period = |at: UnixMillis| at.0 / LAZY_SETTLE_MILLIS;
         let old = self.debt > 0 && period(now) > period(self.debt_since);
@@ -225,12 +226,12 @@
             return None;
         }
         self.asked_at = now;
-        self.waiting = true;
+        self.awaiting_reply = true;
         Some((self.debt, wanted))
     }
 }
 
-/// Tokens that may be saved up at a rate.
+/// Returns the burst at a rate, in tokens.
 pub fn burst(rate: f64) -> f64 {
     if rate > 0.0 { (rate * BURST_SECONDS).max(1.0) } else { 0.0 }
 }
@@ -239,7 +240,8 @@
     rate.0 / f64::from(entries)
 }
 
-/// Requests that an entry admits before it has settled: its fair share of two settlements, and at least a few.
+/// Returns the number of requests that an entry admits before it settles: its fair share of two settlement intervals, but
+/// at least [`MIN_CREDIT`].
 fn credit(rate: RequestRate, entries: u32) -> u32 {
     if rate.0 <= 0.0 {
         return 0;
--- a/crates/porthoist-policy/src/limits/bucket.rs
+++ b/crates/porthoist-policy/src/limits/bucket.rs
@@ -1,13 +1,13 @@
-//! A token bucket on given time.
+//! Token bucket whose methods take the current time.
 
 use porthoist_core::UnixMillis;
 
-/// Shortest wait that a refused request is told, in milliseconds.
+/// Shortest wait returned with a refusal, in milliseconds.
 pub const MIN_WAIT_MILLIS: u64 = 10;
-/// Longest wait that a refused request is told, in milliseconds.
+/// Longest wait returned with a refusal, in milliseconds.
 pub const MAX_WAIT_MILLIS: u64 = 60_000;
 
-/// A bucket that fills at a rate and holds a burst.
+/// A bucket that fills at `rate` tokens per second up to `burst` tokens.
 #[derive(Debug, Clone)]
 pub struct TokenBucket {
     rate: f64,
@@ -17,17 +17,17 @@
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn full(now: UnixMillis, rate: f64, burst: f64) -> Self {
         Self { rate, burst, tokens: burst, filled_at: now }
     }
 
-    /// An empty bucket.
+    /// Creates an empty bucket.
     pub fn empty(now: UnixMillis, rate: f64, burst: f64) -> Self {
         Self { rate, burst, tokens: 0.0, filled_at: now }
     }
 
-    /// Changes rate and burst; what was saved up is kept within the burst.
+    /// Changes rate and burst; tokens above the new burst are dropped.
     pub fn set_rate(&mut self, now: UnixMillis, rate: f64, burst: f64) {
         self.fill(now);
         self.rate = rate;
@@ -41,7 +41,7 @@
         self.filled_at = self.filled_at.max(now);
     }
 
-    /// Takes a token, or tells when one is there.
+    /// Takes a token, or returns the time at which one will be available.
     pub fn take(&mut self, now: UnixMillis) -> Result<(), UnixMillis> {
         self.fill(now);
         if self.tokens >= 1.0 {
@@ -61,12 +61,12 @@
         taken as u32
     }
 
-    /// Puts tokens in, up to the burst.
+    /// Adds tokens, up to the burst.
     pub fn put(&mut self, tokens: u32) {
         self.tokens = (self.tokens + f64::from(tokens)).min(self.burst);
     }
 
-    /// Tokens there now.
+    /// Returns the number of tokens.
     pub fn level(&mut self, now: UnixMillis) -> f64 {
         self.fill(now);
         self.tokens
--- a/crates/porthoist-policy/src/membership.rs
+++ b/crates/porthoist-policy/src/membership.rs
@@ -1,24 +1,24 @@
-//! What a process believes of the fleet: who lives, in which incarnation, and who is leaving.
+//! A process's view of the fleet: which targets are alive, in which incarnation, and which are leaving.
 //!
-//! Beliefs are late by nature; they only spare round trips. A leaving mark stays until the incarnation changes.
+//! The view lags behind and only saves round trips. A leaving mark stays until the incarnation changes.
 
 use porthoist_core::{HostName, IncarnationId, ServiceName, TargetName, UnixMillis, ZoneName};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Most targets that one process keeps a record of.
+/// Maximum number of targets with a record in one process.
 pub const MAX_MEMBERS: usize = 4096;
 
-/// One life of a target's process, ordered by when it started.
+/// One run of a target's process, ordered by start time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ProcessLife {
-    /// Start on the process's own clock; it decides only which of two reports is preferred.
+    /// Start time on the process's own clock; used only to choose between two reports.
     pub started: UnixMillis,
-    /// Random identifier.
+    /// Random identifier of the run.
     pub incarnation: IncarnationId,
 }
 
-/// What one process says of a target.
+/// One process's report on a target.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MemberDigest {
     /// The target.
@@ -27,92 +27,92 @@
     pub host: HostName,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Address of its fleet listener.
+    /// Address of the target's fleet listener.
     pub address: String,
-    /// Its life, if known.
+    /// The run of its process, if known.
     pub life: Option<ProcessLife>,
     /// Whether it is leaving.
     pub leaving: bool,
-    /// The services it runs, if known.
+    /// The services that it runs; empty if unknown.
     pub services: Vec<ServiceName>,
 }
 
-/// A target as this process knows it.
+/// A target as known to this process.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct MemberRecord {
-    /// The newest digest, merged.
+    /// Merged content of the digests.
     pub digest: MemberDigest,
-    /// When it was last heard of.
-    pub heard_at: UnixMillis,
+    /// Time of the last digest.
+    pub last_seen: UnixMillis,
 }
 
-/// The records of all targets.
+/// Records of all known targets.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct MemberTable {
     records: BTreeMap<TargetName, MemberRecord>,
 }
 
 impl MemberTable {
-    /// Merges a digest; returns whether anything that matters to routing changed.
+    /// Merges a digest and returns whether the merged content changed.
     pub fn apply(&mut self, now: UnixMillis, digest: MemberDigest) -> bool {
         let Some(record) = self.records.get_mut(&digest.target) else {
             if self.records.len() >= MAX_MEMBERS {
                 return false;
             }
             let target = digest.target.clone();
-            self.records.insert(target, MemberRecord { digest, heard_at: now });
+            self.records.insert(target, MemberRecord { digest, last_seen: now });
             return true;
         };
-        record.heard_at = record.heard_at.max(now);
+        record.last_seen = record.last_seen.max(now);
         merge(&mut record.digest, digest)
     }
 
-    /// The record of a target.
+    /// Returns the record of a target.
     pub fn get(&self, target: &TargetName) -> Option<&MemberRecord> {
         self.records.get(target)
     }
 
-    /// All records.
+    /// Returns all records.
     pub fn records(&self) -> impl Iterator<Item = &MemberRecord> {
         self.records.values()
     }
 
-    /// Forgets targets that were not heard of since `before`; returns their names.
+    /// Drops targets without a digest since `before` and returns their names.
     pub fn expire(&mut self, before: UnixMillis) -> Vec<TargetName> {
-        let silent = |record: &&MemberRecord| record.heard_at < before;
-        let gone: Vec<_> =
-            self.records.values().filter(silent).map(|record| record.digest.target.clone()).collect();
-        for target in &gone {
+        let expired = |record: &&MemberRecord| record.last_seen < before;
+        let removed: Vec<_> =
+            self.records.values().filter(expired).map(|record| record.digest.target.clone()).collect();
+        for target in &removed {
             self.records.remove(target);
         }
-        gone
+        removed
     }
 }
 
-fn merge(known: &mut MemberDigest, news: MemberDigest) -> bool {
-    let older = known.life.is_some() && news.life.is_some() && news.life < known.life;
+fn merge(known: &mut MemberDigest, update: MemberDigest) -> bool {
+    let older = known.life.is_some() && update.life.is_some() && update.life < known.life;
     if older {
         return false;
     }
     let before = known.clone();
-    let reborn = news.life.is_some() && news.life != known.life;
-    known.leaving = if reborn { news.leaving } else { known.leaving || news.leaving };
-    known.life = news.life.or(known.life);
-    known.address = news.address;
-    known.zone = news.zone;
-    known.host = news.host;
-    if !news.services.is_empty() {
-        known.services = news.services;
+    let restarted = update.life.is_some() && update.life != known.life;
+    known.leaving = if restarted { update.leaving } else { known.leaving || update.leaving };
+    known.life = update.life.or(known.life);
+    known.address = update.address;
+    known.zone = update.zone;
+    known.host = update.host;
+    if !update.services.is_empty() {
+        known.services = update.services;
     }
     *known != before
 }
 
-/// Rendezvous score of a member for a key: the member with the highest score is the key's home.
+/// Returns the rendezvous score of a member for a key; the member with the highest score owns the key.
 pub fn rendezvous_score(key: u64, member: &str) -> u64 {
     xxhash_rust::xxh3::xxh3_64_with_seed(member.as_bytes(), key)
 }
 
-/// The `count` members with the highest scores for `key`, highest first; the same on every process.
+/// Returns the `count` members with the highest scores for `key`, highest first. All processes get the same result.
 pub fn rendezvous_subset<'a, I>(key: u64, members: I, count: usize) -> Vec<&'a str>
 where
     I: IntoIterator<Item = &'a str>,
--- a/crates/porthoist-policy/src/placement.rs
+++ b/crates/porthoist-policy/src/placement.rs
@@ -1,7 +1,7 @@
-//! Placement of experts on the ranks of a group: which rank holds which expert, and how its tokens are shared.
+//! Placement of experts on the ranks of a group: which rank holds which expert, and how tokens are shared.
 //!
-//! The planner changes the map in force by the best few replicas, and only when the step time won over a horizon
-//! is worth more than the bytes moved. Shares between replicas are set anew at no cost.
+//! The planner changes the map in force by a few replicas, and only if the step time saved over a horizon is worth more
+//! than the bytes moved. Changing the shares between replicas costs nothing.
 
 pub mod copying;
 pub mod demand;
@@ -15,67 +15,67 @@
 use serde::{Deserialize, Serialize};
 use shares::{balance_shares, rank_times};
 
-/// What the planner knows of the group: estimates, late by nature.
+/// Estimates of the group's demand and speed; they lag behind the actual values.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GroupEstimate {
-    /// Share of all tokens that goes to each expert; sums to 1.
+    /// Share of all tokens that go to each expert; sums to 1.
     pub popularity: Vec<f64>,
     /// Speed of each rank relative to a healthy one.
     pub speed: Vec<f64>,
 }
 
-/// A replica that is loaded onto a rank in place of another expert's.
+/// A replica loaded onto a rank in place of another expert's replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExpertMove {
     /// The expert to load.
     pub expert: ExpertId,
-    /// Where.
+    /// The rank to load it on.
     pub rank: RankId,
-    /// The expert whose replica goes.
+    /// The expert whose replica is replaced.
     pub evict: ExpertId,
 }
 
 /// Settings of the planner.
 #[derive(Debug, Clone, Copy, PartialEq, bon::Builder)]
 pub struct PlannerSettings {
-    /// Weight of step-time skew, from the table's policy row.
+    /// Weight of step-time skew, from the policy row.
     pub skew_weight: f64,
-    /// Weight of moved bytes and stalls, from the table's policy row.
+    /// Weight of moved bytes and stalls, from the policy row.
     pub move_weight: f64,
-    /// Moves in one plan at most.
+    /// Maximum number of moves in a plan.
     #[builder(default = 12)]
     pub max_moves: usize,
-    /// A plan that wins less than this part of the mean rank time is not worth a switch.
+    /// Minimum gain of a move, as a fraction of the mean rank time.
     #[builder(default = 0.01)]
     pub min_gain: f64,
 }
 
 impl PlannerSettings {
-    /// Settings from the policy row in force.
+    /// Reads the settings from the policy row in force.
     pub fn from_row(row: &PolicyRow) -> Self {
         Self::builder().skew_weight(row.skew_weight).move_weight(row.move_weight).build()
     }
 }
 
-/// What to change.
+/// Result of planning.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlacementPlan {
-    /// Replicas to load, in order.
+    /// Replicas to load, in this order.
     pub moves: Vec<ExpertMove>,
-    /// The map after the moves, with its shares.
+    /// The map after the moves, including its shares.
     pub map: ExpertMap,
-    /// Predicted slowest rank's time before, relative to a perfect balance.
+    /// Predicted time of the slowest rank before the moves, relative to a perfect balance.
     pub peak_before: f64,
-    /// The same after.
+    /// Predicted time of the slowest rank after the moves, relative to a perfect balance.
     pub peak_after: f64,
 }
 
-/// Experts looked at on the slowest rank.
+/// Number of experts considered on the slowest rank.
 const HOT_EXPERTS: usize = 4;
-/// Ranks looked at as new homes.
+/// Number of ranks considered as destinations.
 const COOL_RANKS: usize = 6;
 
-/// Sets the shares for the estimate; no expert moves.
+/// Adapts the shares to the estimate without moving an expert.
 pub fn reshare(map: &ExpertMap, estimate: &GroupEstimate) -> ExpertMap {
     let mut shared = map.clone();
     balance_shares(&mut shared, estimate);
@@ -101,11 +101,11 @@
     PlacementPlan { moves, map: best, peak_before, peak_after: peak_now }
 }
 
-/// The part of the mean rank time that one move must win at equal weights. At about 44 MB and 2 ms a move against
-/// steps of 4.5 ms over a horizon of half a minute, a move costs as much as 0.2% of the time.
+/// Minimum gain of a move at equal weights, as a fraction of the mean rank time. A move costs about 44 MB and 2 ms;
+/// against steps of 4.5 ms over a horizon of half a minute, that equals 0.2% of the time.
 pub const MOVE_PRICE: f64 = 0.002;
 
-/// The slowest rank's predicted time relative to a perfect balance.
+/// Returns the slowest rank's predicted time relative to a perfect balance.
 pub fn peak(map: &ExpertMap, estimate: &GroupEstimate) -> f64 {
     let times = rank_times(map, estimate);
     let total_speed: f64 = estimate.speed.iter().sum();
@@ -115,16 +115,16 @@
 fn best_move(map: &ExpertMap, estimate: &GroupEstimate) -> Option<(ExpertMove, ExpertMap, f64)> {
     let times = rank_times(map, estimate);
     let hottest = (0..times.len()).max_by(|left, right| times[*left].total_cmp(&times[*right]))?;
-    let mut cool: Vec<usize> = (0..times.len()).filter(|rank| *rank != hottest).collect();
-    cool.sort_by(|left, right| times[*left].total_cmp(&times[*right]));
-    cool.truncate(COOL_RANKS);
+    let mut coolest: Vec<usize> = (0..times.len()).filter(|rank| *rank != hottest).collect();
+    coolest.sort_by(|left, right| times[*left].total_cmp(&times[*right]));
+    coolest.truncate(COOL_RANKS);
     let mut best: Option<(ExpertMove, ExpertMap, f64)> = None;
     for expert in hot_experts(map, estimate, RankId(hottest as u16)) {
-        for rank in cool.iter().map(|rank| RankId(*rank as u16)) {
+        for rank in coolest.iter().map(|rank| RankId(*rank as u16)) {
             if map.holds(rank, expert) {
                 continue;
             }
-            let Some(evict) = least_useful(map, estimate, rank) else { continue };
+            let Some(evict) = cheapest_eviction(map, estimate, rank) else { continue };
             let mut next = map.clone();
             next.replace(rank, evict, expert);
             balance_shares(&mut next, estimate);
@@ -137,7 +137,7 @@
     best
 }
 
-/// The experts that weigh most on a rank.
+/// Returns the experts with the largest load on a rank.
 fn hot_experts(map: &ExpertMap, estimate: &GroupEstimate, rank: RankId) -> Vec<ExpertId> {
     let mut held: Vec<ExpertId> = map.held(rank).to_vec();
     let weight = |expert: &ExpertId| map.share(*expert, rank) * estimate.popularity[usize::from(expert.0)];
@@ -146,18 +146,18 @@
     held
 }
 
-/// The replica that a rank can best do without: of an expert held elsewhere too, with the least popularity for each
-/// of its replicas.
-fn least_useful(map: &ExpertMap, estimate: &GroupEstimate, rank: RankId) -> Option<ExpertId> {
+/// Returns the replica to evict from a rank: among experts with other replicas, the one that adds the least popularity
+/// to each of those.
+fn cheapest_eviction(map: &ExpertMap, estimate: &GroupEstimate, rank: RankId) -> Option<ExpertId> {
     let spare = map.held(rank).iter().copied().filter(|expert| map.replicas(*expert).len() > 1);
-    let use_of = |expert: &ExpertId| {
+    let added_load = |expert: &ExpertId| {
         estimate.popularity[usize::from(expert.0)] / (map.replicas(*expert).len() - 1) as f64
     };
-    spare.min_by(|left, right| use_of(left).total_cmp(&use_of(right)))
+    spare.min_by(|left, right| added_load(left).total_cmp(&added_load(right)))
 }
 
-/// Places all experts anew: replicas for the hottest, then longest first onto the least loaded rank. This is the
-/// baseline that moves whatever it likes.
+/// Places all experts from scratch: replicates the hottest ones, then assigns replicas by decreasing load to the least
+/// loaded rank. Serves as a baseline without regard to the cost of moves.
 pub fn place_from_scratch(estimate: &GroupEstimate, ranks: usize, slots: usize) -> ExpertMap {
     let experts = estimate.popularity.len();
     let mut replicas = vec![1_usize; experts];
--- a/crates/porthoist-policy/src/placement/copying.rs
+++ b/crates/porthoist-policy/src/placement/copying.rs
@@ -1,31 +1,32 @@
-//! How long copies of experts and switches take, as observed, and what follows for the size of a plan.
+//! Observed durations of expert copies and switches, and the plan size that follows from them.
 //!
-//! A rank copies its new experts one after the other, so a plan takes as long as the rank with the most of them. Every
-//! plan also costs its switch. Between the two lies the best number of copies for one plan.
+//! A rank copies its new experts one after the other, so a plan takes as long as the rank with the most copies. Every
+//! plan also costs a switch. The number of copies per plan balances the two.
 
 use std::collections::VecDeque;
 
-/// Observations that an estimate is the median of: one that was stretched by a lost order must not count.
-const KEPT: usize = 5;
-/// What a switch is taken to cost before one was seen, in milliseconds: the rounds of a group of twelve.
-const FIRST_SWITCH_MILLIS: f64 = 200.0;
+/// Number of observations in the median. The median ignores an observation that a lost order has prolonged.
+const MEDIAN_SAMPLES: usize = 5;
+/// Duration of a switch assumed before the first observation, in milliseconds: its rounds of orders in a group
+/// of twelve ranks.
+const INITIAL_SWITCH_MILLIS: f64 = 200.0;
 
-/// The median of the last observations.
+/// Median of the last observations.
 #[derive(Debug, Clone, Default)]
 pub struct RecentMedian {
     values: VecDeque<f64>,
 }
 
 impl RecentMedian {
-    /// Takes an observation.
+    /// Adds an observation.
     pub fn add(&mut self, value: f64) {
-        if self.values.len() == KEPT {
+        if self.values.len() == MEDIAN_SAMPLES {
             self.values.pop_front();
         }
         self.values.push_back(value);
     }
 
-    /// The median; nothing before the first observation.
+    /// Returns the median, or `None` before the first observation.
     pub fn get(&self) -> Option<f64> {
         let mut sorted: Vec<f64> = self.values.iter().copied().collect();
         sorted.sort_by(f64::total_cmp);
@@ -33,7 +34,7 @@
     }
 }
 
-/// Times of copies and switches of one group.
+/// Durations of copies and switches in one group.
 #[derive(Debug, Clone, Default)]
 pub struct CopyTimes {
     copy: RecentMedian,
@@ -41,31 +42,31 @@
 }
 
 impl CopyTimes {
-    /// Takes that the rank with most new experts had so many of them after so many milliseconds.
+    /// Records that the rank with the most new experts copied `copies` of them in `millis`.
     pub fn record_copies(&mut self, copies: usize, millis: f64) {
         if copies > 0 {
             self.copy.add(millis / copies as f64);
         }
     }
 
-    /// Takes the milliseconds from the last copy to the map in force.
+    /// Records the milliseconds from the last copy until the map was in force.
     pub fn record_switch(&mut self, millis: f64) {
         self.switch.add(millis);
     }
 
-    /// Milliseconds of one copy; nothing before one was seen.
+    /// Returns the milliseconds of one copy, or `None` before the first observation.
     pub fn copy_millis(&self) -> Option<f64> {
         self.copy.get()
     }
 
-    /// Copies that one plan gives to a rank, where all that is worth copying is `wanted` a rank.
+    /// Returns the number of copies per rank in one plan, if `wanted` copies per rank are worthwhile in total.
     ///
-    /// `wanted` copies in plans of n take wanted / n switches; a copy serves on the average from the middle of its own
-    /// plan on. The sum of both delays is least at the root of wanted x switch / copy. On links where a copy takes 0.4 s
-    /// this is one, and days gain 0.1 of their worth over plans of four; where it takes 0.1 s it is three.
+    /// With n copies per plan, `wanted` copies take wanted / n switches, and a copy waits on average for half of its plan.
+    /// The sum of both delays is minimal at n = sqrt(wanted x switch / copy). If a copy takes 0.4 s, this is one, which
+    /// gains 0.1 of a day's score over plans of four copies; if it takes 0.1 s, it is three.
     pub fn copies_per_rank(&self, wanted: usize) -> usize {
         let Some(copy) = self.copy.get() else { return 1 };
-        let switch = self.switch.get().unwrap_or(FIRST_SWITCH_MILLIS);
+        let switch = self.switch.get().unwrap_or(INITIAL_SWITCH_MILLIS);
         let best = (wanted as f64 * switch / copy.max(1.0)).sqrt();
         (best.round() as usize).clamp(1, wanted.max(1))
     }
--- a/crates/porthoist-policy/src/placement/demand.rs
+++ b/crates/porthoist-policy/src/placement/demand.rs
@@ -1,60 +1,66 @@
-//! The demand for experts of a group whose requests bring many tokens of a kind each, with shifts told from noise.
+//! Estimates the demand for a group's experts and distinguishes shifts of demand from noise.
 //!
-//! A window of counts holds few requests, so it strays from the demand by far more than its many tokens suggest. How far
-//! windows usually stray is learned; one that strays further, confirmed by the next, is a shift of demand. From then on
-//! the estimate is the mean of all windows since, up to a bound.
+//! Each request brings many similar tokens. A window of counts contains few requests, so it deviates from the demand far
+//! more than its number of tokens suggests. The estimator learns the usual deviation; a larger one that the next window
+//! confirms is a shift. After a shift, the estimate is the mean of all later windows, with a minimum weight for each.
 
 use std::collections::VecDeque;
 
-/// A window that strays so many times further than usual may show a shift. On the users' groups of 12 and 63 ranks steady
-/// ones stay below 1.7 times, shifts of a fifth of the demand reach 2.6 times and those of half of it 6 times.
+/// A window may show a shift if it deviates more than this many times the usual deviation. In groups of 12 and 63 ranks,
+/// steady windows stay below 1.7 times, shifts of a fifth of the demand reach 2.6 times, and shifts of half of it 6 times.
 const SHIFT_FACTOR: f64 = 2.0;
-/// The usual straying is this quantile of what is remembered: windows after a shift that was missed, which all stray far,
-/// must not hide the next.
+/// Quantile of the recent deviations that counts as usual. It is low because the windows after a missed shift all deviate
+/// strongly and must not hide the next shift.
 const USUAL_QUANTILE: f64 = 0.3;
-/// Least weight of a new window: demand that drifts slowly is followed within some ten windows.
-const LEAST_SHARE: f64 = 0.1;
-/// Windows whose straying is remembered.
-const KEPT: usize = 15;
-/// Windows that must be known before one can be told from the others.
-const LEARNED: usize = 2;
+/// Minimum weight of a new window, which lets the estimate follow a slow drift within about 10 windows.
+const MIN_WEIGHT: f64 = 0.1;
+/// Number of recent deviations from which the usual one is computed.
+const DEVIATIONS_KEPT: usize = 15;
+/// Number of deviations required before a shift can be detected.
+const MIN_DEVIATIONS: usize = 2;
 
-/// What a window of counts shows.
+/// Change of demand that a window of counts shows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DemandChange {
-    /// The demand that was known.
+    /// No change.
     Steady,
-    /// A shift may have begun; the next window shows all of it. The estimate is still the old one.
+    /// A shift may have begun during the window; the next one lies entirely after it. The estimate is unchanged.
     PossibleShift,
-    /// A shift; the estimate is this window.
+    /// A shift; the estimate now equals this window.
     Shifted,
 }
 
-/// Estimates the demand for each expert, by set.
+/// Estimates the demand for each expert, by set of layers.
 #[derive(Debug, Clone)]
 pub struct DemandEstimator {
     experts: usize,
     demand: Vec<Vec<f64>>,
-    /// Counts that the estimate rests on.
+    /// Number of counts behind the estimate.
     weight: f64,
-    /// How far windows strayed, in units of what their number of counts explains.
-    strayed: VecDeque<f64>,
-    straying: bool,
+    /// Recent deviations, relative to the deviation that the number of counts explains.
+    deviations: VecDeque<f64>,
+    shift_suspected: bool,
 }
 
 impl DemandEstimator {
-    /// Knows nothing: all experts alike.
+    /// Creates an estimator with equal demand for all experts.
     pub fn new(sets: usize, experts: usize) -> Self {
-        let even = vec![1.0 / experts.max(1) as f64; experts];
-        Self { experts, demand: vec![even; sets], weight: 0.0, strayed: VecDeque::new(), straying: false }
+        let equal = vec![1.0 / experts.max(1) as f64; experts];
+        Self {
+            experts,
+            demand: vec![equal; sets],
+            weight: 0.0,
+            deviations: VecDeque::new(),
+            shift_suspected: false,
+        }
     }
 
-    /// The demand for each expert, by set; each set's sums to 1.
+    /// Returns the demand for each expert, by set; each set sums to 1.
     pub fn demand(&self) -> &[Vec<f64>] {
         &self.demand
     }
 
-    /// Takes the counts of a window, set after set.
+    /// Adds the counts of a window, ordered by set and expert.
     pub fn add_window(&mut self, counts: &[u64]) -> DemandChange {
         let window: Vec<Vec<f64>> = counts.chunks(self.experts.max(1)).map(shares).collect();
         let total = counts.iter().sum::<u64>() as f64 / self.demand.len().max(1) as f64;
@@ -65,24 +71,25 @@
             self.adopt(window, total);
             return DemandChange::Shifted;
         }
-        let strayed = self.distance(&window) / (1.0 / total + 1.0 / self.weight).sqrt();
-        let surprising = self.usual().is_some_and(|usual| strayed > SHIFT_FACTOR * usual);
-        match (surprising, std::mem::replace(&mut self.straying, surprising)) {
+        let deviation = self.distance(&window) / (1.0 / total + 1.0 / self.weight).sqrt();
+        let unusual =
+            self.usual_deviation().is_some_and(|usual_deviation| deviation > SHIFT_FACTOR * usual_deviation);
+        match (unusual, std::mem::replace(&mut self.shift_suspected, unusual)) {
             (true, false) => DemandChange::PossibleShift,
             (true, true) => {
-                self.straying = false;
+                self.shift_suspected = false;
                 self.adopt(window, total);
                 DemandChange::Shifted
             }
             (false, _) => {
-                self.remember(strayed);
-                self.absorb(&window, total);
+                self.record_deviation(deviation);
+                self.merge(&window, total);
                 DemandChange::Steady
             }
         }
     }
 
-    /// Half of what a window's shares differ by, mean over the sets: the part of the demand that moved.
+    /// Returns the fraction of the demand that moved, averaged over the sets: half the sum of absolute differences.
     fn distance(&self, window: &[Vec<f64>]) -> f64 {
         let sets = self.demand.iter().zip(window);
         let parts =
@@ -90,21 +97,21 @@
         parts.sum::<f64>() / 2.0 / self.demand.len().max(1) as f64
     }
 
-    /// How far windows stray that show no shift, once enough are known.
-    fn usual(&self) -> Option<f64> {
-        if self.strayed.len() < LEARNED {
+    /// Returns the usual deviation of windows without a shift, once enough are known.
+    fn usual_deviation(&self) -> Option<f64> {
+        if self.deviations.len() < MIN_DEVIATIONS {
             return None;
         }
-        let mut sorted: Vec<f64> = self.strayed.iter().copied().collect();
+        let mut sorted: Vec<f64> = self.deviations.iter().copied().collect();
         sorted.sort_by(f64::total_cmp);
         sorted.get((sorted.len() as f64 * USUAL_QUANTILE) as usize).copied()
     }
 
-    fn remember(&mut self, strayed: f64) {
-        if self.strayed.len() == KEPT {
-            self.strayed.pop_front();
+    fn record_deviation(&mut self, deviation: f64) {
+        if self.deviations.len() == DEVIATIONS_KEPT {
+            self.deviations.pop_front();
         }
-        self.strayed.push_back(strayed);
+        self.deviations.push_back(deviation);
     }
 
     fn adopt(&mut self, window: Vec<Vec<f64>>, total: f64) {
@@ -112,8 +119,8 @@
         self.weight = total;
     }
 
-    fn absorb(&mut self, window: &[Vec<f64>], total: f64) {
-        let share = (total / (self.weight + total)).max(LEAST_SHARE);
+    fn merge(&mut self, window: &[Vec<f64>], total: f64) {
+        let share = (total / (self.weight + total)).max(MIN_WEIGHT);
         self.weight = total / share;
         for (known, new) in self.demand.iter_mut().flatten().zip(window.iter().flatten()) {
             *known += share * (new - *known);
--- a/crates/porthoist-policy/src/placement/equal_shares.rs
+++ b/crates/porthoist-policy/src/placement/equal_shares.rs
@@ -1,43 +1,42 @@
-//! Expert maps whose replicas share an expert's tokens evenly, in several sets of layers.
+//! Expert maps for several sets of layers, in which the replicas of an expert receive equal shares of its tokens.
 //!
-//! The planner improves the map in force by small moves: each rank can take only a few experts that are new to it. A slow
-//! rank's load counts as many times as its work takes longer, since all ranks wait for it: it ends with cold experts or
-//! none.
+//! The planner improves the map in force by small moves, because each rank can take only a few new experts. The load of a
+//! slow rank is multiplied by its slowdown, since all ranks wait for it; it ends up with cold experts or none.
 
 use super::map::ExpertId;
 use crate::roll_forward::RankPace;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Experts looked at on the most loaded rank.
+/// Number of experts considered on the most loaded rank.
 const HOT_EXPERTS: usize = 5;
-/// Ranks looked at as homes for a further replica.
+/// Number of ranks considered for another replica.
 const COOL_RANKS: usize = 6;
-/// Replicas looked at to make room for it.
-const EVICTED: usize = 3;
-/// Exponent of the norm that the planner lowers: high enough for the most loaded rank to count most, low enough that
-/// lowering one of two equal peaks is a gain.
-const NORM: i32 = 8;
-
-/// Which experts each rank holds, by set and rank. Clones share the lists: a process keeps one for each peer that it sent
-/// the map to, and those of 129 ranks are 100 KB.
+/// Number of replicas considered for eviction.
+const EVICTION_CANDIDATES: usize = 3;
+/// Exponent of the norm of the loads that the planner minimizes: high enough for the most loaded rank to dominate, low
+/// enough that lowering one of two equal peaks is a gain.
+const NORM_EXPONENT: i32 = 8;
+
+/// Experts held by each rank, by set and rank. Clones share the lists: a process keeps a clone for each peer that it has
+/// sent the map to, and the lists of 129 ranks take 100 KB.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EqualShareMap {
     sets: Arc<Vec<Vec<Vec<ExpertId>>>>,
 }
 
 impl EqualShareMap {
-    /// A map from its lists, by set and rank.
+    /// Creates a map from its lists, by set and rank.
     pub fn new(sets: Vec<Vec<Vec<ExpertId>>>) -> Self {
         Self { sets: Arc::new(sets) }
     }
 
-    /// The lists, by set and rank.
+    /// Returns the lists, by set and rank.
     pub fn sets(&self) -> &[Vec<Vec<ExpertId>>] {
         &self.sets
     }
 
-    /// The lists that differ from an earlier map's; all of them if there is none or it has another shape.
+    /// Returns the lists that differ from an earlier map, or all lists if there is none or it has a different shape.
     pub fn changes_from(&self, earlier: Option<&Self>) -> Vec<ListChange> {
         let earlier = earlier.filter(|earlier| earlier.shape() == self.shape());
         let mut changes = Vec::new();
@@ -51,7 +50,7 @@
         changes
     }
 
-    /// An earlier map, or none, with changes made to it.
+    /// Applies changes to an earlier map, or to an empty one.
     pub fn with_changes(earlier: Option<Self>, changes: Vec<ListChange>) -> Self {
         let mut shared = earlier.map(|earlier| earlier.sets).unwrap_or_default();
         let sets = Arc::make_mut(&mut shared);
@@ -68,7 +67,7 @@
         Self { sets: shared }
     }
 
-    /// A number that two different maps share only by a chance of one in 2^64.
+    /// Returns a hash of the map, which is equal for two different maps with a probability of one in 2^64.
     pub fn digest(&self) -> u64 {
         let mut hasher = xxhash_rust::xxh3::Xxh3::new();
         for experts in self.sets.iter().flatten() {
@@ -84,51 +83,51 @@
         (self.sets.len(), self.sets.first().map_or(0, Vec::len))
     }
 
-    /// Experts that are new to a rank beside an earlier map.
+    /// Returns the number of experts that a rank holds and did not hold in an earlier map.
     pub fn new_experts(&self, earlier: &Self, rank: usize) -> usize {
         let sets = self.sets.iter().zip(earlier.sets.iter());
         sets.map(|(new, old)| new[rank].iter().filter(|expert| !old[rank].contains(expert)).count()).sum()
     }
 }
 
-/// One rank's experts of one set.
+/// New list of the experts that one rank holds in one set.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListChange {
     /// The set.
     pub set: usize,
     /// The rank.
     pub rank: usize,
-    /// Its experts from now on.
+    /// The experts that it holds after the change.
     pub experts: Vec<ExpertId>,
 }
 
-/// Bounds of one plan.
+/// Bounds of a plan.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EqualShareBounds {
-    /// Experts of a set that a rank holds at most.
+    /// Maximum number of experts per set that a rank holds.
     pub places: usize,
-    /// Experts of a set that may be new to a rank.
+    /// Maximum number of new experts per set and rank.
     pub spare: usize,
-    /// Experts that may be new to a rank in all sets together: they are copied one after the other.
+    /// Maximum number of new experts per rank in all sets together. A rank copies them one after the other.
     pub new_a_rank: usize,
-    /// Part of the mean load that a move must win to be worth its copy.
+    /// Minimum gain of a move that needs a copy, as a fraction of the mean load.
     pub move_price: f64,
 }
 
-/// A better map.
+/// An improved map.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EqualSharePlan {
     /// The map.
     pub map: EqualShareMap,
-    /// Replicas to copy.
+    /// Number of replicas to copy.
     pub moves: usize,
-    /// Mean over the sets of the most loaded rank's load by the mean load, before.
+    /// Load of the most loaded rank relative to the mean load, averaged over the sets, before the moves.
     pub skew_before: f64,
-    /// The same after.
+    /// The same value after the moves.
     pub skew_after: f64,
 }
 
-/// Load of each rank in one set; the demand sums to 1.
+/// Returns the load of each rank in one set; the demand sums to 1.
 pub fn rank_loads(ranks: &[Vec<ExpertId>], demand: &[f64]) -> Vec<f64> {
     let copies = copies(ranks, demand.len());
     let load = |expert: &ExpertId| {
@@ -138,13 +137,13 @@
     ranks.iter().map(|held| held.iter().map(load).sum()).collect()
 }
 
-/// Mean over the sets of the most loaded rank's load by the mean load.
+/// Returns the load of the most loaded rank relative to the mean load, averaged over the sets.
 pub fn skew(map: &EqualShareMap, demand: &[Vec<f64>]) -> f64 {
     let peaks = map.sets.iter().zip(demand).map(|(ranks, demand)| peak(&rank_loads(ranks, demand)));
     peaks.sum::<f64>() / map.sets.len().max(1) as f64
 }
 
-/// The most loaded rank's load by the mean load.
+/// Returns the load of the most loaded rank relative to the mean load.
 fn peak(loads: &[f64]) -> f64 {
     let total: f64 = loads.iter().sum();
     if total <= 0.0 {
@@ -161,29 +160,29 @@
     copies
 }
 
-/// A rank whose work takes so many times longer is slow.
-const SLOW_PACE: f64 = 1.2;
-/// Least gain of a replica that is only dropped, which costs no copy: beyond rounding.
-const DROP_GAIN: f64 = 1e-3;
+/// Slowdown factor from which a rank is slow.
+const SLOW_FACTOR: f64 = 1.2;
+/// Minimum gain of dropping a replica. It costs no copy, so the gain only has to exceed rounding errors.
+const MIN_DROP_GAIN: f64 = 1e-3;
 
-/// One set while it is planned.
+/// Planning state of one set.
 struct SetPlan<'a> {
     original: &'a [Vec<ExpertId>],
     ranks: Vec<Vec<ExpertId>>,
     demand: &'a [f64],
-    /// How many times longer each rank's work takes.
+    /// Slowdown factor of each rank.
     paces: &'a [f64],
     loads: Vec<f64>,
-    /// Of each load in units of the mean one, to the norm's exponent: a move changes a few of them. With all loads summed anew
-    /// for each move that is looked at, a plan for 63 ranks took 73 ms of a core.
+    /// Each load, relative to the mean load, raised to [`NORM_EXPONENT`]. They are cached because a move changes only a
+    /// few; with all loads summed again for each candidate move, a plan for 63 ranks took 73 ms of a core.
     powers: Vec<f64>,
     power_sum: f64,
-    /// Ranks that hold each expert.
+    /// The ranks that hold each expert.
     holders: Vec<Vec<usize>>,
     new: Vec<usize>,
 }
 
-/// A further replica on a rank, in place of another where it is full, or a replica that is only dropped.
+/// Adds a replica to a rank, in place of another if the rank is full, or only drops a replica.
 #[derive(Debug, Clone, Copy)]
 struct ReplicaMove {
     rank: usize,
@@ -215,12 +214,12 @@
     }
 
     fn power(&self, load: f64) -> f64 {
-        (load * self.loads.len() as f64).powi(NORM)
+        (load * self.loads.len() as f64).powi(NORM_EXPONENT)
     }
 
-    /// A norm close to the highest load, in units of the mean load of healthy ranks.
+    /// Returns a norm close to the highest load, relative to the mean load of healthy ranks.
     fn norm(&self, power_sum: f64) -> f64 {
-        (power_sum.max(0.0) / self.loads.len() as f64).powf(1.0 / f64::from(NORM))
+        (power_sum.max(0.0) / self.loads.len() as f64).powf(1.0 / f64::from(NORM_EXPONENT))
     }
 
     fn holders(&self, expert: ExpertId) -> &[usize] {
@@ -239,17 +238,17 @@
         self.demand(expert) / self.copies(expert).max(1) as f64
     }
 
-    /// The best move for the most loaded rank; `room` says whether a rank may take something new.
+    /// Returns the best move for the most loaded rank; `room` tells which ranks may take new experts.
     fn best_move(&self, bounds: &EqualShareBounds, room: &[bool]) -> Option<ReplicaMove> {
         let hottest =
             (0..self.loads.len()).max_by(|left, right| self.loads[*left].total_cmp(&self.loads[*right]))?;
         let mut hot = self.ranks[hottest].clone();
         hot.sort_by(|left, right| self.load_of(*right).total_cmp(&self.load_of(*left)));
-        let mut cool: Vec<usize> = (0..self.loads.len()).filter(|rank| *rank != hottest).collect();
-        cool.sort_by(|left, right| self.loads[*left].total_cmp(&self.loads[*right]));
+        let mut coolest: Vec<usize> = (0..self.loads.len()).filter(|rank| *rank != hottest).collect();
+        coolest.sort_by(|left, right| self.loads[*left].total_cmp(&self.loads[*right]));
         let mut best: Option<ReplicaMove> = None;
         for expert in hot.into_iter().take(HOT_EXPERTS) {
-            let homes = cool.iter().copied().filter(|rank| self.takes(*rank, expert, bounds, room));
+            let homes = coolest.iter().copied().filter(|rank| self.can_take(*rank, expert, bounds, room));
             for rank in homes.take(COOL_RANKS) {
                 for evict in self.evictions(rank, expert, bounds) {
                     let gain = self.gain(rank, Some(expert), evict);
@@ -262,11 +261,11 @@
         self.best_drop(hottest).or(best)
     }
 
-    /// The replica that the most loaded rank, if it is slow, best gives up to those that others hold already. It costs no
-    /// copy, so it goes before any move that does. Healthy ranks keep theirs: after a shift of demand they are the copies
-    /// that need not be made.
+    /// Returns the best replica to drop from the most loaded rank, if that rank is slow and other ranks hold the expert
+    /// too. Dropping costs no copy, so it precedes moves that do. Healthy ranks keep their replicas, which can save copies
+    /// after a shift of demand.
     fn best_drop(&self, hottest: usize) -> Option<ReplicaMove> {
-        if self.paces[hottest] < SLOW_PACE {
+        if self.paces[hottest] < SLOW_FACTOR {
             return None;
         }
         let spare = |held: &&ExpertId| self.copies(**held) > 1;
@@ -276,34 +275,34 @@
             evict: Some(*held),
             gain: self.gain(hottest, None, Some(*held)),
         });
-        drops.max_by(|left, right| left.gain.total_cmp(&right.gain)).filter(|drop| drop.gain > DROP_GAIN)
+        drops.max_by(|left, right| left.gain.total_cmp(&right.gain)).filter(|drop| drop.gain > MIN_DROP_GAIN)
     }
 
-    fn takes(&self, rank: usize, expert: ExpertId, bounds: &EqualShareBounds, room: &[bool]) -> bool {
+    fn can_take(&self, rank: usize, expert: ExpertId, bounds: &EqualShareBounds, room: &[bool]) -> bool {
         if self.ranks[rank].contains(&expert) {
             return false;
         }
-        // A replica that the map in force has is no copy.
+        // A replica that the rank holds in the map in force needs no copy.
         self.original[rank].contains(&expert) || (self.new[rank] < bounds.spare && room[rank])
     }
 
-    /// What may go to make room: replicas of experts that are elsewhere too, the least loaded first.
+    /// Returns the replicas that may be evicted to make room: those of experts with other replicas, cheapest first.
     fn evictions(&self, rank: usize, expert: ExpertId, bounds: &EqualShareBounds) -> Vec<Option<ExpertId>> {
         if self.ranks[rank].len() < bounds.places {
             return vec![None];
         }
         let spare = |held: &ExpertId| self.copies(*held) > 1 && *held != expert;
         let mut held: Vec<ExpertId> = self.ranks[rank].iter().copied().filter(spare).collect();
-        // What the other replicas must take over counts.
+        // The cost is the load that each other replica takes over.
         let burden = |held: &ExpertId| {
             let copies = self.copies(*held) as f64;
             self.demand(*held) / (copies * (copies - 1.0))
         };
         held.sort_by(|left, right| burden(left).total_cmp(&burden(right)));
-        held.into_iter().take(EVICTED).map(Some).collect()
+        held.into_iter().take(EVICTION_CANDIDATES).map(Some).collect()
     }
 
-    /// What a move lowers the norm of the loads by, in units of the mean load.
+    /// Returns by how much a move lowers the norm of the loads, relative to the mean load.
     fn gain(&self, rank: usize, expert: Option<ExpertId>, evict: Option<ExpertId>) -> f64 {
         let mut power_sum = self.power_sum;
         for (changed, load) in self.changed_loads(rank, expert, evict) {
@@ -312,7 +311,7 @@
         self.norm(self.power_sum) - self.norm(power_sum)
     }
 
-    /// The loads that a move changes, by rank.
+    /// Returns the loads that a move changes, with their ranks.
     fn changed_loads(
         &self,
         rank: usize,
@@ -365,7 +364,7 @@
     }
 }
 
-/// An expert that a rank lists twice is one replica all the same.
+/// Removes repeated experts: one that a rank lists twice is still a single replica.
 fn without_repeats(held: &[ExpertId]) -> Vec<ExpertId> {
     let mut once = Vec::with_capacity(held.len());
     for expert in held {
@@ -376,19 +375,20 @@
     once
 }
 
-/// Loads that count as many times as each rank's work takes longer.
+/// Returns the rank loads multiplied by the ranks' slowdown.
 fn paced_loads(ranks: &[Vec<ExpertId>], demand: &[f64], paces: &[f64]) -> Vec<f64> {
     rank_loads(ranks, demand).into_iter().zip(paces).map(|(load, pace)| load * pace).collect()
 }
 
-/// Mean over the sets of the most loaded rank's load, slow ranks' counted as long as they take, by the mean load.
+/// Returns the highest load, with loads multiplied by the ranks' slowdown, relative to the mean load and averaged over
+/// the sets.
 fn paced_skew(map: &EqualShareMap, demand: &[Vec<f64>], paces: &[f64]) -> f64 {
     let most = |loads: Vec<f64>| loads.into_iter().fold(0.0, f64::max) * paces.len() as f64;
     let peaks = map.sets.iter().zip(demand).map(|(ranks, demand)| most(paced_loads(ranks, demand, paces)));
     peaks.sum::<f64>() / map.sets.len().max(1) as f64
 }
 
-/// Improves a map for a demand by set; each set's demand sums to 1. Ranks whose pace is not given are healthy.
+/// Improves a map for the demand of each set, which sums to 1. Ranks without an entry in `paces` are healthy.
 pub fn improve(
     map: &EqualShareMap,
     demand: &[Vec<f64>],
@@ -415,9 +415,9 @@
         candidates = plans.iter().map(|plan| plan.best_move(bounds, &room)).collect();
     }
     let moves = plans.iter().flat_map(|plan| &plan.new).sum();
-    let better = EqualShareMap::new(plans.into_iter().map(|plan| plan.ranks).collect());
-    let (skew_before, skew_after) = (paced_skew(map, demand, &paces), paced_skew(&better, demand, &paces));
-    EqualSharePlan { moves, skew_before, skew_after, map: better }
+    let improved = EqualShareMap::new(plans.into_iter().map(|plan| plan.ranks).collect());
+    let (skew_before, skew_after) = (paced_skew(map, demand, &paces), paced_skew(&improved, demand, &paces));
+    EqualSharePlan { moves, skew_before, skew_after, map: improved }
 }
 
 fn best_candidate(candidates: &[Option<ReplicaMove>], price: f64) -> Option<(usize, ReplicaMove)> {
--- a/crates/porthoist-policy/src/placement/estimate.rs
+++ b/crates/porthoist-policy/src/placement/estimate.rs
@@ -1,19 +1,21 @@
-//! Estimates of popularity and speed from late, noisy counts: slow while things are steady, fast after a jump.
+//! Estimates expert popularity and rank speed from delayed, noisy counts, with a larger weight for new values after a
+//! jump.
 
 use super::GroupEstimate;
 
-/// Weight of a new window while things are steady.
-const STEADY_SHARE: f64 = 0.15;
-/// Weight of a new window for an expert or rank that jumped.
-const JUMP_SHARE: f64 = 0.9;
-/// A count is a jump when it differs from the expected one by so many standard deviations of counting noise...
+/// Weight of a new window without a jump.
+const STEADY_WEIGHT: f64 = 0.15;
+/// Weight of a new window for an expert or rank whose value jumped.
+const JUMP_WEIGHT: f64 = 0.9;
+/// A count is a jump if it differs from the expected one by more than this many standard deviations of counting noise
+/// and by more than [`MIN_JUMP_FRACTION`] of it.
 const JUMP_DEVIATIONS: f64 = 5.0;
-/// ...and by so large a part of it.
-const JUMP_PART: f64 = 0.25;
-/// A measured speed is a jump when it differs by so large a part.
-const SPEED_JUMP: f64 = 0.08;
+/// Minimum relative difference of a jump in counts.
+const MIN_JUMP_FRACTION: f64 = 0.25;
+/// Minimum difference of a jump in relative speed.
+const MIN_SPEED_JUMP: f64 = 0.08;
 
-/// Estimates for one group.
+/// Estimator for one group.
 #[derive(Debug, Clone)]
 pub struct GroupEstimator {
     popularity: Vec<f64>,
@@ -21,12 +23,13 @@
 }
 
 impl GroupEstimator {
-    /// Begins with given estimates.
+    /// Starts from initial estimates.
     pub fn new(initial: &GroupEstimate) -> Self {
         Self { popularity: initial.popularity.clone(), speed: initial.speed.clone() }
     }
 
-    /// Takes the tokens that each expert got in a window. Returns the part of the demand that jumped to other experts.
+    /// Adds the tokens that each expert received in a window. Returns the fraction of the demand that jumped to other
+    /// experts.
     pub fn counts(&mut self, tokens: &[f64]) -> f64 {
         let total: f64 = tokens.iter().sum();
         if total <= 0.0 {
@@ -37,31 +40,31 @@
             let expected = *known * total;
             let difference = (count - expected).abs();
             let noise = expected.max(1.0).sqrt();
-            let jumped = difference > JUMP_DEVIATIONS * noise && difference > JUMP_PART * expected;
-            let share = if jumped { JUMP_SHARE } else { STEADY_SHARE };
+            let jumped = difference > JUMP_DEVIATIONS * noise && difference > MIN_JUMP_FRACTION * expected;
+            let weight = if jumped { JUMP_WEIGHT } else { STEADY_WEIGHT };
             if jumped {
                 moved += difference / total;
             }
-            *known += share * (count / total - *known);
+            *known += weight * (count / total - *known);
         }
         let sum: f64 = self.popularity.iter().sum();
         for known in &mut self.popularity {
             *known /= sum;
         }
-        // What left one expert came to another.
+        // Demand that moved is counted at both its old and its new expert.
         moved / 2.0
     }
 
-    /// Takes the measured speed of each rank in a window.
+    /// Adds the measured speed of each rank in a window.
     pub fn speeds(&mut self, measured: &[f64]) {
         for (known, speed) in self.speed.iter_mut().zip(measured) {
-            let jumped = (speed - *known).abs() > SPEED_JUMP;
-            let share = if jumped { JUMP_SHARE } else { STEADY_SHARE };
-            *known += share * (speed - *known);
+            let jumped = (speed - *known).abs() > MIN_SPEED_JUMP;
+            let weight = if jumped { JUMP_WEIGHT } else { STEADY_WEIGHT };
+            *known += weight * (speed - *known);
         }
     }
 
-    /// The estimate now.
+    /// Returns the current estimate.
     pub fn estimate(&self) -> GroupEstimate {
         GroupEstimate { popularity: self.popularity.clone(), speed: self.speed.clone() }
     }
--- a/crates/porthoist-policy/src/placement/map.rs
+++ b/crates/porthoist-policy/src/placement/map.rs
@@ -1,25 +1,25 @@
-//! The expert map: which rank holds which experts, and each replica's share of its expert's tokens.
+//! Expert map: the experts that each rank holds, and each replica's share of its expert's tokens.
 
 use serde::{Deserialize, Serialize};
 
-/// An expert of a layer.
+/// Index of an expert in its layer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ExpertId(pub u16);
 
-/// A rank of a group.
+/// Index of a rank in its group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RankId(pub u16);
 
-/// One replica of an expert.
+/// A replica of an expert.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct ExpertReplica {
-    /// Where it is.
+    /// The rank that holds it.
     pub rank: RankId,
-    /// Its part of the expert's tokens; the replicas' shares sum to 1.
+    /// Its share of the expert's tokens; the shares of all replicas sum to 1.
     pub share: f64,
 }
 
-/// The map.
+/// Experts by rank, and replicas by expert.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ExpertMap {
     replicas: Vec<Vec<ExpertReplica>>,
@@ -27,22 +27,22 @@
 }
 
 impl ExpertMap {
-    /// A map without any replica.
+    /// Creates a map without replicas.
     pub fn empty(experts: usize, ranks: usize) -> Self {
         Self { replicas: vec![Vec::new(); experts], held: vec![Vec::new(); ranks] }
     }
 
-    /// Number of ranks.
+    /// Returns the number of ranks.
     pub fn ranks(&self) -> usize {
         self.held.len()
     }
 
-    /// Number of experts.
+    /// Returns the number of experts.
     pub fn experts(&self) -> usize {
         self.replicas.len()
     }
 
-    /// The replicas of an expert.
+    /// Returns the replicas of an expert.
     pub fn replicas(&self, expert: ExpertId) -> &[ExpertReplica] {
         &self.replicas[usize::from(expert.0)]
     }
@@ -51,29 +51,29 @@
         &mut self.replicas[usize::from(expert.0)]
     }
 
-    /// The experts that a rank holds.
+    /// Returns the experts that a rank holds.
     pub fn held(&self, rank: RankId) -> &[ExpertId] {
         &self.held[usize::from(rank.0)]
     }
 
-    /// Whether a rank holds an expert.
+    /// Returns whether a rank holds an expert.
     pub fn holds(&self, rank: RankId, expert: ExpertId) -> bool {
         self.held(rank).contains(&expert)
     }
 
-    /// A rank's share of an expert's tokens.
+    /// Returns a rank's share of an expert's tokens, or 0 if it does not hold the expert.
     pub fn share(&self, expert: ExpertId, rank: RankId) -> f64 {
         let replica = self.replicas(expert).iter().find(|replica| replica.rank == rank);
         replica.map_or(0.0, |replica| replica.share)
     }
 
-    /// Adds a replica without a share.
+    /// Adds a replica with a share of 0.
     pub fn add(&mut self, rank: RankId, expert: ExpertId) {
         self.held[usize::from(rank.0)].push(expert);
         self.replicas[usize::from(expert.0)].push(ExpertReplica { rank, share: 0.0 });
     }
 
-    /// Removes a replica; its share goes to the others.
+    /// Removes a replica and distributes its share to the others.
     pub fn remove(&mut self, rank: RankId, expert: ExpertId) {
         self.held[usize::from(rank.0)].retain(|held| *held != expert);
         let replicas = &mut self.replicas[usize::from(expert.0)];
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Puts one expert's replica in another's place.
+    /// Replaces one expert's replica on a rank by another's.
     pub fn replace(&mut self, rank: RankId, evict: ExpertId, expert: ExpertId) {
         self.remove(rank, evict);
         self.add(rank, expert);
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Gives every expert without a replica a place on the emptiest rank.
+    /// Places each expert without a replica on the rank with the fewest experts.
     pub fn fill_missing(&mut self, slots: usize) {
         for expert in 0..self.experts() {
             let id = ExpertId(expert as u16);
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Replicas of `self` that `other` does not have: what must be loaded to come from `other` to `self`.
+    /// Returns the number of replicas that `other` lacks, which must be loaded to change from `other` to `self`.
     pub fn replicas_missing_in(&self, other: &Self) -> usize {
         let missing = |rank: usize| {
             let id = RankId(rank as u16);
--- a/crates/porthoist-policy/src/placement/shares.rs
+++ b/crates/porthoist-policy/src/placement/shares.rs
@@ -1,14 +1,14 @@
-//! Shares between the replicas of an expert: tokens flow from slower replicas to faster ones until they are even.
+//! Balances the shares of an expert's replicas by moving tokens from slower replicas to faster ones.
 
 use super::GroupEstimate;
 use super::map::{ExpertId, ExpertMap};
 
-/// Passes over all replicated experts at most.
-const PASSES: usize = 24;
-/// Below this part of the mean time a difference is even enough.
-const EVEN: f64 = 0.002;
+/// Maximum number of passes over all replicated experts.
+const MAX_PASSES: usize = 24;
+/// Differences below this fraction of the mean time are tolerated.
+const TOLERANCE: f64 = 0.002;
 
-/// Predicted time of each rank, as its tokens by its speed.
+/// Returns the predicted time of each rank: its tokens divided by its speed.
 pub fn rank_times(map: &ExpertMap, estimate: &GroupEstimate) -> Vec<f64> {
     let mut times = vec![0.0; map.ranks()];
     for (expert, popularity) in estimate.popularity.iter().enumerate() {
@@ -20,18 +20,18 @@
     times
 }
 
-/// Evens the ranks' times out by shares alone.
+/// Balances the ranks' times by changing shares only.
 pub fn balance_shares(map: &mut ExpertMap, estimate: &GroupEstimate) {
     let mut times = rank_times(map, estimate);
-    let even = EVEN / estimate.speed.iter().sum::<f64>();
+    let tolerance = TOLERANCE / estimate.speed.iter().sum::<f64>();
     let replicated: Vec<ExpertId> = (0..map.experts())
         .map(|expert| ExpertId(expert as u16))
         .filter(|expert| map.replicas(*expert).len() > 1)
         .collect();
-    for _ in 0..PASSES {
+    for _ in 0..MAX_PASSES {
         let mut moved = false;
         for expert in &replicated {
-            moved |= even_out(map, *expert, estimate, &mut times, even);
+            moved |= balance_expert(map, *expert, estimate, &mut times, tolerance);
         }
         if !moved {
             return;
@@ -39,13 +39,13 @@
     }
 }
 
-/// Moves tokens of one expert from its slowest replica to its fastest; returns whether it mattered.
-fn even_out(
+/// Moves tokens of an expert from its slowest replica to its fastest; returns whether any were moved.
+fn balance_expert(
     map: &mut ExpertMap,
     expert: ExpertId,
     estimate: &GroupEstimate,
     times: &mut [f64],
-    even: f64,
+    tolerance: f64,
 ) -> bool {
     let popularity = estimate.popularity[usize::from(expert.0)];
     if popularity <= 0.0 {
@@ -60,7 +60,7 @@
     };
     let (slow_rank, fast_rank) = (usize::from(replicas[slow].rank.0), usize::from(replicas[fast].rank.0));
     let difference = times[slow_rank] - times[fast_rank];
-    if difference <= even {
+    if difference <= tolerance {
         return false;
     }
     let (slow_speed, fast_speed) = (estimate.speed[slow_rank], estimate.speed[fast_rank]);
--- a/crates/porthoist-policy/src/retry.rs
+++ b/crates/porthoist-policy/src/retry.rs
@@ -1,15 +1,15 @@
-//! The retry budget and the decision whether a failed attempt is tried again.
+//! Retry budget, and the decision whether a failed attempt is retried.
 //!
-//! The budget is a share of first attempts, so that an outage is not multiplied by retries.
+//! The budget is a share of first attempts, so that retries do not multiply the load during an outage.
 
 use porthoist_core::{RefusalReason, RepeatPolicy, RetryReason, RunVerdict, UnixDeadline, UnixMillis};
 
 pub mod hedge;
 
-/// Most attempts of one request, hedges included.
+/// Maximum number of attempts of one request, including hedges.
 pub const MAX_ATTEMPTS: u32 = 4;
 
-/// A share of traffic that may be spent on retries and hedges.
+/// Budget for retries and hedges, as a share of first attempts.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     share: f64,
@@ -18,17 +18,17 @@
 }
 
 impl RetryBudget {
-    /// A budget of `share` retries for each first attempt, saved up to `burst`.
+    /// Creates a full budget of `share` retries per first attempt, which accumulates up to `burst`.
     pub fn new(share: f64, burst: f64) -> Self {
         Self { share, burst, tokens: burst }
     }
 
-    /// Counts a first attempt.
+    /// Records a first attempt.
     pub fn first_attempt(&mut self) {
         self.tokens = (self.tokens + self.share).min(self.burst);
     }
 
-    /// Spends one retry if the budget has it.
+    /// Spends one retry if the budget allows it.
     pub fn try_spend(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
@@ -37,48 +37,48 @@
         true
     }
 
-    /// Retries that could be spent now.
+    /// Returns the number of retries left in the budget.
     pub fn available(&self) -> f64 {
         self.tokens
     }
 }
 
-/// An attempt that failed.
+/// A failed attempt and the limits on a retry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FailedAttempt {
-    /// Why.
+    /// Reason of the failure.
     pub reason: RefusalReason,
-    /// Whether it may have run.
+    /// Whether the attempt may have run.
     pub verdict: RunVerdict,
-    /// Whether the request may run again.
+    /// Whether the request may be repeated.
     pub repeat: RepeatPolicy,
-    /// Whether a part of the answer went to the caller.
+    /// Whether part of the answer was delivered to the caller.
     pub partly_delivered: bool,
-    /// Attempts made so far.
+    /// Number of attempts so far.
     pub attempts: u32,
-    /// When the answer is due.
+    /// Deadline of the request.
     pub deadline: UnixDeadline,
 }
 
-/// Rules that the model checker breaks one at a time.
+/// Rules of retries; the model checker disables them one at a time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct RetryRules {
-    /// What may have run is not tried again unless it may be repeated.
+    /// An attempt that may have run is not retried unless the request may be repeated.
     pub never_after_unknown: bool,
 }
 
 impl RetryRules {
-    /// The rules in force.
+    /// All rules enabled.
     pub const SOUND: Self = Self { never_after_unknown: true };
 }
 
 impl FailedAttempt {
-    /// The reason for another attempt, or nothing if the failure is final.
+    /// Returns the reason for another attempt, or `None` if the failure is final.
     pub fn retry_reason(&self, now: UnixMillis) -> Option<RetryReason> {
         self.retry_reason_by(now, RetryRules::SOUND)
     }
 
-    /// The same by given rules, for the model checker.
+    /// Like [`Self::retry_reason`] with the given rules, for the model checker.
     pub fn retry_reason_by(&self, now: UnixMillis, rules: RetryRules) -> Option<RetryReason> {
         if self.attempts >= MAX_ATTEMPTS || self.deadline.passed(now) {
             return None;
--- a/crates/porthoist-policy/src/roll_forward.rs
+++ b/crates/porthoist-policy/src/roll_forward.rs
@@ -1,22 +1,22 @@
-//! The switch of a rank group to another expert map where the engines themselves hold the group, and orders may be
-//! lost, doubled, or carried out seconds late.
+//! Switches a rank group to another expert map by orders to its engines, which may be lost, duplicated, or executed
+//! seconds late.
 //!
-//! Nothing is ever undone, since an order without an answer may still be carried out: the switch only rolls forward.
-//! The first rank holds a coming pass; the hold is read back; every rank is armed for that pass; all are read back as
-//! armed; then the hold is released. Only the process beside the first rank drives switches. Its later life may find a
-//! hold of an earlier one and goes on from the ranks' reports alone.
+//! An order without a response may still be executed, so nothing is undone: a switch only rolls forward. The first rank
+//! holds a future pass; once its report confirms the hold, every rank is armed for that pass; once all reports confirm
+//! that, the hold is released. Only the process next to the first rank drives switches. After a restart it may find a
+//! hold of its previous run, and continues from the ranks' reports alone.
 
 use crate::switch::{MapVersion, StepNumber};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A pass so many after the last one begun is held: far enough for the hold to be in time, and near enough that a
-/// group is not held for long.
+/// Passes between the last one begun and the one that is held: far enough for the hold to arrive in time, near enough
+/// to hold the group only briefly.
 pub const LEAD_STEPS: u32 = 2;
-/// Added to the highest version known after an engine refused one: it has had higher ones than it shows.
+/// Added to the highest known version after an engine refused one, because it has seen higher versions than it reports.
 const VERSION_SKIP: u32 = 16;
 
-/// One formation of a group. A new one begins with the first map and nothing prepared, armed or held.
+/// Number of a group's formation. Each formation starts with the first map and nothing prepared, armed or held.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct GroupEpoch(pub u32);
 
@@ -26,11 +26,11 @@
     }
 }
 
-/// Number of orders that an engine has begun.
+/// Number of orders that an engine has begun to execute.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OrderSequence(pub u64);
 
-/// A map and the pass that first uses it.
+/// A map and the first pass that uses it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ArmedMap {
     /// The map.
@@ -39,47 +39,47 @@
     pub step: StepNumber,
 }
 
-/// What a rank's engine reports of itself.
+/// State of a rank's engine, as far as it matters for switches.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RankView {
-    /// The group's formation.
+    /// Formation of the group.
     pub epoch: GroupEpoch,
-    /// Orders begun.
+    /// Number of orders begun.
     pub sequence: OrderSequence,
     /// The last pass begun.
     pub step: StepNumber,
     /// The map in use.
     pub map: MapVersion,
-    /// The map whose experts are all there.
+    /// The map whose experts are all loaded.
     pub prepared: Option<MapVersion>,
-    /// The map that it switches to.
+    /// The map that it is armed to switch to.
     pub armed: Option<ArmedMap>,
     /// The pass that it holds.
     pub held: Option<StepNumber>,
-    /// Whether an order is being carried out.
+    /// Whether it is executing an order.
     pub busy: bool,
 }
 
-/// An order to one rank's engine. An engine in another epoch refuses it.
+/// An order to one rank's engine. An engine in a different epoch refuses it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum EngineOrder {
-    /// Copy what the map needs.
+    /// Copy the experts that the map needs.
     Prepare {
         /// The group's formation.
         epoch: GroupEpoch,
         /// The map.
         version: MapVersion,
-        /// Refused if the engine has begun another number of orders.
+        /// The engine refuses the order if it has begun a different number of orders.
         sequence: OrderSequence,
     },
-    /// Switch to the map as a pass begins.
+    /// Switch to the map at the start of a pass.
     Arm {
         /// The group's formation.
         epoch: GroupEpoch,
         /// The map and the pass.
         armed: ArmedMap,
     },
-    /// Do not begin a pass.
+    /// Do not begin the pass.
     Hold {
         /// The group's formation.
         epoch: GroupEpoch,
@@ -95,28 +95,28 @@
     },
 }
 
-/// Rules that the model checker breaks one at a time.
+/// Rules of a switch; the model checker disables them one at a time.
 #[expect(clippy::struct_excessive_bools, reason = "each flag is one rule that the checker breaks alone")]
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RollForwardRules {
-    /// A prepare names the number of orders begun.
+    /// A prepare order names the number of orders begun.
     pub prepare_precondition: bool,
-    /// Ranks are armed only when the hold was read back.
+    /// Ranks are armed only after a report has confirmed the hold.
     pub read_back_hold: bool,
-    /// The hold is released only when every rank was read back as armed.
+    /// The hold is released only after every rank's report has confirmed that it is armed.
     pub read_back_armed: bool,
-    /// A hold is never released because no rank was seen armed.
+    /// A hold is not released on the ground that no rank has reported to be armed.
     pub never_give_up: bool,
-    /// A driver goes on with a hold that it finds.
+    /// A driver continues from a hold that it finds.
     pub take_over_hold: bool,
-    /// A rank that uses the map shows that all do, however old the views of the others are.
+    /// If one rank uses the map, all do, even if older views of the others do not show it.
     pub one_switched_is_all: bool,
-    /// A new driver prepares nothing before a hold of its forerunner can't come into force any more.
+    /// A new driver prepares nothing until holds of its predecessor can no longer take effect.
     pub wait_out_old_holds: bool,
 }
 
 impl RollForwardRules {
-    /// The rules in force.
+    /// All rules enabled.
     pub const SOUND: Self = Self {
         prepare_precondition: true,
         read_back_hold: true,
@@ -128,7 +128,7 @@
     };
 }
 
-/// How far a switch is.
+/// Progress of a switch.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum SwitchPhase {
     Rest,
@@ -136,7 +136,7 @@
     Holding { armed: ArmedMap },
 }
 
-/// Drives the switches of one group from the reports of all its ranks, the first rank's read before the others'.
+/// Drives the switches of one group from the reports of all its ranks. The first rank must be read before the others.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RollForwardDriver {
     rules: RollForwardRules,
@@ -146,11 +146,11 @@
     highest: MapVersion,
 }
 
-/// Orders with the index of the rank that gets each.
+/// Orders, each with the index of its rank.
 pub type RankOrders = Vec<(usize, EngineOrder)>;
 
 impl RollForwardDriver {
-    /// A driver that knows nothing yet.
+    /// Creates a driver without knowledge of the group.
     pub fn new(rules: RollForwardRules) -> Self {
         Self {
             rules,
@@ -161,20 +161,20 @@
         }
     }
 
-    /// Whether a new map may be prepared: the ranks are alike, and nothing of an earlier switch is left.
+    /// Returns whether a switch may begin: all ranks use the same map and nothing of an earlier switch is pending.
     pub fn can_begin(&mut self, views: &[RankView]) -> bool {
         let Some(epoch) = common_epoch(views) else { return false };
-        self.enter(epoch, views[0].step);
+        self.enter_epoch(epoch, views[0].step);
         let waited = views[0].step.0 >= self.first_step.0 + LEAD_STEPS || !self.rules.wait_out_old_holds;
-        let quiet = views.iter().all(|view| view.armed.is_none() && view.held.is_none());
-        let alike = views.iter().all(|view| view.map == views[0].map);
-        self.phase == SwitchPhase::Rest && waited && quiet && alike
+        let nothing_pending = views.iter().all(|view| view.armed.is_none() && view.held.is_none());
+        let same_map = views.iter().all(|view| view.map == views[0].map);
+        self.phase == SwitchPhase::Rest && waited && nothing_pending && same_map
     }
 
-    /// Begins a switch; its version is higher than all that are known. Only at rest.
+    /// Begins a switch and returns its version, which is higher than all known ones. Requires [`Self::can_begin`].
     ///
-    /// `fresh` is a version that no other life of the driver uses, for example from a clock: a late order of an
-    /// earlier life must not prepare another map under the same version.
+    /// `fresh` is a version that no other run of the driver uses, for example from a clock. Otherwise a late order of an
+    /// earlier run could prepare a different map under the same version.
     pub fn begin(&mut self, views: &[RankView], fresh: MapVersion) -> MapVersion {
         let shown = views.iter().flat_map(|view| [Some(view.map), view.prepared]).flatten().max();
         let known = self.highest.max(shown.unwrap_or_default());
@@ -184,20 +184,20 @@
         self.highest
     }
 
-    /// Drops a switch that is not prepared everywhere; what was sent of it can't harm the next.
+    /// Abandons a switch that is not yet prepared on all ranks. Its late orders cannot affect the next switch.
     pub fn abandon(&mut self) {
         if matches!(self.phase, SwitchPhase::Preparing { .. }) {
             self.phase = SwitchPhase::Rest;
         }
     }
 
-    /// Takes that an engine refused a prepare although nothing else was begun: the version was too low.
+    /// Handles a prepare order that an engine refused although it had begun no other order: the version was too low.
     pub fn version_refused(&mut self) {
         self.highest = MapVersion(self.highest.0 + VERSION_SKIP);
         self.abandon();
     }
 
-    /// The map being prepared or switched to.
+    /// Returns the map being prepared or switched to.
     pub fn target(&self) -> Option<MapVersion> {
         match &self.phase {
             SwitchPhase::Rest => None,
@@ -206,20 +206,21 @@
         }
     }
 
-    /// Whether the group is, or is about to be, held: then reports are worth reading at once.
+    /// Returns whether the group is held or about to be; reports should then be read without delay.
     pub fn holding(&self) -> bool {
         matches!(self.phase, SwitchPhase::Holding { .. })
     }
 
-    /// Whether a rank already uses the map that is switched to: then views of all are worth reading.
+    /// Returns whether a rank already uses the new map; the views of all ranks should then be read.
     pub fn any_rank_switched(&self, views: &[RankView]) -> bool {
         self.target().is_some_and(|version| views.iter().any(|view| view.map == version))
     }
 
-    /// The next orders. Repeating them is harmless, and views may be older than others once the driver is holding.
+    /// Returns the next orders. Repeating them is harmless. While the driver is holding, some views may be older than
+    /// others.
     pub fn next(&mut self, views: &[RankView]) -> RankOrders {
         let Some(epoch) = common_epoch(views) else { return Vec::new() };
-        self.enter(epoch, views[0].step);
+        self.enter_epoch(epoch, views[0].step);
         if let Some(step) = views[0].held
             && (self.rules.take_over_hold || self.phase != SwitchPhase::Rest)
         {
@@ -232,7 +233,7 @@
         }
     }
 
-    fn enter(&mut self, epoch: GroupEpoch, step: StepNumber) {
+    fn enter_epoch(&mut self, epoch: GroupEpoch, step: StepNumber) {
         if self.epoch != Some(epoch) {
             self.epoch = Some(epoch);
             self.first_step = step;
@@ -248,7 +249,7 @@
             if view.prepared == Some(version) || (view.busy && view.sequence != sequences[rank]) {
                 continue;
             }
-            // Another order was begun since: what was sent before can't be carried out any more.
+            // A prepare that names an older sequence can no longer be executed, so it is safe to send another.
             sequences[rank] = view.sequence;
             orders.push((rank, EngineOrder::Prepare { epoch, version, sequence: view.sequence }));
         }
@@ -256,28 +257,28 @@
         if !ready {
             return orders;
         }
-        let armed = ArmedMap { version, step: coming(views) };
+        let armed = ArmedMap { version, step: next_hold_step(views) };
         self.phase = SwitchPhase::Holding { armed };
         self.hold(epoch, armed, views)
     }
 
-    /// Holds the pass, anew if it has begun meanwhile.
+    /// Orders the hold, for a later pass if the chosen one has already begun.
     fn hold(&mut self, epoch: GroupEpoch, armed: ArmedMap, views: &[RankView]) -> RankOrders {
         if views.iter().all(|view| view.map == armed.version) {
             self.phase = SwitchPhase::Rest;
             return Vec::new();
         }
         if self.rules.one_switched_is_all && views.iter().any(|view| view.map == armed.version) {
-            // All switched with the same pass; the other views are older.
+            // All ranks switch in the same pass, so the other views are outdated.
             return Vec::new();
         }
         if views.iter().all(|view| view.armed == Some(armed) || view.map == armed.version) {
-            // Released; the pass is about to begin.
+            // The hold was released and the pass is about to begin.
             return Vec::new();
         }
         let mut armed = armed;
         if views[0].step >= armed.step {
-            armed.step = coming(views);
+            armed.step = next_hold_step(views);
             self.phase = SwitchPhase::Holding { armed };
         }
         let mut orders = vec![(0, EngineOrder::Hold { epoch, step: armed.step })];
@@ -287,7 +288,7 @@
         orders
     }
 
-    /// Arms every rank for the held pass, and releases it when all are armed.
+    /// Arms every rank for the held pass, and releases the hold once all are armed.
     fn roll_forward(&mut self, epoch: GroupEpoch, step: StepNumber, views: &[RankView]) -> RankOrders {
         let go = vec![(0, EngineOrder::Go { epoch, step })];
         let armed = views.iter().filter_map(|view| view.armed).find(|armed| armed.step == step);
@@ -300,7 +301,7 @@
             }
             (_, None) => match prepared {
                 Some(version) => version,
-                // The rules lead to no such state. Nothing is sent that might make it worse.
+                // The rules never lead to this state, so no order is known to be safe.
                 None => return Vec::new(),
             },
         };
@@ -313,36 +314,36 @@
         if orders.len() <= tolerated {
             return go;
         }
-        let impatient = orders.len() == views.len() && !self.rules.never_give_up;
-        if impatient { orders.into_iter().chain(go).collect() } else { orders }
+        let release_early = orders.len() == views.len() && !self.rules.never_give_up;
+        if release_early { orders.into_iter().chain(go).collect() } else { orders }
     }
 }
 
-/// The epoch that all ranks are in.
+/// Returns the epoch if all ranks are in the same one.
 fn common_epoch(views: &[RankView]) -> Option<GroupEpoch> {
     let epoch = views.first()?.epoch;
     views.iter().all(|view| view.epoch == epoch).then_some(epoch)
 }
 
-fn coming(views: &[RankView]) -> StepNumber {
+fn next_hold_step(views: &[RankView]) -> StepNumber {
     let newest = views.iter().map(|view| view.step.0).max().unwrap_or_default();
     StepNumber(newest + LEAD_STEPS)
 }
 
-/// How many times longer than usual a rank's work takes, in thousandths.
+/// Slowdown of a rank: the duration of its work in thousandths of the usual duration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RankPace(pub u32);
 
 impl RankPace {
-    /// A healthy rank's.
+    /// Pace of a healthy rank.
     pub const USUAL: Self = Self(1_000);
 
-    /// From a factor; what is no number or less than usual counts as usual.
+    /// Converts a slowdown factor; NaN and factors below 1 count as 1.
     pub fn from_factor(factor: f64) -> Self {
         Self((factor * 1_000.0) as u32).max(Self::USUAL)
     }
 
-    /// The factor.
+    /// Returns the slowdown as a factor.
     pub fn factor(self) -> f64 {
         f64::from(self.0) / 1_000.0
     }
@@ -360,21 +361,21 @@
     }
 }
 
-/// What an engine says of its rank and group beside the switch.
+/// Report of an engine on its rank and group.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RankState {
-    /// What matters for switches.
+    /// The part that matters for switches.
     pub view: RankView,
     /// Name of the group.
     pub group: String,
-    /// Place in the group, from 0.
+    /// Index of the rank in the group, from 0.
     pub rank: usize,
-    /// Ranks of the group.
+    /// Number of ranks in the group.
     pub size: usize,
     /// Whether the group runs.
     pub open: bool,
-    /// Requests that run or wait at the rank.
+    /// Number of requests that run or wait at the rank.
     pub requests: u32,
-    /// How slow it is.
+    /// Slowdown of the rank.
     pub pace: RankPace,
 }
--- a/crates/porthoist-policy/src/router.rs
+++ b/crates/porthoist-policy/src/router.rs
@@ -1,7 +1,7 @@
-//! Choice of a target for a request, as a cost in milliseconds until its first token.
+//! Chooses a target for a request by its cost: the predicted time to first token in milliseconds.
 //!
-//! The cost is the expected wait, the prefill of what is not cached there, and the pace of the group's steps. Load
-//! reports are late, so they are corrected by what this entry itself sent since.
+//! The cost is the sum of the expected wait, the prefill of the uncached part of the prompt, and the duration of a step.
+//! Load reports lag behind, so the work that this entry has sent since a report is added to it.
 
 use crate::membership::rendezvous_score;
 use porthoist_core::{
@@ -17,84 +17,85 @@
 
 /// Tokens in one prefix block.
 pub const BLOCK_TOKENS: u32 = 64;
-/// Block hashes kept for each target.
+/// Number of block hashes kept for each target.
 pub const PREFIX_CAPACITY: usize = 8192;
-/// Blocks whose hash names the home of a prefix.
-pub const HOME_BLOCKS: usize = 4;
-/// Added to the cost of a target that could not be reached, until it is heard again, in milliseconds.
+/// Number of leading blocks that select the home target of a prefix.
+pub const HOME_PREFIX_BLOCKS: usize = 4;
+/// Time for which an unreachable target is avoided, in milliseconds; the next load report ends it.
 pub const UNREACHABLE_MILLIS: u64 = 1000;
 
-/// The weight of a prompt's own computation grows by one for each so many milliseconds of mean backlog.
-pub const WEIGHT_MILLIS: f64 = 10.0;
-/// Highest weight of a prompt's own computation against the wait before it; see docs/measurements/ROUTING.md.
-pub const WORK_WEIGHT: f64 = 8.0;
+/// Mean backlog that raises the weight of a prompt's own computation by one, in milliseconds.
+pub const BACKLOG_MILLIS_PER_WEIGHT: f64 = 10.0;
+/// Maximum weight of a prompt's own computation relative to the wait before it; see docs/measurements/ROUTING.md.
+pub const MAX_WORK_WEIGHT: f64 = 8.0;
 
-/// Settings of a router.
+/// Settings of a [`Router`].
 #[derive(Debug, Clone, bon::Builder)]
 pub struct RouterSettings {
-    /// The entry's own availability zone.
+    /// Availability zone of the entry.
     pub zone: ZoneName,
-    /// Added to the cost of a target in another zone, in milliseconds, there and back.
+    /// Round-trip cost of a target in another zone, in milliseconds.
     #[builder(default = 3.0)]
     pub cross_zone_millis: f64,
-    /// Random candidates beside the prefix's home; all targets where there are no more.
+    /// Number of candidates, including the home of the prefix; the others are random. All targets are candidates if there
+    /// are no more.
     #[builder(default = 16)]
     pub choices: usize,
-    /// Weight of the prompt's own computation: it delays everyone behind it too, and what it puts into a cache drives
-    /// something else out.
-    #[builder(default = WORK_WEIGHT)]
+    /// Maximum weight of the prompt's own computation, which also delays the requests behind it and evicts other prefixes
+    /// from the cache.
+    #[builder(default = MAX_WORK_WEIGHT)]
     pub work_weight: f64,
-    /// Entries that send to the same targets, this one included.
+    /// Number of entries that send to the same targets, including this one.
     #[builder(default = 1)]
     pub entries: u32,
 
-    /// Seed of the random choices.
+    /// Seed for the random candidates.
     #[builder(default = 1)]
     pub seed: u64,
 }
 
-/// A target that may be chosen.
+/// A target that a request may be sent to.
 #[derive(Debug, Clone)]
 pub struct RouteTarget {
-    /// Its name.
+    /// Name of the target.
     pub name: TargetName,
-    /// Its availability zone.
+    /// Availability zone of the target.
     pub zone: ZoneName,
-    /// The services it runs.
+    /// Services that it runs.
     pub services: Vec<ServiceName>,
-    /// Share of traffic relative to others; 0 takes it out.
+    /// Share of traffic relative to other targets; 0 excludes it.
     pub weight: f64,
     /// Whether it is leaving.
     pub leaving: bool,
 }
 
-/// What a choice is made for.
+/// Request for which a target is chosen.
 #[derive(Debug, Clone, Copy)]
 pub struct RouteQuery<'a> {
-    /// The service asked for.
+    /// Requested service.
     pub service: &'a ServiceName,
-    /// The present time.
+    /// Current time.
     pub now: UnixMillis,
-    /// When the answer is due.
+    /// Deadline of the request.
     pub deadline: UnixDeadline,
-    /// Estimated prompt length.
+    /// Estimated prompt length in tokens.
     pub prompt_tokens: u32,
     /// Hashes of the prompt's prefix blocks.
     pub prefix_blocks: &'a [u64],
-    /// Targets that refused already.
+    /// Targets that have already refused the request.
     pub exclude: &'a [TargetName],
 }
 
-/// A choice and the numbers behind it.
+/// A chosen target and the values behind the choice.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RouteChoice {
-    /// The target.
+    /// Chosen target.
     pub target: TargetName,
-    /// Predicted time to the first token in milliseconds.
+    /// Cost of the target: its weighted time to first token, in milliseconds.
     pub cost_millis: f64,
-    /// Prompt tokens expected in its cache.
+    /// Prompt tokens expected in its prefix cache.
     pub cached_tokens: u32,
-    /// Candidates compared.
+    /// Number of candidates compared.
     pub candidates: usize,
 }
 
@@ -105,10 +106,10 @@
     prefilled: bool,
 }
 
-/// A first token that came back: all work that reached the target before `sent_at` was done by `seen_at`. Answers
-/// come at once, so this is often newer than the last load report.
+/// A received first token: all work that reached the target before `sent_at` was done by `seen_at`. Answers arrive
+/// without delay, so this is often newer than the last load report.
 #[derive(Debug, Clone, Copy, Default)]
-struct ClearPoint {
+struct DrainPoint {
     sent_at: UnixMillis,
     seen_at: UnixMillis,
 }
@@ -120,11 +121,11 @@
     sent: HashMap<AttemptId, SentAttempt>,
     prefixes: PrefixView,
     inflow: InflowRate,
-    clear: ClearPoint,
+    drain_point: DrainPoint,
     unreachable_until: UnixMillis,
 }
 
-/// The router of one entry.
+/// Router of one entry.
 #[derive(Debug)]
 pub struct Router {
     settings: RouterSettings,
@@ -133,13 +134,13 @@
 }
 
 impl Router {
-    /// A router without targets.
+    /// Creates a router without targets.
     pub fn new(settings: RouterSettings) -> Self {
         let random = Pcg64Mcg::seed_from_u64(settings.seed);
         Self { settings, views: BTreeMap::new(), random }
     }
 
-    /// Adds a target or replaces what is known of it; its load and cache view stay.
+    /// Adds a target or replaces its properties; its load and cache view are kept.
     pub fn upsert(&mut self, target: RouteTarget) {
         if let Some(view) = self.views.get_mut(&target.name) {
             view.target = target;
@@ -152,28 +153,28 @@
             sent: HashMap::new(),
             prefixes: PrefixView::new(PREFIX_CAPACITY),
             inflow: InflowRate::default(),
-            clear: ClearPoint::default(),
+            drain_point: DrainPoint::default(),
             unreachable_until: UnixMillis(0),
         };
         self.views.insert(name, view);
     }
 
-    /// Forgets a target.
+    /// Removes a target.
     pub fn remove(&mut self, target: &TargetName) {
         self.views.remove(target);
     }
 
-    /// The targets known.
+    /// Returns the known targets with their last load reports.
     pub fn targets(&self) -> impl Iterator<Item = (&RouteTarget, &LoadReport)> {
         self.views.values().map(|view| (&view.target, &view.load))
     }
 
-    /// Sets how many entries send to the same targets.
+    /// Sets the number of entries that send to the same targets.
     pub fn set_entries(&mut self, entries: u32) {
         self.settings.entries = entries.max(1);
     }
 
-    /// Takes a load report; older ones than the last are ignored.
+    /// Applies a load report unless it is older than the last one.
     pub fn report(&mut self, target: &TargetName, load: LoadReport) {
         let Some(view) = self.views.get_mut(target) else {
             return;
@@ -188,14 +189,14 @@
         }
     }
 
-    /// Marks a target as leaving or staying.
+    /// Sets whether a target is leaving.
     pub fn set_leaving(&mut self, target: &TargetName, leaving: bool) {
         if let Some(view) = self.views.get_mut(target) {
             view.target.leaving = leaving;
         }
     }
 
-    /// Counts an attempt as sent.
+    /// Records that an attempt was sent to a target.
     pub fn sent(&mut self, now: UnixMillis, target: &TargetName, attempt: AttemptId, query: &RouteQuery<'_>) {
         let Some(view) = self.views.get_mut(target) else {
             return;
@@ -207,40 +208,40 @@
         view.prefixes.insert(query.prefix_blocks);
     }
 
-    /// The first token of an attempt came back.
+    /// Records the first token of an attempt.
     pub fn first_token(&mut self, now: UnixMillis, target: &TargetName, attempt: AttemptId) {
         let Some(view) = self.views.get_mut(target) else { return };
         let Some(sent) = view.sent.get_mut(&attempt) else { return };
         sent.prefilled = true;
-        if sent.at >= view.clear.sent_at {
-            view.clear = ClearPoint { sent_at: sent.at, seen_at: now };
+        if sent.at >= view.drain_point.sent_at {
+            view.drain_point = DrainPoint { sent_at: sent.at, seen_at: now };
         }
     }
 
-    /// Counts an attempt as over.
+    /// Records the end of an attempt.
     pub fn done(&mut self, target: &TargetName, attempt: AttemptId) {
         if let Some(view) = self.views.get_mut(target) {
             view.sent.remove(&attempt);
         }
     }
 
-    /// A target's process began a new life: nothing known of its queue and cache holds any more.
+    /// Resets the load and cache view of a target whose process has restarted.
     pub fn reset(&mut self, target: &TargetName) {
         if let Some(view) = self.views.get_mut(target) {
             view.load = LoadReport { at: view.load.at, ..LoadReport::default() };
             view.prefixes = PrefixView::new(PREFIX_CAPACITY);
-            view.clear = ClearPoint::default();
+            view.drain_point = DrainPoint::default();
         }
     }
 
-    /// Avoids a target that could not be reached, for a while.
+    /// Avoids an unreachable target for [`UNREACHABLE_MILLIS`] or until its next report.
     pub fn unreachable(&mut self, now: UnixMillis, target: &TargetName) {
         if let Some(view) = self.views.get_mut(target) {
             view.unreachable_until = now.plus(UNREACHABLE_MILLIS);
         }
     }
 
-    /// Takes cache events of a target: blocks that came and blocks that went.
+    /// Applies the cache events of a target: added and removed blocks.
     pub fn cache_events(&mut self, target: &TargetName, added: &[u64], removed: &[u64]) {
         if let Some(view) = self.views.get_mut(target) {
             view.prefixes.insert(added);
@@ -248,12 +249,12 @@
         }
     }
 
-    /// A prompt's cached part was shorter than believed: the rest is gone there.
+    /// Removes blocks that turned out to be missing in a target's cache.
     pub fn cache_missed(&mut self, target: &TargetName, missing: &[u64]) {
         self.cache_events(target, &[], missing);
     }
 
-    /// Chooses a target.
+    /// Chooses the candidate with the lowest cost.
     pub fn choose(&mut self, query: &RouteQuery<'_>) -> Result<RouteChoice, RefusalReason> {
         let names = self.candidates(query);
         let candidates = names.len();
@@ -270,16 +271,16 @@
     }
 
     fn candidates(&mut self, query: &RouteQuery<'_>) -> Vec<TargetName> {
-        let usable = |view: &&TargetView| view.usable(query) && view.unreachable_until <= query.now;
-        let mut views: Vec<&TargetView> = self.views.values().filter(usable).collect();
+        let is_usable = |view: &&TargetView| view.is_usable(query) && view.unreachable_until <= query.now;
+        let mut views: Vec<&TargetView> = self.views.values().filter(is_usable).collect();
         if views.is_empty() {
-            views = self.views.values().filter(|view| view.usable(query)).collect();
+            views = self.views.values().filter(|view| view.is_usable(query)).collect();
         }
         if views.len() <= self.settings.choices {
             return views.into_iter().map(|view| view.target.name.clone()).collect();
         }
         let mut chosen = Vec::with_capacity(self.settings.choices + 1);
-        if let Some(home) = home_of(&views, query.prefix_blocks) {
+        if let Some(home) = home_target(&views, query.prefix_blocks) {
             chosen.push(home);
         }
         while chosen.len() < self.settings.choices {
@@ -289,7 +290,7 @@
         chosen
     }
 
-    /// Weight of a prompt's own computation: little while the targets are idle, more the longer their queues are.
+    /// Returns the weight of a prompt's own computation, which grows from 1 with the mean backlog of the candidates.
     fn work_weight(&self, names: &[TargetName], now: UnixMillis) -> f64 {
         let mut total = 0.0;
         for name in names {
@@ -300,17 +301,17 @@
             }
         }
         let mean = total / names.len().max(1) as f64;
-        (1.0 + mean / WEIGHT_MILLIS).min(self.settings.work_weight)
+        (1.0 + mean / BACKLOG_MILLIS_PER_WEIGHT).min(self.settings.work_weight)
     }
 
     fn cost(&self, view: &TargetView, query: &RouteQuery<'_>, work_weight: f64) -> (f64, u32) {
         let load = &view.load;
-        let unseen = view.unseen();
+        let unreported = view.unreported();
         let age = query.now.since(load.at) as f64;
         let slot_millis = f64::from(load.slot_micros) / 1000.0;
         let drained = if slot_millis > 0.0 { age / slot_millis } else { 0.0 };
         let reported = (f64::from(load.running + load.queued) - drained).max(0.0);
-        let occupied = reported + unseen.requests;
+        let occupied = reported + unreported.requests;
         let waiting = (occupied + 1.0 - f64::from(load.slots.max(1))).max(0.0);
         let slot_wait = waiting * slot_millis;
         let rate = f64::from(load.prefill_rate.max(1)) / 1000.0;
@@ -326,16 +327,16 @@
 
         let zone = if view.target.zone == self.settings.zone { 0.0 } else { self.settings.cross_zone_millis };
         let cost = slot_wait + backlog + own * work_weight + pace + zone;
-        // Among idle targets the least occupied one wins, so that equal costs don't all go to one name.
-        let tie = occupied / f64::from(load.slots.max(1));
-        ((cost + tie) / view.target.weight, cached)
+        // Breaks ties in favour of the least occupied target, so that requests are not all sent to the first name.
+        let occupancy = occupied / f64::from(load.slots.max(1));
+        ((cost + occupancy) / view.target.weight, cached)
     }
 
-    /// Prompt tokens that wait at a target now, from the newest thing known of it: a load report or a first token.
+    /// Estimates the prompt tokens waiting at a target, from the newer of its last load report and last first token.
     fn backlog_tokens(&self, view: &TargetView, now: UnixMillis, rate: f64) -> f64 {
-        let newer = view.clear.seen_at > view.load.at;
+        let newer = view.drain_point.seen_at > view.load.at;
         let (known, since, at) = if newer {
-            (0.0, view.clear.sent_at, view.clear.seen_at)
+            (0.0, view.drain_point.sent_at, view.drain_point.seen_at)
         } else {
             (view.load.queued_tokens as f64, view.load.at, view.load.at)
         };
@@ -352,16 +353,16 @@
     }
 }
 
-fn home_of(views: &[&TargetView], blocks: &[u64]) -> Option<TargetName> {
-    let key = *blocks.get(HOME_BLOCKS - 1).or(blocks.last())?;
+fn home_target(views: &[&TargetView], blocks: &[u64]) -> Option<TargetName> {
+    let key = *blocks.get(HOME_PREFIX_BLOCKS - 1).or(blocks.last())?;
     let score = |view: &&&TargetView| rendezvous_score(key, view.target.name.as_str());
     views.iter().max_by_key(score).map(|view| view.target.name.clone())
 }
 
-/// Time over which the inflow to a target is averaged, in milliseconds.
+/// Time constant of the moving average of inflow, in milliseconds.
 const INFLOW_MILLIS: f64 = 2000.0;
 
-/// Tokens a millisecond that this entry sends to a target; the other entries are taken to send alike.
+/// Tokens per millisecond that this entry sends to a target; the other entries are assumed to send as many.
 #[derive(Debug, Default, Clone, Copy)]
 struct InflowRate {
     tokens: f64,
@@ -383,13 +384,13 @@
     }
 }
 
-struct UnseenWork {
+struct UnreportedWork {
     requests: f64,
     tokens: f64,
 }
 
 impl TargetView {
-    fn usable(&self, query: &RouteQuery<'_>) -> bool {
+    fn is_usable(&self, query: &RouteQuery<'_>) -> bool {
         let target = &self.target;
         !target.leaving
             && target.weight > 0.0
@@ -397,14 +398,14 @@
             && !query.exclude.contains(&target.name)
     }
 
-    /// Work that this entry sent since the last report.
-    fn unseen(&self) -> UnseenWork {
+    /// Returns the work that this entry has sent since the last load report.
+    fn unreported(&self) -> UnreportedWork {
         let since = |sent: &&SentAttempt| sent.at >= self.load.at;
-        let mut unseen = UnseenWork { requests: 0.0, tokens: 0.0 };
+        let mut unreported = UnreportedWork { requests: 0.0, tokens: 0.0 };
         for sent in self.sent.values().filter(since) {
-            unseen.requests += 1.0;
-            unseen.tokens += f64::from(sent.tokens);
+            unreported.requests += 1.0;
+            unreported.tokens += f64::from(sent.tokens);
         }
-        unseen
+        unreported
     }
 }
--- a/crates/porthoist-policy/src/switch.rs
+++ b/crates/porthoist-policy/src/switch.rs
@@ -1,12 +1,12 @@
-//! The switch of a rank group to another expert map, so that all ranks use one map in each step.
+//! Switches a rank group to another expert map such that all ranks use the same map in each step.
 //!
-//! It needs unanimity, which costs a lock-step group nothing: without all its ranks it does not step anyway. It
-//! needs no store, so that a switch works while the platform is down.
+//! A switch requires the consent of all ranks. That costs a lock-step group nothing, because it cannot step without all
+//! its ranks anyway. No store is involved, so a switch works while the platform is down.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Number of an attempt to lead; a higher one wins.
+/// Ballot number of a leader; a higher one takes precedence.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LeaderBallot(pub u32);
 
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StepNumber(pub u32);
 
-/// A switch that ranks are armed with.
+/// A switch for which ranks are armed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ArmedSwitch {
     /// The ballot that armed it.
@@ -29,59 +29,60 @@
     pub step: StepNumber,
 }
 
-/// What a leader tells a rank.
+/// Message of a leader to a rank.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum LeaderMessage {
-    /// Refuse lower ballots from now on, and say what you have.
+    /// Refuse lower ballots from now on, and report your state.
     Promise(LeaderBallot),
-    /// Hold before the switch's step until the decision.
+    /// Hold before the step of the switch until the decision.
     Arm(ArmedSwitch),
-    /// All ranks were armed: switch. The first ballot is the sender's.
+    /// All ranks are armed: switch. The ballot is the sender's.
     Commit(LeaderBallot, ArmedSwitch),
-    /// The switch with this ballot does not happen. The first ballot is the sender's.
+    /// The switch with the second ballot is cancelled. The first ballot is the sender's.
     Abort(LeaderBallot, LeaderBallot),
 }
 
-/// What a rank tells a leader.
+/// Reply of a rank to a leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RankReply {
-    /// Promised; what the rank has.
+    /// The ballot is promised; contains the state of the rank.
     Promised {
-        /// The ballot promised.
+        /// The promised ballot.
         ballot: LeaderBallot,
-        /// The switch it is armed with.
+        /// The switch that the rank is armed for.
         armed: Option<ArmedSwitch>,
-        /// The last switch it committed.
+        /// The last switch that it committed.
         committed: Option<ArmedSwitch>,
-        /// The last step it started.
+        /// The last step that it started.
         started: StepNumber,
     },
-    /// Armed.
+    /// The rank is armed for the switch with this ballot.
     Armed(LeaderBallot),
-    /// Not armed: the step has begun, the experts are not loaded, or a higher ballot was promised.
+    /// The message with this ballot is refused: a higher ballot was promised, the step has begun, an earlier switch is
+    /// decided or pending, or the experts are not loaded.
     Refused(LeaderBallot),
 }
 
-/// Rules that the model checker breaks one at a time.
+/// Rules of a switch; the model checker disables them one at a time.
 #[expect(clippy::struct_excessive_bools, reason = "each flag is one rule that the checker breaks alone")]
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SwitchRules {
-    /// Lower ballots than the promised one are refused.
+    /// Ballots lower than the promised one are refused.
     pub keep_promise: bool,
-    /// A leader commits only when every rank is armed.
+    /// A leader commits only after every rank is armed.
     pub all_armed: bool,
-    /// An armed rank does not start the switch's step before the decision.
+    /// An armed rank does not start the step of the switch before the decision.
     pub hold_armed: bool,
-    /// A later leader that sees a commit finishes it.
+    /// A later leader that finds a commit completes it.
     pub finish_commit: bool,
-    /// A promise is kept by the engine as a fencing number and read back by a process that restarts beside it.
+    /// The engine stores a promise as a fencing number, and a restarted process reads it back.
     pub promise_outlives_restart: bool,
-    /// A rank is not armed while an earlier switch has not taken effect on it.
+    /// A rank is not armed before an earlier switch has taken effect on it.
     pub one_switch_at_a_time: bool,
 }
 
 impl SwitchRules {
-    /// The rules in force.
+    /// All rules enabled.
     pub const SOUND: Self = Self {
         keep_promise: true,
         all_armed: true,
@@ -92,22 +93,22 @@
     };
 }
 
-/// What an engine holds of its rank; it outlives the process beside it.
+/// State of a rank that its engine stores, so that it survives a restart of the rank's process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SavedRank {
-    /// The promised ballot: the highest fencing number that the engine has seen.
+    /// The promised ballot, which is the highest fencing number that the engine has seen.
     pub promised: LeaderBallot,
-    /// The switch that it holds for.
+    /// The switch that the rank is armed for.
     pub armed: Option<ArmedSwitch>,
-    /// The last switch that it was told to make.
+    /// The last committed switch.
     pub committed: Option<ArmedSwitch>,
-    /// The map of the last step started.
+    /// The map of the last started step.
     pub map: MapVersion,
-    /// The last step started.
+    /// The last started step.
     pub started: StepNumber,
 }
 
-/// The process beside one rank.
+/// State machine of the process next to one rank.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RankMachine {
     rules: SwitchRules,
@@ -119,39 +120,39 @@
 }
 
 impl RankMachine {
-    /// A rank on its first map.
+    /// Creates a rank with its first map.
     pub fn new(map: MapVersion, rules: SwitchRules) -> Self {
         Self { rules, promised: LeaderBallot(0), armed: None, committed: None, map, started: StepNumber(0) }
     }
 
-    /// A rank as its engine holds it, for a process that starts beside it.
+    /// Restores a rank from the state stored in its engine, for a restarted process.
     pub fn restored(kept: SavedRank) -> Self {
         let SavedRank { promised, armed, committed, map, started } = kept;
         Self { rules: SwitchRules::SOUND, promised, armed, committed, map, started }
     }
 
-    /// What the engine must hold of this rank.
+    /// Returns the state that the engine must store.
     pub fn saved(&self) -> SavedRank {
         let Self { promised, armed, committed, map, started, .. } = *self;
         SavedRank { promised, armed, committed, map, started }
     }
 
-    /// The engine has started this step.
+    /// Records that the engine has started a step.
     pub fn observe_started(&mut self, started: StepNumber) {
         self.started = self.started.max(started);
     }
 
-    /// The last step started.
+    /// Returns the last started step.
     pub fn started(&self) -> StepNumber {
         self.started
     }
 
-    /// The switch it holds for, if any.
+    /// Returns the switch that the rank is armed for, if any.
     pub fn armed(&self) -> Option<ArmedSwitch> {
         self.armed
     }
 
-    /// The map that the next step would use, or nothing while the rank must hold.
+    /// Returns the next step and its map, or `None` while the rank must hold.
     pub fn next_step(&self) -> Option<(StepNumber, MapVersion)> {
         let next = StepNumber(self.started.0 + 1);
         let held = self.armed.is_some_and(|armed| next >= armed.step);
@@ -165,7 +166,7 @@
         Some((next, map))
     }
 
-    /// Starts the next step; returns it with its map, or nothing while the rank must hold.
+    /// Starts the next step and returns it with its map, or returns `None` while the rank must hold.
     pub fn start_step(&mut self) -> Option<(StepNumber, MapVersion)> {
         let (step, map) = self.next_step()?;
         self.started = step;
@@ -173,9 +174,9 @@
         Some((step, map))
     }
 
-    /// The process restarts beside the running rank. What the engine keeps is read back from it: the map, the armed
-    /// and the committed switch, the step, and the promise, which was given to it as a fencing number. A group whose
-    /// engines keep no fencing number is formed anew instead.
+    /// Restarts the process next to a running rank. It reads back the state stored in the engine: the map, the armed and
+    /// the committed switch, the step, and the promise, which the engine stores as a fencing number. A group whose engines
+    /// store no fencing number must be formed again instead.
     pub fn restart(&mut self) {
         if !self.rules.promise_outlives_restart {
             self.promised = LeaderBallot(0);
@@ -186,7 +187,7 @@
         ballot >= self.promised || !self.rules.keep_promise
     }
 
-    /// Takes a leader's message; `loaded` says whether the map's experts are loaded.
+    /// Handles a leader's message; `loaded` tells whether the experts of the map are loaded.
     pub fn on(&mut self, message: LeaderMessage, loaded: bool) -> Option<RankReply> {
         match message {
             LeaderMessage::Promise(ballot) => Some(self.promise(ballot)),
@@ -213,10 +214,10 @@
 
     fn arm(&mut self, switch: ArmedSwitch, loaded: bool) -> RankReply {
         let decided = self.committed.is_some_and(|committed| committed.ballot >= switch.ballot);
-        let begun = self.started >= switch.step;
+        let already_started = self.started >= switch.step;
         let pending = self.committed.is_some_and(|committed| self.started < committed.step);
         let pending = pending && self.rules.one_switch_at_a_time;
-        if !self.accepts(switch.ballot) || decided || begun || pending || !loaded {
+        if !self.accepts(switch.ballot) || decided || already_started || pending || !loaded {
             return RankReply::Refused(switch.ballot);
         }
         self.promised = self.promised.max(switch.ballot);
@@ -246,10 +247,10 @@
     Decided,
 }
 
-/// What a leader has heard from one rank.
-pub type HeardRank = (Option<RankReply>, bool);
+/// A leader's knowledge of one rank: its promise, and whether it is armed.
+pub type RankKnowledge = (Option<RankReply>, bool);
 
-/// A leader's attempt to switch the group.
+/// State machine of a leader that tries to switch the group.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeaderMachine {
     rules: SwitchRules,
@@ -261,7 +262,7 @@
 }
 
 impl LeaderMachine {
-    /// Begins with a promise; the switch will be `lead_steps` after the last step that any rank started.
+    /// Starts by requesting promises. The switch is planned `lead_steps` after the last step that any rank has started.
     pub fn start(
         ballot: LeaderBallot,
         map: MapVersion,
@@ -273,8 +274,8 @@
         (Self { rules, ballot, map, lead_steps, ranks, phase }, LeaderMessage::Promise(ballot))
     }
 
-    /// What it has heard from a rank: its promise, and whether it is armed.
-    pub fn heard(&self, rank: usize) -> HeardRank {
+    /// Returns the leader's knowledge of a rank: its promise, and whether it is armed.
+    pub fn rank_knowledge(&self, rank: usize) -> RankKnowledge {
         match &self.phase {
             LeaderPhase::Promising(replies) => (replies.get(&rank).copied(), false),
             LeaderPhase::Arming { armed, .. } => (None, armed.contains(&rank)),
@@ -282,7 +283,7 @@
         }
     }
 
-    /// Gives each rank another number; the checker takes groups for the same that differ only in it.
+    /// Renumbers the ranks, so that the model checker can identify states that differ only in their order.
     pub fn renumber(&mut self, numbers: &[usize]) {
         match &mut self.phase {
             LeaderPhase::Promising(replies) => {
@@ -298,12 +299,12 @@
         }
     }
 
-    /// Whether it has decided.
+    /// Returns whether the leader has decided.
     pub fn decided(&self) -> bool {
         self.phase == LeaderPhase::Decided
     }
 
-    /// Takes a rank's reply and returns what to tell all ranks, if anything.
+    /// Handles a rank's reply and returns the message to all ranks, if any.
     pub fn on(&mut self, rank: usize, reply: RankReply) -> Option<LeaderMessage> {
         match (&mut self.phase, reply) {
             (LeaderPhase::Promising(replies), RankReply::Promised { ballot, .. })
@@ -337,16 +338,16 @@
 
     fn promised(&mut self, replies: &BTreeMap<usize, RankReply>) -> LeaderMessage {
         let mut last = 0;
-        let mut newest: Option<ArmedSwitch> = None;
-        let mut open = false;
+        let mut last_commit: Option<ArmedSwitch> = None;
+        let mut any_armed = false;
         for reply in replies.values() {
             if let RankReply::Promised { committed, started, armed, .. } = reply {
                 last = last.max(started.0);
-                newest = newest.max(*committed);
-                open |= armed.is_some();
+                last_commit = last_commit.max(*committed);
+                any_armed |= armed.is_some();
             }
         }
-        let unfinished = newest.filter(|_switch| open && self.rules.finish_commit);
+        let unfinished = last_commit.filter(|_switch| any_armed && self.rules.finish_commit);
         if let Some(switch) = unfinished.filter(|switch| armed_with(replies, *switch)) {
             self.phase = LeaderPhase::Decided;
             return LeaderMessage::Commit(self.ballot, switch);
@@ -357,7 +358,7 @@
         LeaderMessage::Arm(switch)
     }
 
-    /// Not all ranks answered in time, or one refused: the switch is aborted if it was not decided.
+    /// Aborts an undecided switch after a rank refused or did not reply in time.
     pub fn timeout(&mut self) -> Option<LeaderMessage> {
         let arming = matches!(self.phase, LeaderPhase::Arming { .. });
         let decided = self.decided();
--- a/crates/porthoist-policy/src/table.rs
+++ b/crates/porthoist-policy/src/table.rs
@@ -1,6 +1,6 @@
-//! Rows of the operators' table: teams, services, targets' weights and policies.
+//! Rows of the operators' table: teams, services, targets and policies.
 //!
-//! A row is written as cells of text, as in a spreadsheet; parsing names the column at fault.
+//! A row consists of text cells, as in a spreadsheet. A parse error names the invalid column.
 
 use porthoist_core::{RepeatPolicy, RequestPriority, RequestRate, ServiceKind};
 use serde::{Deserialize, Serialize};
@@ -8,17 +8,17 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// The kinds of rows.
+/// Kind of a row.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RowKind {
     /// Limits and weight of a team.
     Team,
-    /// What a service is.
+    /// Kind and repeat policy of a service.
     Service,
     /// Weight and drain mark of a target.
     Target,
-    /// Numbers that govern the decisions.
+    /// Parameters of expert placement.
     Policy,
 }
 
@@ -33,13 +33,13 @@
     }
 }
 
-/// Names a row.
+/// Identifies a row by kind and name.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct RowKey {
-    /// Kind.
+    /// Kind of the row.
     pub kind: RowKind,
-    /// Name within the kind.
+    /// Name, unique within the kind.
     pub name: String,
 }
 
@@ -49,15 +49,15 @@
     }
 }
 
-/// A cell that can't be read.
+/// A cell with an invalid value.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("column {column}: {given:?} is not valid: expected {expected}")]
 pub struct CellError {
-    /// The column at fault.
+    /// Column of the cell.
     pub column: String,
-    /// What stood there.
+    /// Value of the cell, truncated to 80 characters.
     pub given: String,
-    /// What may stand there.
+    /// Description of the valid values.
     pub expected: String,
 }
 
@@ -113,44 +113,44 @@
 /// Limits and weight of a team.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TeamRow {
-    /// Share of a busy target relative to other teams.
+    /// Share of a busy target relative to the other teams.
     pub weight: f64,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: RequestRate,
-    /// Requests in flight at once, in the whole zone.
+    /// Maximum number of requests in flight in the whole zone.
     pub concurrency: u32,
-    /// Priority of its requests where they name none.
+    /// Default priority of its requests.
     pub priority: RequestPriority,
-    /// SHA-256 of the caller token in hexadecimal; empty where none is asked for.
+    /// SHA-256 of the caller token in hexadecimal; empty if no token is required.
     pub token: String,
 }
 
-/// What a service is.
+/// Kind and repeat policy of a service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServiceRow {
     /// Model engine or plain service.
     pub mode: ServiceKind,
-    /// Whether requests may be repeated; without it the kind's default holds.
+    /// Whether requests may be repeated; `None` selects the default of the kind.
     pub repeat: Option<RepeatPolicy>,
 }
 
 /// Weight and drain mark of a target.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TargetRow {
-    /// Share of traffic relative to other targets; 0 takes it out.
+    /// Share of traffic relative to other targets; 0 excludes it.
     pub weight: f64,
-    /// Whether it is leaving.
+    /// Whether the target is leaving.
     pub drain: bool,
 }
 
-/// Numbers that govern expert placement.
+/// Parameters of expert placement.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PolicyRow {
     /// Weight of step-time skew.
     pub skew_weight: f64,
     /// Weight of the cost of moving experts.
     pub move_weight: f64,
-    /// Version of the expert map that the group of this name is to use; 0 leaves it as it is.
+    /// Version of the expert map that the group of this name should use; 0 keeps its current map.
     #[serde(default)]
     pub map: u32,
 }
@@ -169,7 +169,7 @@
     Policy(PolicyRow),
 }
 
-/// The columns of the table in the order of its CSV form, without the row's version.
+/// Columns of the table, in the order of its CSV form and without the row version.
 pub const COLUMNS: &[&str] = &[
     "kind",
     "name",
@@ -186,10 +186,10 @@
     "map",
 ];
 
-/// Highest weight accepted.
+/// Maximum weight.
 pub const MAX_WEIGHT: f64 = 1_000_000.0;
 
-/// Cells of one row by column.
+/// Cells of a row by column.
 pub type RowCells = BTreeMap<String, String>;
 
 struct CellReader<'a> {
@@ -239,7 +239,7 @@
         }
     }
 
-    fn only(&self, allowed: &[&str]) -> Result<(), CellError> {
+    fn check_columns(&self, allowed: &[&str]) -> Result<(), CellError> {
         for (column, cell) in self.cells {
             if !COLUMNS.contains(&column.as_str()) {
                 return Err(CellError::new(
@@ -257,7 +257,7 @@
 }
 
 impl TableRow {
-    /// Reads a row from its cells.
+    /// Parses a row from its cells.
     pub fn from_cells(cells: &RowCells) -> Result<(RowKey, Self), CellError> {
         let reader = CellReader { cells };
         let key: RowKey = format!("{}/{}", reader.text("kind"), reader.text("name")).parse()?;
@@ -271,7 +271,7 @@
     }
 
     fn team(reader: &CellReader<'_>) -> Result<Self, CellError> {
-        reader.only(&["kind", "name", "weight", "rate", "concurrency", "priority", "token"])?;
+        reader.check_columns(&["kind", "name", "weight", "rate", "concurrency", "priority", "token"])?;
         Ok(Self::Team(TeamRow {
             weight: reader.weight("weight", 1.0)?,
             rate: reader.parsed("rate", RequestRate(1000.0), "requests a second, for example 50/s")?,
@@ -282,7 +282,7 @@
     }
 
     fn service(reader: &CellReader<'_>) -> Result<Self, CellError> {
-        reader.only(&["kind", "name", "mode", "repeat"])?;
+        reader.check_columns(&["kind", "name", "mode", "repeat"])?;
         let mode = reader.parsed("mode", ServiceKind::Model, "model or plain")?;
         let repeat = match reader.text("repeat") {
             "" => None,
@@ -292,12 +292,12 @@
     }
 
     fn target(reader: &CellReader<'_>) -> Result<Self, CellError> {
-        reader.only(&["kind", "name", "weight", "drain"])?;
+        reader.check_columns(&["kind", "name", "weight", "drain"])?;
         Ok(Self::Target(TargetRow { weight: reader.weight("weight", 1.0)?, drain: reader.flag("drain")? }))
     }
 
     fn policy(reader: &CellReader<'_>) -> Result<Self, CellError> {
-        reader.only(&["kind", "name", "skew_weight", "move_weight", "map"])?;
+        reader.check_columns(&["kind", "name", "skew_weight", "move_weight", "map"])?;
         Ok(Self::Policy(PolicyRow {
             skew_weight: reader.weight("skew_weight", 1.0)?,
             move_weight: reader.weight("move_weight", 1.0)?,
@@ -305,7 +305,7 @@
         }))
     }
 
-    /// Writes the row as cells, without empty ones.
+    /// Formats the row as cells and omits empty ones.
     pub fn to_cells(&self, key: &RowKey) -> RowCells {
         let mut cells = RowCells::new();
         let mut put = |column: &str, cell: String| cells.insert(column.to_owned(), cell);
--- a/crates/porthoist-policy/tests/policy.rs
+++ b/crates/porthoist-policy/tests/policy.rs
@@ -1,4 +1,4 @@
-//! The decisions, driven as the daemon drives them.
+//! Tests of the decision logic, driven like the daemon drives it.
 
 #[path = "policy/admission.rs"]
 mod admission;
@@ -14,12 +14,10 @@
 mod demand;
 #[path = "policy/domains.rs"]
 mod domains;
-#[path = "policy/even.rs"]
-mod even;
+#[path = "policy/equal_shares.rs"]
+mod equal_shares;
 #[path = "policy/forecast.rs"]
 mod forecast;
-#[path = "policy/forward.rs"]
-mod forward;
 #[path = "policy/gate.rs"]
 mod gate;
 #[path = "policy/limits.rs"]
@@ -42,6 +40,8 @@
 mod quarantine;
 #[path = "policy/retry.rs"]
 mod retry;
+#[path = "policy/roll_forward.rs"]
+mod roll_forward;
 #[path = "policy/router.rs"]
 mod router;
 #[path = "policy/table.rs"]
--- a/crates/porthoist-policy/tests/policy/admission.rs
+++ b/crates/porthoist-policy/tests/policy/admission.rs
@@ -1,4 +1,4 @@
-//! The queue of a target.
+//! Tests of the admission queue of a target.
 
 use porthoist_core::{
     AttemptId, IncarnationId, RefusalReason, RequestId, RequestPriority, UnixDeadline, UnixMillis,
@@ -24,7 +24,7 @@
     AdmissionQueue::new(AdmissionSettings::builder().slots(slots).queue(100).build())
 }
 
-/// Ends what runs, again and again, and returns the order in which requests start.
+/// Repeatedly finishes the running request and returns the order in which the others start.
 fn drain(queue: &mut AdmissionQueue, first: u64) -> Vec<u64> {
     let (mut running, mut order) = (attempt(first), Vec::new());
     loop {
--- a/crates/porthoist-policy/tests/policy/configuration.rs
+++ b/crates/porthoist-policy/tests/policy/configuration.rs
@@ -1,4 +1,4 @@
-//! Adoption and the history of changes.
+//! Tests of configuration adoption and of the change history.
 
 use porthoist_policy::adoption::{AdoptOutcome, ChangeHistory, ConfigChange, ConfigState};
 use porthoist_policy::table::RowKey;
--- a/crates/porthoist-policy/tests/policy/copying.rs
+++ b/crates/porthoist-policy/tests/policy/copying.rs
@@ -1,4 +1,4 @@
-//! Plans by the observed times of copies and switches.
+//! Tests of the plan size derived from observed copy and switch times.
 
 use porthoist_policy::placement::copying::CopyTimes;
 use test_case::test_case;
--- a/crates/porthoist-policy/tests/policy/demand.rs
+++ b/crates/porthoist-policy/tests/policy/demand.rs
@@ -1,4 +1,4 @@
-//! Shifts of demand told from the noise of windows that hold few requests.
+//! Tests that shifts of demand are distinguished from the noise of windows with few requests.
 
 use porthoist_policy::placement::demand::{DemandChange, DemandEstimator};
 use rand::{RngExt as _, SeedableRng as _};
@@ -7,13 +7,14 @@
 
 const SETS: usize = 3;
 const EXPERTS: usize = 96;
-/// Requests in a window, and how often each chooses the same few experts.
+/// Number of requests in a window.
 const REQUESTS: usize = 40;
-const CHOICES_A_REQUEST: u64 = 300;
-/// Experts that one request chooses in a set.
+/// Counts that each choice of an expert adds.
+const COUNTS_PER_CHOICE: u64 = 300;
+/// Number of experts that a request chooses in a set.
 const CHOSEN: usize = 8;
 
-/// Counts of requests that prefer the experts around a centre; each request chooses few of them, many times.
+/// Counts of a window whose requests prefer the experts after `centre`; each chooses a few of them many times.
 fn window(random: &mut Pcg64Mcg, centre: usize) -> Vec<u64> {
     let mut counts = vec![0; SETS * EXPERTS];
     for _request in 0..REQUESTS {
@@ -21,7 +22,7 @@
             for _choice in 0..CHOSEN {
                 let spread = random.random_range(0..EXPERTS / 4) + random.random_range(0..EXPERTS / 4);
                 let expert = (centre + spread) % EXPERTS;
-                counts[set * EXPERTS + expert] += CHOICES_A_REQUEST;
+                counts[set * EXPERTS + expert] += COUNTS_PER_CHOICE;
             }
         }
     }
@@ -45,12 +46,12 @@
 fn steady_demand_shows_no_shift() {
     let mut random = Pcg64Mcg::seed_from_u64(1);
     let mut estimator = DemandEstimator::new(SETS, EXPERTS);
-    let mut news: BTreeMap<String, usize> = BTreeMap::new();
+    let mut changes: BTreeMap<String, usize> = BTreeMap::new();
     for _window in 0..1_000 {
-        *news.entry(format!("{:?}", estimator.add_window(&window(&mut random, 0)))).or_default() += 1;
+        *changes.entry(format!("{:?}", estimator.add_window(&window(&mut random, 0)))).or_default() += 1;
     }
-    // The first window is all that is known.
-    assert_eq!(news, BTreeMap::from([("Shifted".to_owned(), 1), ("Steady".to_owned(), 999)]));
+    // The first window sets the estimate and counts as a shift.
+    assert_eq!(changes, BTreeMap::from([("Shifted".to_owned(), 1), ("Steady".to_owned(), 999)]));
 }
 
 #[test]
@@ -61,9 +62,9 @@
         for _window in 0..20 {
             estimator.add_window(&window(&mut random, shift * 30));
         }
-        let news = [0, 1, 2].map(|_window| estimator.add_window(&window(&mut random, (shift + 1) * 30)));
+        let changes = [0, 1, 2].map(|_window| estimator.add_window(&window(&mut random, (shift + 1) * 30)));
         assert_eq!(
-            news,
+            changes,
             [DemandChange::PossibleShift, DemandChange::Shifted, DemandChange::Steady],
             "shift {shift}"
         );
@@ -82,7 +83,7 @@
         estimator.add_window(&window(&mut random, 48));
         errors.push(distance(estimator.demand(), 48));
     }
-    // The first window is not believed; from the second on, the error falls with the root of their number.
+    // The first window changes nothing. From the second on, the error decreases with the square root of their number.
     assert!(errors[0] > 0.4, "{errors:?}");
     assert!(errors[1] < 0.2, "{errors:?}");
     assert!(errors[9] < errors[1] * 0.5, "{errors:?}");
@@ -97,7 +98,7 @@
     assert_eq!(estimator.demand(), before);
 }
 
-/// A shift that comes before the noise is known must not pass for it.
+/// A shift before the usual deviation is learned must not be learned as noise, which would hide later shifts.
 #[test]
 fn a_shift_in_the_first_windows_does_not_hide_the_next() {
     let mut random = Pcg64Mcg::seed_from_u64(4);
@@ -108,8 +109,8 @@
     let mut seen = 0;
     for shift in 2..8 {
         for _window in 0..12 {
-            let news = estimator.add_window(&window(&mut random, shift * 30));
-            seen += u32::from(news == DemandChange::Shifted);
+            let changes = estimator.add_window(&window(&mut random, shift * 30));
+            seen += u32::from(changes == DemandChange::Shifted);
         }
     }
     assert_eq!(seen, 6);
--- a/crates/porthoist-policy/tests/policy/even.rs
+++ b/crates/porthoist-policy/tests/policy/equal_shares.rs
@@ -1,4 +1,4 @@
-//! Expert maps whose replicas share evenly.
+//! Tests of expert maps with equal shares.
 
 use porthoist_policy::placement::equal_shares::{EqualShareBounds, EqualShareMap, improve, rank_loads, skew};
 use porthoist_policy::placement::map::ExpertId;
@@ -9,7 +9,7 @@
 const EXPERTS: usize = 18;
 const PLACES: usize = 4;
 
-/// Experts in turn; each rank lists its first expert a second time in its last place.
+/// Assigns the experts to ranks in turn; each rank lists its first expert again in its last place.
 fn first_map(sets: usize) -> EqualShareMap {
     let held =
         |rank: usize| (0..PLACES).map(|place| ExpertId(((place * RANKS + rank) % EXPERTS) as u16)).collect();
@@ -20,7 +20,7 @@
     EqualShareBounds { places: PLACES, spare, new_a_rank, move_price: 0.005 }
 }
 
-/// A demand in which some experts are liked far more.
+/// A demand that is much higher for some experts.
 fn skewed(hot: usize) -> Vec<f64> {
     let weight = |expert: usize| 1.0 / (1.0 + ((expert + EXPERTS - hot) % EXPERTS) as f64);
     let total: f64 = (0..EXPERTS).map(weight).sum();
@@ -95,7 +95,7 @@
     }
 }
 
-/// All ranks wait for a slow one, so that it must end with next to no work; then it gets its part again.
+/// All ranks wait for a slow one, so it must end up with almost no work. After it recovers, it gets its share back.
 #[test]
 fn a_slow_rank_is_emptied_and_filled_again() {
     let demand = [skewed(3), skewed(11)];
--- a/crates/porthoist-policy/tests/policy/gate.rs
+++ b/crates/porthoist-policy/tests/policy/gate.rs
@@ -1,18 +1,18 @@
-//! The gate of a target.
+//! Tests of the gate of a target.
 
 use porthoist_core::{IncarnationId, RefusalReason, RunVerdict, UnixDeadline, UnixMillis};
 use porthoist_policy::gate::{GateDecision, GateKey, GateMachine, GateOffer};
 
-const LIFE: IncarnationId = IncarnationId(7);
+const INCARNATION: IncarnationId = IncarnationId(7);
 const DEADLINE: UnixDeadline = UnixDeadline(UnixMillis(1000));
 
 fn offer(sequence: u64) -> GateOffer {
-    GateOffer { key: GateKey::Ticket(sequence), incarnation: LIFE, fingerprint: 1, deadline: DEADLINE }
+    GateOffer { key: GateKey::Ticket(sequence), incarnation: INCARNATION, fingerprint: 1, deadline: DEADLINE }
 }
 
 #[test]
 fn a_ticket_runs_once_and_is_replayed() {
-    let mut gate = GateMachine::new(LIFE, 10);
+    let mut gate = GateMachine::new(INCARNATION, 10);
     let ticket = gate.mint(UnixMillis(0), DEADLINE).unwrap();
     assert_eq!(gate.offer(UnixMillis(1), offer(ticket), || Ok(())), GateDecision::Run);
     assert_eq!(gate.offer(UnixMillis(2), offer(ticket), || Ok(())), GateDecision::Attach);
@@ -25,7 +25,7 @@
 
 #[test]
 fn a_refusal_spends_the_ticket() {
-    let mut gate = GateMachine::new(LIFE, 10);
+    let mut gate = GateMachine::new(INCARNATION, 10);
     let ticket = gate.mint(UnixMillis(0), DEADLINE).unwrap();
     let refused = gate.offer(UnixMillis(1), offer(ticket), || Err(RefusalReason::Overloaded));
     assert_eq!(refused, GateDecision::Refuse(RefusalReason::Overloaded, RunVerdict::NotRun));
@@ -35,7 +35,7 @@
 
 #[test]
 fn another_life_another_body_or_a_passed_deadline_may_have_run() {
-    let mut gate = GateMachine::new(LIFE, 10);
+    let mut gate = GateMachine::new(INCARNATION, 10);
     let ticket = gate.mint(UnixMillis(0), DEADLINE).unwrap();
     let foreign = GateOffer { incarnation: IncarnationId(8), ..offer(ticket) };
     let refused = |reason| GateDecision::Refuse(reason, RunVerdict::MayHaveRun);
@@ -47,12 +47,12 @@
         gate.offer(UnixMillis(1000), offer(ticket), || Ok(())),
         refused(RefusalReason::DeadlinePassed)
     );
-    assert_eq!(gate.remembered(), 0, "forgotten at the deadline, from which it is refused");
+    assert_eq!(gate.record_count(), 0, "forgotten at the deadline, from which it is refused");
 }
 
 #[test]
 fn memory_is_bounded_and_tickets_reserve_theirs() {
-    let mut gate = GateMachine::new(LIFE, 2);
+    let mut gate = GateMachine::new(INCARNATION, 2);
     assert!(gate.mint(UnixMillis(0), DEADLINE).is_some());
     assert!(gate.mint(UnixMillis(0), DEADLINE).is_some());
     assert_eq!(gate.mint(UnixMillis(0), DEADLINE), None);
--- a/crates/porthoist-policy/tests/policy/limits.rs
+++ b/crates/porthoist-policy/tests/policy/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of teams.
+//! Tests of team limits.
 
 use porthoist_core::{RefusalReason, RequestRate, TeamName, UnixMillis};
 use porthoist_policy::limits::coordinator::LimitCoordinator;
@@ -12,7 +12,7 @@
     TeamLimit { rate: RequestRate(rate), concurrency }
 }
 
-/// Asks for more than the limit for some seconds through two entries, the second with a tenth of the requests.
+/// Sends more requests than the limit allows for some seconds, a tenth of them through the second of two entries.
 fn admitted_through_two(coordinator_heard: bool, seconds: u64) -> u64 {
     let limit = limit(100.0, 1000);
     let mut entries = [EntryLimiter::new(2), EntryLimiter::new(2)];
@@ -28,8 +28,8 @@
         for limiter in &mut entries {
             for (name, ask) in limiter.due(now) {
                 if coordinator_heard {
-                    let told = coordinator.settle(now, ask, limit);
-                    limiter.settled(now, &name, ask, told);
+                    let reply = coordinator.settle(now, ask, limit);
+                    limiter.settled(now, &name, ask, reply);
                 } else {
                     limiter.coordinator_unreachable(now, &name);
                 }
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn without_its_keeper_an_entry_uses_its_fair_share() {
+fn without_its_coordinator_an_entry_uses_its_fair_share() {
     let admitted = admitted_through_two(false, 20);
     assert!((1000..=2100).contains(&admitted), "{admitted} of 2000");
 }
@@ -79,8 +79,8 @@
     let due = entry.due(settled_at);
     assert_eq!(due.len(), 1, "the debt is settled before the team is forgotten");
     for (name, ask) in due {
-        let told = LimitCoordinator::new().settle(settled_at, ask, limit(10.0, 3));
-        entry.settled(settled_at, &name, ask, told);
+        let reply = LimitCoordinator::new().settle(settled_at, ask, limit(10.0, 3));
+        entry.settled(settled_at, &name, ask, reply);
     }
     entry.forget_idle(settled_at.plus(IDLE_MILLIS));
     assert_eq!(entry.teams(), 0);
--- a/crates/porthoist-policy/tests/policy/placement.rs
+++ b/crates/porthoist-policy/tests/policy/placement.rs
@@ -1,4 +1,4 @@
-//! Expert placement.
+//! Tests of expert placement.
 
 use porthoist_policy::placement::map::{ExpertId, RankId};
 use porthoist_policy::placement::{GroupEstimate, PlannerSettings, peak, place_from_scratch, plan, reshare};
--- a/crates/porthoist-policy/tests/policy/retry.rs
+++ b/crates/porthoist-policy/tests/policy/retry.rs
@@ -1,4 +1,4 @@
-//! Retries, their budget, and hedges.
+//! Tests of retries, the retry budget and hedges.
 
 use porthoist_core::{RefusalReason, RepeatPolicy, RetryReason, RunVerdict, UnixDeadline, UnixMillis};
 use porthoist_policy::retry::hedge::HedgePolicy;
--- a/crates/porthoist-policy/tests/policy/forward.rs
+++ b/crates/porthoist-policy/tests/policy/roll_forward.rs
@@ -1,4 +1,4 @@
-//! The switch that only rolls forward, order by order.
+//! Tests of the roll-forward switch, order by order.
 
 use porthoist_policy::roll_forward::{
     ArmedMap, EngineOrder, GroupEpoch, OrderSequence, RankView, RollForwardDriver, RollForwardRules,
@@ -20,8 +20,8 @@
     }
 }
 
-/// A driver that has waited long enough, and the reports it saw last.
-fn rested() -> (RollForwardDriver, Vec<RankView>) {
+/// A driver that has waited for old holds to expire, and its last reports.
+fn ready_driver() -> (RollForwardDriver, Vec<RankView>) {
     let mut driver = RollForwardDriver::new(RollForwardRules::SOUND);
     assert!(!driver.can_begin(&[view(5), view(5)]), "an old hold may still come into force");
     let views = vec![view(7), view(7)];
@@ -31,7 +31,7 @@
 
 #[test]
 fn a_switch_goes_forward_step_by_step() {
-    let (mut driver, mut views) = rested();
+    let (mut driver, mut views) = ready_driver();
     let version = driver.begin(&views, MapVersion(40));
     assert_eq!(version, MapVersion(40));
     let prepare = EngineOrder::Prepare { epoch: EPOCH, version, sequence: OrderSequence(0) };
@@ -60,7 +60,7 @@
 
 #[test]
 fn a_hold_that_came_too_late_is_given_for_a_later_pass() {
-    let (mut driver, mut views) = rested();
+    let (mut driver, mut views) = ready_driver();
     let version = driver.begin(&views, MapVersion(1));
     for rank in &mut views {
         rank.prepared = Some(version);
@@ -89,7 +89,7 @@
 
 #[test]
 fn a_new_formation_ends_a_switch() {
-    let (mut driver, mut views) = rested();
+    let (mut driver, mut views) = ready_driver();
     driver.begin(&views, MapVersion(1));
     for rank in &mut views {
         rank.epoch = GroupEpoch(2);
@@ -102,7 +102,7 @@
 
 #[test]
 fn a_refused_version_is_skipped_by_far() {
-    let (mut driver, views) = rested();
+    let (mut driver, views) = ready_driver();
     let first = driver.begin(&views, MapVersion(1));
     driver.version_refused();
     let second = driver.begin(&views, MapVersion(1));
--- a/crates/porthoist-policy/tests/policy/router.rs
+++ b/crates/porthoist-policy/tests/policy/router.rs
@@ -1,4 +1,4 @@
-//! Choice of a target.
+//! Tests of target selection.
 
 use porthoist_core::{
     AttemptId, IncarnationId, LoadReport, RefusalReason, RequestId, ServiceName, TargetName, UnixDeadline,
--- a/crates/porthoist-policy/tests/policy/table.rs
+++ b/crates/porthoist-policy/tests/policy/table.rs
@@ -1,4 +1,4 @@
-//! Rows of the operators' table.
+//! Tests of parsing rows of the operators' table.
 
 use porthoist_policy::table::{COLUMNS, RowCells, RowKey, TableRow};
 use proptest::prelude::*;
--- a/crates/porthoist-spec/src/lib.rs
+++ b/crates/porthoist-spec/src/lib.rs
@@ -1,7 +1,7 @@
-//! Model checking of porthoist's protocols.
+//! Model checker for porthoist's protocols.
 //!
-//! Each model drives the very state machines of `porthoist-policy` through every order of messages, losses,
-//! crashes and delays within its bounds, and looks for a state that breaks a promise.
+//! Each model drives the state machines of `porthoist-policy` through every order of messages, losses, crashes and delays
+//! within its bounds, and searches for a state that violates a safety property.
 
 pub mod models;
 pub mod search;
--- a/crates/porthoist-spec/src/main.rs
+++ b/crates/porthoist-spec/src/main.rs
@@ -1,19 +1,19 @@
-//! `porthoist-spec`: searches every protocol, or every protocol with one rule broken.
+//! `porthoist-spec`: checks every protocol, or every protocol with one rule disabled at a time.
 
 use argh::FromArgs;
 use porthoist_spec::{CheckedModel, SearchReport, all_models};
 use std::process::ExitCode;
 
-/// Search porthoist's protocols exhaustively within bounds.
+/// Check porthoist's protocols exhaustively within bounds.
 #[derive(Debug, FromArgs)]
 struct SpecArgs {
-    /// break one rule at a time; every break must be found
+    /// disable one rule at a time; each must lead to a violation
     #[argh(switch)]
     mutants: bool,
-    /// use the smaller bounds of the tests
+    /// use the smaller bounds that the tests use
     #[argh(switch)]
     small: bool,
-    /// states expanded at most for one search (default 3000000)
+    /// maximum number of states expanded in one search (default 3000000)
     #[argh(option, default = "3_000_000")]
     limit: usize,
 }
@@ -44,8 +44,8 @@
     let mut all = true;
     for mutant in &model.mutants {
         let report = mutant.search(limit);
-        if let Some((promise, events)) = &report.counterexample {
-            println!("caught: {}: {} ({} events)", mutant.rule, promise, events.len());
+        if let Some((property, events)) = &report.counterexample {
+            println!("caught: {}: {} ({} events)", mutant.rule, property, events.len());
             continue;
         }
         println!("NOT CAUGHT: {} ({} states)", mutant.rule, report.states);
@@ -55,10 +55,10 @@
 }
 
 fn print_counterexample(report: &SearchReport) {
-    let Some((promise, events)) = &report.counterexample else {
+    let Some((property, events)) = &report.counterexample else {
         return;
     };
-    println!("  broken: {promise}");
+    println!("  violated: {property}");
     for (index, event) in events.iter().enumerate() {
         println!("  {:>3}. {event}", index + 1);
     }
