--- a/crates/porthoist-spec/src/models.rs
+++ b/crates/porthoist-spec/src/models.rs
@@ -1,8 +1,8 @@
-//! The models, and the mutants that each must catch.
+//! Models of the protocols, each with mutants that the search must catch.
 
 pub mod adoption;
-pub mod forward;
-pub mod once;
+pub mod at_most_once;
+pub mod roll_forward;
 pub mod switch;
 pub mod unkeyed;
 
@@ -14,9 +14,9 @@
 use porthoist_policy::roll_forward::RollForwardRules;
 use porthoist_policy::switch::SwitchRules;
 
-/// A model with one rule broken.
+/// A model with one rule disabled.
 pub struct Mutant {
-    /// The broken rule.
+    /// Description of the disabled rule.
     pub rule: &'static str,
     run: Box<dyn Fn(usize) -> SearchReport>,
 }
@@ -32,34 +32,34 @@
         Self { rule, run: Box::new(run) }
     }
 
-    /// Searches for the counterexample.
+    /// Searches for a counterexample.
     pub fn search(&self, limit: usize) -> SearchReport {
         (self.run)(limit)
     }
 }
 
-/// A model with sound rules, and its mutants.
+/// A model with all rules enabled, and its mutants.
 #[derive(Debug)]
 pub struct CheckedModel {
-    /// Name of the protocol.
+    /// Name of the checked property.
     pub name: &'static str,
-    /// What is in the model.
+    /// Description of the bounds.
     pub bounds: &'static str,
-    /// The rules in force.
+    /// The model with all rules enabled.
     pub sound: Mutant,
-    /// One rule broken each.
+    /// Models with one rule disabled.
     pub mutants: Vec<Mutant>,
 }
 
-/// All models; `large` takes the bounds of the release run instead of those of the tests.
+/// Returns all models; `large` selects the bounds of a release run instead of those of the tests.
 pub fn all_models(large: bool) -> Vec<CheckedModel> {
     vec![
-        once_model(),
+        at_most_once_model(),
         unkeyed_model(),
         pair_switch_model(large),
         group_switch_model(large),
         adoption_model(),
-        forward_model(large),
+        roll_forward_model(large),
         held_model(),
         epoch_model(),
         relay_model(),
@@ -67,9 +67,9 @@
     ]
 }
 
-fn once_model() -> CheckedModel {
+fn at_most_once_model() -> CheckedModel {
     let searcher = |gate, claim| {
-        let bounds = once::OnceModel {
+        let bounds = at_most_once::AtMostOnceModel {
             gate,
             claim,
             tries: 2,
@@ -83,8 +83,8 @@
     let mutant = |rule, gate, claim| Mutant::new(rule, searcher(gate, claim));
     let (gate, claim) = (GateRules::SOUND, ClaimRules::SOUND);
     CheckedModel {
-        name: "at most once, true not-run",
-        bounds: "2 tries of 1 key, each at an entry of its own that may die, 2 targets, 1 target crash, 1 late or lost \
+        name: "at most once, and not-run reports are true",
+        bounds: "2 tries of 1 key, each at its own entry that may crash, 2 targets, 1 target crash, 1 late or lost \
                  write, 1 lost, late or repeated offer, 1 refusal",
         sound: mutant("none", gate, claim),
         mutants: vec![
@@ -96,7 +96,7 @@
             mutant("a refusal does not spend the ticket", GateRules { refusal_spends: false, ..gate }, claim),
             mutant("a run is not remembered", GateRules { remember_runs: false, ..gate }, claim),
             mutant(
-                "not-run is said without closing the row",
+                "not-run is reported without closing the row",
                 gate,
                 ClaimRules { close_before_not_run: false, ..claim },
             ),
@@ -110,22 +110,30 @@
                 gate,
                 ClaimRules { same_ticket_after_loss: false, ..claim },
             ),
-            mutant("a lost race is taken for won", gate, ClaimRules { conditional_move: false, ..claim }),
+            mutant(
+                "a lost write race is treated as won",
+                gate,
+                ClaimRules { conditional_move: false, ..claim },
+            ),
         ],
     }
 }
 
 fn unkeyed_model() -> CheckedModel {
-    let mutant = |rule, rules, honest| {
-        Mutant::new(rule, move |limit| search(&unkeyed::UnkeyedModel { rules, honest }, limit))
+    let mutant = |rule, rules, lost_may_have_run| {
+        Mutant::new(rule, move |limit| search(&unkeyed::UnkeyedModel { rules, lost_may_have_run }, limit))
     };
     CheckedModel {
-        name: "never-repeated without a key",
+        name: "no repeated run without a key",
         bounds: "1 entry, 2 targets, every offer lost, refused, or its answer lost",
         sound: mutant("none", RetryRules::SOUND, true),
         mutants: vec![
-            mutant("what may have run is tried again", RetryRules { never_after_unknown: false }, true),
-            mutant("not-run is said of a lost answer", RetryRules::SOUND, false),
+            mutant(
+                "an attempt that may have run is retried",
+                RetryRules { never_after_unknown: false },
+                true,
+            ),
+            mutant("not-run is reported for a lost answer", RetryRules::SOUND, false),
         ],
     }
 }
@@ -139,15 +147,18 @@
     };
     let sound = SwitchRules::SOUND;
     let mut mutants = vec![
-        mutant("a promise is not kept", SwitchRules { keep_promise: false, ..sound }),
-        mutant("commit with one rank fewer than all", SwitchRules { all_armed: false, ..sound }),
-        mutant("an armed rank steps on", SwitchRules { hold_armed: false, ..sound }),
-        mutant("a later leader does not finish a commit", SwitchRules { finish_commit: false, ..sound }),
-        mutant("a switch before the last took effect", SwitchRules { one_switch_at_a_time: false, ..sound }),
+        mutant("a promise is broken", SwitchRules { keep_promise: false, ..sound }),
+        mutant("commit with one rank not armed", SwitchRules { all_armed: false, ..sound }),
+        mutant("an armed rank does not hold", SwitchRules { hold_armed: false, ..sound }),
+        mutant("a later leader does not complete a commit", SwitchRules { finish_commit: false, ..sound }),
+        mutant(
+            "a switch before the last one took effect",
+            SwitchRules { one_switch_at_a_time: false, ..sound },
+        ),
     ];
     if restarts > 0 {
         let forgetful = SwitchRules { promise_outlives_restart: false, ..sound };
-        mutants.push(mutant("a restart forgets its promise", forgetful));
+        mutants.push(mutant("a restart loses the promise", forgetful));
     }
     CheckedModel { name, bounds, sound: mutant("none", sound), mutants }
 }
@@ -162,20 +173,22 @@
 fn pair_switch_model(large: bool) -> CheckedModel {
     let name = "one expert map per step, 2 ranks";
     if large {
-        let bounds = "2 ranks, 2 leaders, 3 steps, 1 restart beside a rank, late, lost and repeated messages";
+        let bounds =
+            "2 ranks, 2 leaders, 3 steps, 1 restart beside a rank, delayed, lost and repeated messages";
         return switch_model(name, bounds, SwitchShape { ranks: 2, steps: 3, restarts: 1 });
     }
-    let bounds = "2 ranks, 2 leaders, 2 steps, 1 restart beside a rank, late, lost and repeated messages";
+    let bounds = "2 ranks, 2 leaders, 2 steps, 1 restart beside a rank, delayed, lost and repeated messages";
     switch_model(name, bounds, SwitchShape { ranks: 2, steps: 2, restarts: 1 })
 }
 
 fn group_switch_model(large: bool) -> CheckedModel {
     let name = "one expert map per step, 3 ranks";
     if large {
-        let bounds = "3 ranks, 2 leaders, 1 step, 1 restart beside a rank, late, lost and repeated messages";
+        let bounds =
+            "3 ranks, 2 leaders, 1 step, 1 restart beside a rank, delayed, lost and repeated messages";
         return switch_model(name, bounds, SwitchShape { ranks: 3, steps: 1, restarts: 1 });
     }
-    let bounds = "3 ranks, 2 leaders, 1 step, no restart, late, lost and repeated messages";
+    let bounds = "3 ranks, 2 leaders, 1 step, no restart, delayed, lost and repeated messages";
     switch_model(name, bounds, SwitchShape { ranks: 3, steps: 1, restarts: 0 })
 }
 
@@ -187,7 +200,7 @@
     };
     CheckedModel {
         name: "configuration never reverts",
-        bounds: "2 processes, 3 edits of 2 rows, 1 restart, late, lost and repeated changes from table and peers",
+        bounds: "2 processes, 3 edits of 2 rows, 1 restart, delayed, lost and repeated changes from table and peers",
         sound: mutant("none", AdoptRules::SOUND),
         mutants: vec![
             mutant("an older revision is adopted", AdoptRules { higher_only: false, ..AdoptRules::SOUND }),
@@ -196,10 +209,10 @@
     }
 }
 
-/// The bounds of the roll-forward switch.
-fn forward_bounds(large: bool) -> forward::ForwardModel {
+/// Returns the bounds of the roll-forward switch.
+fn roll_forward_bounds(large: bool) -> roll_forward::RollForwardModel {
     let ranks = if large { 3 } else { 2 };
-    forward::ForwardModel {
+    roll_forward::RollForwardModel {
         rules: RollForwardRules::SOUND,
         epochs_checked: true,
         ranks,
@@ -212,29 +225,29 @@
     }
 }
 
-fn forward_model(large: bool) -> CheckedModel {
+fn roll_forward_model(large: bool) -> CheckedModel {
     let mutant = move |rule, rules| {
         Mutant::new(rule, move |limit| {
-            search(&forward::ForwardModel { rules, ..forward_bounds(large) }, limit)
+            search(&roll_forward::RollForwardModel { rules, ..roll_forward_bounds(large) }, limit)
         })
     };
     let sound = RollForwardRules::SOUND;
     CheckedModel {
-        name: "one expert map per pass, rolled forward by orders",
-        bounds: "2 ranks (3 in the large run), 5 passes, 2 maps, 1 restart of the driver, orders lost, doubled and late \
-                 without bound",
+        name: "one expert map per pass, roll-forward switch",
+        bounds: "2 ranks (3 in the large run), 5 passes, 2 maps, 1 restart of the driver, orders lost, duplicated and \
+                 delayed without bound",
         sound: mutant("none", sound),
         mutants: vec![
             mutant(
-                "ranks are armed before the hold is read back",
+                "ranks are armed before the hold is confirmed",
                 RollForwardRules { read_back_hold: false, ..sound },
             ),
             mutant(
-                "released with one rank not read back as armed",
+                "released with one rank not confirmed as armed",
                 RollForwardRules { read_back_armed: false, ..sound },
             ),
             mutant(
-                "released because no rank was seen armed",
+                "released because no rank was reported armed",
                 RollForwardRules { never_give_up: false, ..sound },
             ),
         ],
@@ -242,31 +255,34 @@
 }
 
 fn held_model() -> CheckedModel {
-    let bounds = forward::ForwardModel { restarts: 2, ..forward_bounds(false) };
+    let bounds = roll_forward::RollForwardModel { restarts: 2, ..roll_forward_bounds(false) };
     let mutant = move |rule, rules| {
         Mutant::new(rule, move |limit| {
-            forward::search_held(&forward::ForwardModel { rules, ..bounds }, limit)
+            roll_forward::search_held(&roll_forward::RollForwardModel { rules, ..bounds }, limit)
         })
     };
     let sound = RollForwardRules::SOUND;
     CheckedModel {
-        name: "a held group goes on, whatever is late",
-        bounds: "2 ranks, 5 passes, 2 maps, 2 restarts of the driver, orders lost, doubled and late without bound",
+        name: "a held group can always continue",
+        bounds: "2 ranks, 5 passes, 2 maps, 2 restarts of the driver, orders lost, duplicated and delayed without bound",
         sound: mutant("none", sound),
         mutants: vec![
             mutant(
-                "a prepare names no number of orders",
+                "a prepare does not name the number of orders",
                 RollForwardRules { prepare_precondition: false, ..sound },
             ),
-            mutant("a hold that is found is left", RollForwardRules { take_over_hold: false, ..sound }),
+            mutant("an existing hold is ignored", RollForwardRules { take_over_hold: false, ..sound }),
             mutant(
                 "held again for a map that is in use",
                 RollForwardRules { one_switched_is_all: false, ..sound },
             ),
-            // With single reports there are more states than fit; the shortest way to the fault needs none.
-            Mutant::new("prepared before old holds have ended", move |limit| {
+            // Reads of single ranks would exceed the limit of states, and the shortest path to the violation needs none.
+            Mutant::new("prepared before old holds have expired", move |limit| {
                 let rules = RollForwardRules { wait_out_old_holds: false, ..sound };
-                forward::search_held(&forward::ForwardModel { rules, single_reads: false, ..bounds }, limit)
+                roll_forward::search_held(
+                    &roll_forward::RollForwardModel { rules, single_reads: false, ..bounds },
+                    limit,
+                )
             }),
         ],
     }
@@ -274,19 +290,20 @@
 
 fn epoch_model() -> CheckedModel {
     let mutant = |rule, epochs_checked| {
-        let bounds = forward::ForwardModel { formations: 1, epochs_checked, ..forward_bounds(false) };
+        let bounds =
+            roll_forward::RollForwardModel { formations: 1, epochs_checked, ..roll_forward_bounds(false) };
         Mutant::new(rule, move |limit| search(&bounds, limit))
     };
     CheckedModel {
         name: "a new formation of the group ends a switch",
-        bounds: "2 ranks, 5 passes, 2 maps, 1 restart of the driver, 1 new formation, orders lost, doubled and late without bound",
+        bounds: "2 ranks, 5 passes, 2 maps, 1 restart of the driver, 1 new formation, orders lost, duplicated and delayed without bound",
         sound: mutant("none", true),
-        mutants: vec![mutant("an order of an earlier formation is carried out", false)],
+        mutants: vec![mutant("an order of an earlier formation is executed", false)],
     }
 }
 
-fn relay_bounds(relay: forward::RelayRules) -> forward::ForwardModel {
-    forward::ForwardModel {
+fn relay_bounds(relay: roll_forward::RelayRules) -> roll_forward::RollForwardModel {
+    roll_forward::RollForwardModel {
         ranks: 3,
         steps: 4,
         plans: 1,
@@ -294,51 +311,56 @@
         formations: 1,
         single_reads: false,
         relay: Some(relay),
-        ..forward_bounds(false)
+        ..roll_forward_bounds(false)
     }
 }
 
 fn relay_model() -> CheckedModel {
     let mutant = |rule, relay| Mutant::new(rule, move |limit| search(&relay_bounds(relay), limit));
-    let sound = forward::RelayRules::SOUND;
+    let sound = roll_forward::RelayRules::SOUND;
     CheckedModel {
         name: "a group reached through a relay",
-        bounds: "3 ranks, two of them through a relay that reads in any order, answers in part and begins anew; 4 passes, 1 map, \
-                 1 new formation, orders lost, doubled and late without bound",
+        bounds: "3 ranks, two of them through a relay that reads in any order, answers partially and restarts; 4 passes, 1 map, \
+                 1 new formation, orders lost, duplicated and delayed without bound",
         sound: mutant("none", sound),
-        mutants: vec![mutant("a rank counts twice", forward::RelayRules { ranks_named: false, ..sound })],
+        mutants: vec![mutant(
+            "one rank's state counts for all",
+            roll_forward::RelayRules { ranks_named: false, ..sound },
+        )],
     }
 }
 
-/// A relay that passed an order of an earlier formation on as one of the present would do what an engine does that does not
-/// look at the formation: see the mutant of [`epoch_model`].
+/// A relay that forwards an order of an earlier formation as a current one is equivalent to an engine that does not check
+/// the formation; the mutant of [`epoch_model`] covers it.
 fn relay_formation_model() -> CheckedModel {
     let mutant = |rule, relay| {
-        let bounds =
-            forward::ForwardModel { ranks: 2, steps: 5, plans: 2, restarts: 1, ..relay_bounds(relay) };
+        let bounds = roll_forward::RollForwardModel {
+            ranks: 2,
+            steps: 5,
+            plans: 2,
+            restarts: 1,
+            ..relay_bounds(relay)
+        };
         Mutant::new(rule, move |limit| search(&bounds, limit))
     };
-    // Old answers of the same formation are harmless: whatever the driver is told may be old.
-    let sound = forward::RelayRules { answers_repeat: true, ..forward::RelayRules::SOUND };
+    // Old answers of the same formation are harmless, because any report to the driver may be old.
+    let sound = roll_forward::RelayRules { answers_repeat: true, ..roll_forward::RelayRules::SOUND };
     CheckedModel {
-        name: "a new formation of a group that is reached through a relay",
-        bounds: "2 ranks, one of them through a relay whose earlier answers may come again; 5 passes, 2 maps, 1 restart of the \
-                 driver, 1 new formation, orders lost, doubled and late without bound",
+        name: "a new formation of a group reached through a relay",
+        bounds: "2 ranks, one of them through a relay whose earlier answers may be repeated; 5 passes, 2 maps, 1 restart of the \
+                 driver, 1 new formation, orders lost, duplicated and delayed without bound",
         sound: mutant("none", sound),
-        mutants: vec![Mutant::new(
-            "an earlier answer is trusted, which says only that its ranks are armed",
-            move |limit| {
-                let relay = forward::RelayRules { states_verbatim: false, ..sound };
-                // Two switches need more passes, and neither restarts nor formations.
-                let bounds = forward::ForwardModel {
-                    ranks: 2,
-                    steps: 8,
-                    plans: 2,
-                    formations: 0,
-                    ..relay_bounds(relay)
-                };
-                search(&bounds, limit)
-            },
-        )],
+        mutants: vec![Mutant::new("an earlier answer without maps and passes is trusted", move |limit| {
+            let relay = roll_forward::RelayRules { states_verbatim: false, ..sound };
+            // Two switches need more passes, but no restarts and no new formations.
+            let bounds = roll_forward::RollForwardModel {
+                ranks: 2,
+                steps: 8,
+                plans: 2,
+                formations: 0,
+                ..relay_bounds(relay)
+            };
+            search(&bounds, limit)
+        })],
     }
 }
--- a/crates/porthoist-spec/src/models/adoption.rs
+++ b/crates/porthoist-spec/src/models/adoption.rs
@@ -1,6 +1,6 @@
-//! Two processes that adopt configuration from the table's feed and from each other.
+//! Model of two processes that adopt configuration from the table's change feed and from each other.
 //!
-//! Changes may arrive late, again or never, and a process may restart without memory.
+//! Changes may be delayed, repeated or lost, and a process may restart without its state.
 
 use crate::search::{EventVisitor, ProtocolModel};
 use porthoist_policy::adoption::{AdoptRules, ConfigChange, ConfigState};
@@ -9,37 +9,37 @@
 
 const PROCESSES: usize = 2;
 
-/// The model's bounds and rules.
+/// Bounds and rules of the model.
 #[derive(Debug, Clone, Copy)]
 pub struct AdoptionModel {
-    /// The protocol's rules.
+    /// Rules of adoption.
     pub rules: AdoptRules,
-    /// Edits of operators.
+    /// Revision after the operators' last edit.
     pub edits: u64,
-    /// Restarts of processes.
+    /// Maximum number of process restarts.
     pub restarts: u8,
 }
 
-/// A change on its way, as since, revision and rows by name.
+/// A change in transit: base revision, revision, and rows by number.
 type SentChange = (u64, u64, Vec<(u8, u64)>);
 
-/// Everything in the model.
+/// State of the model.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct AdoptionState {
     revision: u64,
     processes: Vec<ConfigState<u64>>,
-    /// The highest revision that each process had in force in this life.
+    /// Highest revision that each process has had in force since its last restart.
     highest: Vec<u64>,
     sent: Vec<(usize, SentChange)>,
     restarts: u8,
 }
 
-/// The row that an edit writes: rows take turns, and the value is the revision.
+/// Returns the row that an edit writes. Edits alternate between two rows, and the value is the revision.
 fn edited_row(revision: u64) -> u8 {
     (revision % 2) as u8
 }
 
-/// The rows in the table at a revision.
+/// Returns the rows in the table at a revision.
 fn rows_at(revision: u64) -> BTreeMap<u8, u64> {
     (1..=revision).map(|edit| (edited_row(edit), edit)).collect()
 }
@@ -54,7 +54,7 @@
     ConfigChange { since: *since, revision: *revision, rows }
 }
 
-fn feed(since: u64, revision: u64) -> SentChange {
+fn change_since(since: u64, revision: u64) -> SentChange {
     let rows = rows_at(revision).into_iter().filter(|(_row, edit)| *edit > since).collect();
     (since, revision, rows)
 }
@@ -80,10 +80,10 @@
         }
         for process in 0..PROCESSES {
             let own = state.processes[process].revision();
-            let told_by_table = feed(own, state.revision);
+            let from_table = change_since(own, state.revision);
             let other = state.processes[1 - process].revision();
-            let told_by_peer = feed(own.min(other), other);
-            for (source, sent) in [("the table", told_by_table), ("the other", told_by_peer)] {
+            let from_peer = change_since(own.min(other), other);
+            for (source, sent) in [("the table", from_table), ("the other", from_peer)] {
                 let message = (process, sent);
                 if message.1.1 == 0 || state.sent.contains(&message) {
                     continue;
@@ -91,14 +91,14 @@
                 let mut next = state.clone();
                 next.sent.push(message);
                 next.sent.sort();
-                visit(format_args!("{source} tells process {process} the change since {own}"), next);
+                visit(format_args!("{source} sends process {process} the change since {own}"), next);
             }
             if state.restarts < self.restarts {
                 let mut next = state.clone();
                 next.restarts += 1;
                 next.processes[process] = ConfigState::with_rules(self.rules);
                 next.highest[process] = 0;
-                visit(format_args!("process {process} restarts without memory"), next);
+                visit(format_args!("process {process} restarts without its state"), next);
             }
         }
         for (process, sent) in &state.sent {
@@ -106,7 +106,7 @@
             next.processes[*process].adopt(change(sent));
             let revision = next.processes[*process].revision();
             next.highest[*process] = next.highest[*process].max(revision);
-            visit(format_args!("process {process} hears {sent:?}"), next);
+            visit(format_args!("process {process} receives {sent:?}"), next);
         }
     }
 
@@ -118,7 +118,10 @@
             let expected: BTreeMap<RowKey, u64> =
                 rows_at(config.revision()).into_iter().map(|(row, value)| (key(row), value)).collect();
             if *config.rows() != expected {
-                return Some(format!("process {process} has other rows than revision {}", config.revision()));
+                return Some(format!(
+                    "process {process} has different rows than revision {}",
+                    config.revision()
+                ));
             }
         }
         None
--- a/crates/porthoist-spec/src/models/once.rs
+++ b/crates/porthoist-spec/src/models/at_most_once.rs
@@ -1,8 +1,8 @@
-//! One key, claimed in the table and run under tickets, by two entries at two targets.
+//! Model of one idempotency key that two entries claim in the table and run under tickets at two targets.
 //!
-//! Each try of the caller has an entry of its own, which may stop for ever at any point: that is its crash. Offers
-//! may be lost, late or repeated; answers may be lost; a write may take effect late or without an answer; targets
-//! crash without memory; each refusal of a queue is possible at each offer.
+//! Each try of the caller uses its own entry, which may stop forever at any point; that models a crash. Offers may be
+//! lost, delayed or repeated, and answers may be lost. A write may take effect late or without a response. Targets restart
+//! without their state, and a queue may refuse any offer.
 
 use crate::search::{EventVisitor, ProtocolModel};
 use porthoist_core::{IncarnationId, RefusalReason, RunVerdict, UnixDeadline, UnixMillis};
@@ -15,7 +15,7 @@
 const TARGETS: usize = 2;
 const GATE_CAPACITY: usize = 16;
 
-/// A ticket: target, incarnation and sequence.
+/// A ticket of the model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ModelTicket {
     target: usize,
@@ -35,9 +35,9 @@
     row: ClaimRow<ModelTicket>,
 }
 
-/// Everything in the model.
+/// State of the model.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct OnceState {
+pub struct AtMostOnceState {
     row: Option<VersionedClaim<ModelTicket>>,
     revision: u64,
     late_writes: Vec<LateWrite>,
@@ -47,38 +47,38 @@
     entries: Vec<Option<EntryTry>>,
     refusals: u8,
     lost_offers: u8,
-    /// Offers that nobody waits for any more; they may arrive at any time, once or more.
-    stray: Vec<ModelTicket>,
+    /// Offers that no entry waits for; they may arrive at any time, more than once.
+    orphaned_offers: Vec<ModelTicket>,
     runs: u8,
-    not_run_said: bool,
+    not_run_reported: bool,
 }
 
-/// The model's bounds and rules.
+/// Bounds and rules of the model.
 #[derive(Debug, Clone, Copy)]
-pub struct OnceModel {
-    /// The gates' rules.
+pub struct AtMostOnceModel {
+    /// Rules of the gates.
     pub gate: GateRules,
-    /// The claims' rules.
+    /// Rules of the claims.
     pub claim: ClaimRules,
-    /// Tries of the caller, through any entry.
+    /// Maximum number of tries by the caller, each through its own entry.
     pub tries: usize,
-    /// Crashes of targets.
+    /// Maximum number of target crashes.
     pub crashes: u8,
-    /// Writes that take effect without an answer, late, or not at all.
+    /// Maximum number of table calls without a response, including writes that take effect late or never.
     pub lost_writes: u8,
-    /// Offers whose answer is lost, or that arrive late or never.
+    /// Maximum number of offers whose answer is lost, or that arrive late or never.
     pub lost_offers: u8,
-    /// Refusals by a target's queue, and tickets that can't be had.
+    /// Maximum number of refusals: by a target's queue, or of a ticket.
     pub refusals: u8,
 }
 
-impl OnceModel {
+impl AtMostOnceModel {
     fn gate(&self, target: usize, life: u64) -> GateMachine {
         let incarnation = IncarnationId(target as u64 * 16 + life);
         GateMachine::with_rules(incarnation, GATE_CAPACITY, self.gate)
     }
 
-    fn starts(&self, state: &OnceState, visit: EventVisitor<'_, OnceState>) {
+    fn start_events(&self, state: &AtMostOnceState, visit: EventVisitor<'_, AtMostOnceState>) {
         if state.entries.len() >= self.tries {
             return;
         }
@@ -87,60 +87,60 @@
         let writer = (entry as u64 + 1) << 8;
         let (machine, action) = ClaimMachine::start(FINGERPRINT, writer, self.claim);
         next.entries.push(Some(EntryTry { machine, action }));
-        visit(format_args!("a try comes to entry {entry}"), next);
+        visit(format_args!("entry {entry} receives a try"), next);
     }
 
-    fn crashes(&self, state: &OnceState, visit: EventVisitor<'_, OnceState>) {
+    fn crashes(&self, state: &AtMostOnceState, visit: EventVisitor<'_, AtMostOnceState>) {
         if state.crashes >= self.crashes {
             return;
         }
         for target in 0..TARGETS {
-            // A target without memory has nothing to lose.
-            if state.gates[target].remembered() == 0 {
+            // A target without records loses nothing.
+            if state.gates[target].record_count() == 0 {
                 continue;
             }
             let mut next = state.clone();
             next.crashes += 1;
             next.gates[target] = self.gate(target, u64::from(next.crashes));
-            visit(format_args!("target {target} restarts without memory"), next);
+            visit(format_args!("target {target} restarts without its state"), next);
         }
     }
 
-    fn entry_events(&self, state: &OnceState, entry: usize, visit: EventVisitor<'_, OnceState>) {
-        let Some(own) = &state.entries[entry] else { return };
-        match own.action.clone() {
+    fn entry_events(&self, state: &AtMostOnceState, entry: usize, visit: EventVisitor<'_, AtMostOnceState>) {
+        let Some(current) = &state.entries[entry] else { return };
+        match current.action.clone() {
             ClaimAction::Mint => self.mint(state, entry, visit),
             ClaimAction::Write { expected, row } => self.write(state, entry, expected, &row, visit),
             ClaimAction::Read => {
                 let found = state.row.clone();
                 visit(
                     format_args!("entry {entry} reads the row"),
-                    told(state, entry, ClaimEvent::Read(found)),
+                    handle_event(state, entry, ClaimEvent::Read(found)),
                 );
                 if state.lost_writes < self.lost_writes {
                     let mut next = state.clone();
                     next.lost_writes += 1;
-                    let label = format_args!("entry {entry} reads in vain");
-                    visit(label, told(&next, entry, ClaimEvent::TableUnavailable));
+                    let label = format_args!("entry {entry} reads the row without a response");
+                    visit(label, handle_event(&next, entry, ClaimEvent::TableUnavailable));
                 }
             }
             ClaimAction::Offer(ticket) => self.offer(state, entry, ticket, visit),
-            // These are taken by `told` as soon as they are due.
+            // `handle_event` executes these immediately.
             ClaimAction::Answer | ClaimAction::Refuse(..) => {}
         }
     }
 
     fn offer(
         &self,
-        state: &OnceState,
+        state: &AtMostOnceState,
         entry: usize,
         ticket: ModelTicket,
-        visit: EventVisitor<'_, OnceState>,
+        visit: EventVisitor<'_, AtMostOnceState>,
     ) {
         for admitted in self.admissions(state) {
             let mut next = state.clone();
-            let event = arrive(&mut next, ticket, admitted);
-            let next = told(&next, entry, event.clone());
+            let event = deliver_offer(&mut next, ticket, admitted);
+            let next = handle_event(&next, entry, event.clone());
             visit(format_args!("entry {entry} offers {ticket:?}, admitted {admitted}: {event:?}"), next);
         }
         if state.lost_offers >= self.lost_offers {
@@ -148,23 +148,23 @@
         }
         let mut lost = state.clone();
         lost.lost_offers += 1;
-        if !lost.stray.contains(&ticket) {
-            lost.stray.push(ticket);
-            lost.stray.sort_unstable();
+        if !lost.orphaned_offers.contains(&ticket) {
+            lost.orphaned_offers.push(ticket);
+            lost.orphaned_offers.sort_unstable();
         }
-        let label = format_args!("entry {entry} offers {ticket:?} and hears nothing");
-        visit(label, told(&lost, entry, ClaimEvent::OfferLost));
+        let label = format_args!("entry {entry} offers {ticket:?} and gets no answer");
+        visit(label, handle_event(&lost, entry, ClaimEvent::OfferLost));
     }
 
-    /// Whether the queue admits an offer; it refuses within the bound.
-    fn admissions(&self, state: &OnceState) -> impl Iterator<Item = bool> + use<> {
+    /// Returns the possible decisions of a queue on an offer; refusals are bounded.
+    fn admissions(&self, state: &AtMostOnceState) -> impl Iterator<Item = bool> + use<> {
         let may_refuse = state.refusals < self.refusals;
         [true, false].into_iter().filter(move |admitted| *admitted || may_refuse)
     }
 
-    fn mint(&self, state: &OnceState, entry: usize, visit: EventVisitor<'_, OnceState>) {
-        // The targets are alike, so that the first ticket may as well be of the first.
-        let untouched = state.gates.iter().all(|gate| gate.remembered() == 0) && state.crashes == 0;
+    fn mint(&self, state: &AtMostOnceState, entry: usize, visit: EventVisitor<'_, AtMostOnceState>) {
+        // The targets are symmetric, so the first ticket always comes from the first target.
+        let untouched = state.gates.iter().all(|gate| gate.record_count() == 0) && state.crashes == 0;
         let targets = if untouched { 1 } else { TARGETS };
         for target in 0..targets {
             let mut minted = state.clone();
@@ -172,44 +172,48 @@
             let Some(sequence) = gate.mint(NOW, DEADLINE) else { continue };
             let ticket = ModelTicket { target, incarnation: gate.incarnation(), sequence };
             let label = format_args!("entry {entry} gets {ticket:?}");
-            visit(label, told(&minted, entry, ClaimEvent::Minted(ticket)));
+            visit(label, handle_event(&minted, entry, ClaimEvent::Minted(ticket)));
         }
         if state.refusals < self.refusals {
             let mut next = state.clone();
             next.refusals += 1;
             let none = ClaimEvent::MintFailed(RefusalReason::NoTarget);
-            visit(format_args!("entry {entry} gets no ticket"), told(&next, entry, none));
+            visit(format_args!("entry {entry} gets no ticket"), handle_event(&next, entry, none));
         }
     }
 
     fn write(
         self,
-        state: &OnceState,
+        state: &AtMostOnceState,
         entry: usize,
         expected: Option<u64>,
         row: &ClaimRow<ModelTicket>,
-        visit: EventVisitor<'_, OnceState>,
+        visit: EventVisitor<'_, AtMostOnceState>,
     ) {
         let mut applied = state.clone();
         let event = apply(&mut applied, expected, row);
-        let next = told(&applied, entry, event.clone());
+        let next = handle_event(&applied, entry, event.clone());
         visit(format_args!("entry {entry} writes {:?}: {event:?}", row.state), next);
         if state.lost_writes >= self.lost_writes {
             return;
         }
         applied.lost_writes += 1;
-        let label = format_args!("entry {entry} writes {:?}, the answer is lost", row.state);
-        visit(label, told(&applied, entry, ClaimEvent::TableUnavailable));
+        let label = format_args!("entry {entry} writes {:?}, the response is lost", row.state);
+        visit(label, handle_event(&applied, entry, ClaimEvent::TableUnavailable));
         let mut late = state.clone();
         late.lost_writes += 1;
         late.late_writes.push(LateWrite { expected, row: row.clone() });
-        let label = format_args!("entry {entry} writes {:?}, which may come late or never", row.state);
-        visit(label, told(&late, entry, ClaimEvent::TableUnavailable));
+        let label = format_args!("entry {entry} writes {:?}, which takes effect late or never", row.state);
+        visit(label, handle_event(&late, entry, ClaimEvent::TableUnavailable));
     }
 }
 
-/// An offer arrives at its target, and what the target says.
-fn arrive(state: &mut OnceState, ticket: ModelTicket, admitted: bool) -> ClaimEvent<ModelTicket> {
+/// Delivers an offer to its target and returns the target's response.
+fn deliver_offer(
+    state: &mut AtMostOnceState,
+    ticket: ModelTicket,
+    admitted: bool,
+) -> ClaimEvent<ModelTicket> {
     let key = GateKey::Ticket(ticket.sequence);
     let offer =
         GateOffer { key, incarnation: ticket.incarnation, fingerprint: FINGERPRINT, deadline: DEADLINE };
@@ -234,7 +238,7 @@
 }
 
 fn apply(
-    state: &mut OnceState,
+    state: &mut AtMostOnceState,
     expected: Option<u64>,
     row: &ClaimRow<ModelTicket>,
 ) -> ClaimEvent<ModelTicket> {
@@ -247,27 +251,27 @@
     ClaimEvent::Written(state.revision)
 }
 
-/// The entry's machine takes an event; an answer or refusal goes out at once.
-fn told(state: &OnceState, entry: usize, event: ClaimEvent<ModelTicket>) -> OnceState {
+/// Passes an event to the entry's state machine; an answer or a refusal ends the try immediately.
+fn handle_event(state: &AtMostOnceState, entry: usize, event: ClaimEvent<ModelTicket>) -> AtMostOnceState {
     let mut next = state.clone();
-    let Some(own) = &mut next.entries[entry] else { return next };
-    let Some(action) = own.machine.on(event) else { return next };
+    let Some(current) = &mut next.entries[entry] else { return next };
+    let Some(action) = current.machine.on(event) else { return next };
     match action {
         ClaimAction::Answer => next.entries[entry] = None,
         ClaimAction::Refuse(_reason, verdict) => {
             next.entries[entry] = None;
-            next.not_run_said |= verdict == RunVerdict::NotRun;
+            next.not_run_reported |= verdict == RunVerdict::NotRun;
         }
-        action => own.action = action,
+        action => current.action = action,
     }
     next
 }
 
-impl ProtocolModel for OnceModel {
-    type State = OnceState;
+impl ProtocolModel for AtMostOnceModel {
+    type State = AtMostOnceState;
 
-    fn initial(&self) -> OnceState {
-        OnceState {
+    fn initial(&self) -> AtMostOnceState {
+        AtMostOnceState {
             row: None,
             revision: 0,
             late_writes: Vec::new(),
@@ -277,14 +281,14 @@
             entries: Vec::new(),
             refusals: 0,
             lost_offers: 0,
-            stray: Vec::new(),
+            orphaned_offers: Vec::new(),
             runs: 0,
-            not_run_said: false,
+            not_run_reported: false,
         }
     }
 
-    fn successors(&self, state: &OnceState, visit: EventVisitor<'_, OnceState>) {
-        self.starts(state, visit);
+    fn successors(&self, state: &AtMostOnceState, visit: EventVisitor<'_, AtMostOnceState>) {
+        self.start_events(state, visit);
         self.crashes(state, visit);
         for entry in 0..state.entries.len() {
             self.entry_events(state, entry, visit);
@@ -295,19 +299,20 @@
             apply(&mut next, late.expected, &late.row);
             visit(format_args!("a late write arrives: {:?}", late.row.state), next);
         }
-        for ticket in &state.stray {
+        for ticket in &state.orphaned_offers {
             for admitted in self.admissions(state) {
                 let mut next = state.clone();
-                arrive(&mut next, *ticket, admitted);
+                deliver_offer(&mut next, *ticket, admitted);
                 visit(format_args!("{ticket:?} arrives late or again, admitted {admitted}"), next);
             }
         }
     }
 
-    fn violation(&self, state: &OnceState) -> Option<String> {
+    fn violation(&self, state: &AtMostOnceState) -> Option<String> {
         if state.runs > 1 {
             return Some("the request ran twice".to_owned());
         }
-        (state.not_run_said && state.runs > 0).then(|| "not-run was said, yet it ran".to_owned())
+        (state.not_run_reported && state.runs > 0)
+            .then(|| "not-run was reported, but the request ran".to_owned())
     }
 }
--- a/crates/porthoist-spec/src/models/forward.rs
+++ b/crates/porthoist-spec/src/models/roll_forward.rs
@@ -1,11 +1,11 @@
-//! A group whose engines hold, arm and switch by orders that may be lost, doubled or late without bound.
+//! Model of a group whose engines hold, arm and switch by orders that may be lost, duplicated or delayed without bound.
 //!
-//! The driver is the daemon's own. Its reports are read rank by rank while the group goes on; once it switches, a single
-//! rank's report, as it comes with an answer to an order, is enough for it to act beside older reports of the others.
-//! It may die at any moment; the orders of all its lives stay on their way for ever.
+//! The driver is the daemon's own. It reads the ranks one by one while the group continues to run. During a switch it also
+//! acts on the report of a single rank, as in a response to an order, together with older reports of the others. It may
+//! crash at any time; the orders of all its runs stay in transit forever.
 //!
-//! The other ranks may be read and ordered through a relay, which reads them in any order, answers without some of them, and
-//! may begin anew at any moment. Orders on their way are lost, doubled, delayed and reordered there as anywhere.
+//! Ranks other than the first may be reached through a relay, which reads them in any order, may answer without some of
+//! them, and may restart at any time. Orders through the relay are lost, duplicated, delayed and reordered like others.
 
 use crate::search::{EventVisitor, ProtocolModel, SearchReport};
 use porthoist_policy::roll_forward::{
@@ -14,46 +14,46 @@
 use porthoist_policy::switch::{MapVersion, StepNumber};
 use std::collections::{BTreeSet, HashMap, HashSet};
 
-/// The model's bounds and rules.
+/// Bounds and rules of the model.
 #[derive(Debug, Clone, Copy)]
-pub struct ForwardModel {
-    /// The driver's rules.
+pub struct RollForwardModel {
+    /// Rules of the driver.
     pub rules: RollForwardRules,
-    /// Whether engines look at the epoch of an order.
+    /// Whether engines check the epoch of an order.
     pub epochs_checked: bool,
-    /// Ranks in the group.
+    /// Number of ranks in the group.
     pub ranks: usize,
-    /// Passes that the group begins.
+    /// Maximum number of passes.
     pub steps: u32,
-    /// Maps that are planned.
+    /// Maximum number of planned maps.
     pub plans: u8,
-    /// Restarts of the driver.
+    /// Maximum number of driver restarts.
     pub restarts: u8,
-    /// New formations of the group.
+    /// Maximum number of new formations.
     pub formations: u8,
-    /// Whether the driver acts on single ranks' reports while it switches.
+    /// Whether the driver acts on reports of single ranks during a switch.
     pub single_reads: bool,
-    /// How the other ranks are reached through a relay; nothing if each is asked straight.
+    /// Behaviour of the relay to the other ranks; `None` if each rank is reached directly.
     pub relay: Option<RelayRules>,
 }
 
-/// What a relay may do, and rules that the model checker breaks one at a time.
+/// Behaviour of a relay, and rules that the model checker disables one at a time.
 #[derive(Debug, Clone, Copy)]
 pub struct RelayRules {
-    /// An earlier answer may come again for a later question.
+    /// An earlier answer may be repeated for a later query.
     pub answers_repeat: bool,
-    /// States in an answer name their formation, and the map and pass that a rank is armed for.
+    /// States in an answer contain their formation, and the map and pass that the rank is armed for.
     pub states_verbatim: bool,
-    /// Each state in an answer stands for the rank that it is of.
+    /// Each state in an answer is attributed to its own rank.
     pub ranks_named: bool,
 }
 
 impl RelayRules {
-    /// The rules in force.
+    /// All rules enabled.
     pub const SOUND: Self = Self { answers_repeat: false, states_verbatim: true, ranks_named: true };
 }
 
-/// One rank's engine.
+/// State of one rank's engine.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct EngineRank {
     sequence: OrderSequence,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Carries an order out, or refuses it.
+    /// Executes or refuses an order.
     fn order(&mut self, order: EngineOrder, step: StepNumber, precondition: bool) {
         match order {
             EngineOrder::Prepare { version, sequence, .. } => {
@@ -84,7 +84,7 @@
                 if named && version > self.highest && self.armed.is_none() {
                     self.highest = version;
                     self.prepared = Some(version);
-                    // Real engines count the other orders too, which makes more late prepares fail.
+                    // Real engines also count the other orders, so that more late prepares fail.
                     self.sequence.0 += 1;
                 }
             }
@@ -110,19 +110,19 @@
     }
 }
 
-/// Everything in the model.
+/// State of the model.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ForwardState {
+pub struct RollForwardState {
     ranks: Vec<EngineRank>,
     epoch: GroupEpoch,
     step: StepNumber,
     driver: RollForwardDriver,
     heard: Vec<RankView>,
-    /// The last report of each rank while the driver switches; else none.
+    /// Last report of each rank during a switch; otherwise empty.
     kept: Vec<RankView>,
-    /// What the relay has read for the present question, by rank but for the first.
+    /// Reports that the relay has read for the current query, by rank without the first one.
     relayed: Vec<Option<RankView>>,
-    /// An earlier whole answer of the relay, where one may come again: the last that shows an armed rank.
+    /// The last complete answer of the relay in which all its ranks are armed, if answers may be repeated.
     answered: Vec<RankView>,
     orders: BTreeSet<(usize, EngineOrder)>,
     plans: u8,
@@ -130,7 +130,7 @@
     formations: u8,
 }
 
-impl ForwardState {
+impl RollForwardState {
     fn view(&self, rank: usize) -> RankView {
         let engine = &self.ranks[rank];
         RankView {
@@ -146,7 +146,7 @@
     }
 
     fn keep_while_switching(&mut self, relayed: bool) {
-        // Through a relay, ranks may be missing at any stage of a switch.
+        // With a relay, ranks may be missing in any phase of a switch.
         let wanted = if relayed { self.driver.target().is_some() } else { self.driver.holding() };
         if !wanted {
             self.kept.clear();
@@ -158,8 +158,8 @@
     }
 }
 
-/// What is left of a rank's state where an answer says only that it is armed, and not for what.
-fn unnamed(view: &mut RankView, first: &RankView, target: Option<MapVersion>) {
+/// Completes a rank's state from an answer that contains only whether the rank is armed, not for which map and pass.
+fn assume_current_switch(view: &mut RankView, first: &RankView, target: Option<MapVersion>) {
     let (Some(version), Some(step), Some(_armed)) = (target, first.held, view.armed) else { return };
     view.epoch = first.epoch;
     view.prepared = Some(version);
@@ -175,14 +175,14 @@
     }
 }
 
-impl ForwardModel {
-    /// A version from a clock that goes back when the driver restarts.
-    fn fresh(state: &ForwardState) -> MapVersion {
+impl RollForwardModel {
+    /// Returns a version from a clock that is set back when the driver restarts.
+    fn version_from_clock(state: &RollForwardState) -> MapVersion {
         let clock = 10 * u32::from(state.plans);
         MapVersion(if state.restarts == 0 { clock } else { 0 })
     }
 
-    fn driver_events(&self, state: &ForwardState, visit: EventVisitor<'_, ForwardState>) {
+    fn driver_events(&self, state: &RollForwardState, visit: EventVisitor<'_, RollForwardState>) {
         if let Some(rules) = self.relay
             && state.heard.len() < self.ranks
         {
@@ -199,7 +199,7 @@
             if rest && next.plans < self.plans {
                 let mut planning = next.clone();
                 planning.plans += 1;
-                planning.driver.begin(&views, Self::fresh(&planning));
+                planning.driver.begin(&views, Self::version_from_clock(&planning));
                 planning.orders.extend(planning.driver.next(&views));
                 visit(format_args!("the driver begins a switch"), planning);
             }
@@ -207,7 +207,7 @@
             dropped.driver.abandon();
             dropped.kept.clear();
             if dropped.driver != next.driver {
-                visit(format_args!("the driver drops its switch"), dropped);
+                visit(format_args!("the driver abandons its switch"), dropped);
             }
             next.orders.extend(next.driver.next(&views));
             if self.single_reads || self.relay.is_some() {
@@ -234,8 +234,13 @@
         }
     }
 
-    /// One question to the ranks: the first is read by the driver, the others by the relay.
-    fn relay_events(&self, rules: RelayRules, state: &ForwardState, visit: EventVisitor<'_, ForwardState>) {
+    /// Events of one query to the ranks: the driver reads the first, the relay reads the others.
+    fn relay_events(
+        &self,
+        rules: RelayRules,
+        state: &RollForwardState,
+        visit: EventVisitor<'_, RollForwardState>,
+    ) {
         if state.heard.is_empty() {
             let mut next = state.clone();
             next.heard.push(state.view(0));
@@ -254,16 +259,16 @@
         if let Some(views) = whole {
             visit(format_args!("the relay answers"), self.relay_answered(state, views));
         } else {
-            self.answer_in_part(state, visit);
+            self.partial_answer(state, visit);
         }
         if rules.answers_repeat && !state.answered.is_empty() {
             let mut views = state.answered.clone();
             if !rules.states_verbatim {
                 for view in &mut views {
-                    unnamed(view, &state.heard[0], state.driver.target());
+                    assume_current_switch(view, &state.heard[0], state.driver.target());
                 }
             }
-            visit(format_args!("the relay's last answer comes again"), self.relay_answered(state, views));
+            visit(format_args!("the relay's last answer is repeated"), self.relay_answered(state, views));
         }
         if !rules.ranks_named
             && let Some(first) = state.relayed[0]
@@ -274,13 +279,13 @@
         let mut lost = state.clone();
         lost.heard.clear();
         lost.relayed.clear();
-        visit(format_args!("the relay begins anew and its answer is lost"), lost);
+        visit(format_args!("the relay restarts and its answer is lost"), lost);
     }
 
-    fn relay_answered(&self, state: &ForwardState, views: Vec<RankView>) -> ForwardState {
+    fn relay_answered(&self, state: &RollForwardState, views: Vec<RankView>) -> RollForwardState {
         let mut next = state.clone();
         next.relayed.clear();
-        // The driver may be misled into a release only by an answer that shows armed ranks.
+        // Only an answer with armed ranks can mislead the driver into a release.
         let armed = views.iter().all(|view| view.armed.is_some());
         if self.relay.is_some_and(|rules| rules.answers_repeat) && armed {
             next.answered.clone_from(&views);
@@ -289,9 +294,9 @@
         next
     }
 
-    /// The relay answers without the ranks that it has not read: the driver keeps what it knew of them, and sends them no
-    /// prepares.
-    fn answer_in_part(&self, state: &ForwardState, visit: EventVisitor<'_, ForwardState>) {
+    /// The relay answers without the ranks that it has not read. The driver keeps its last reports of these, and sends them
+    /// no prepare orders.
+    fn partial_answer(&self, state: &RollForwardState, visit: EventVisitor<'_, RollForwardState>) {
         let mut next = state.clone();
         let first = next.heard.remove(0);
         let read = std::mem::take(&mut next.relayed);
@@ -309,17 +314,17 @@
             );
             next.keep_while_switching(true);
         }
-        visit(format_args!("the relay answers in part and the driver acts"), next);
+        visit(format_args!("the relay answers partially and the driver acts"), next);
     }
 
-    /// Whether an engine takes an order for the present formation's.
-    fn reaches(&self, order: EngineOrder, epoch: GroupEpoch) -> bool {
+    /// Returns whether an engine accepts an order as one of the current formation.
+    fn accepts(&self, order: EngineOrder, epoch: GroupEpoch) -> bool {
         !self.epochs_checked || epoch_of(order) == epoch
     }
 
-    fn group_events(&self, state: &ForwardState, visit: EventVisitor<'_, ForwardState>) {
+    fn group_events(&self, state: &RollForwardState, visit: EventVisitor<'_, RollForwardState>) {
         for &(rank, order) in &state.orders {
-            if !self.reaches(order, state.epoch) {
+            if !self.accepts(order, state.epoch) {
                 continue;
             }
             let mut next = state.clone();
@@ -340,21 +345,21 @@
                 next.formations += 1;
                 next.epoch.0 += 1;
                 for (rank, engine) in next.ranks.iter_mut().enumerate() {
-                    // All count their orders anew; only the one that crashed forgets the versions it has had.
+                    // All ranks restart their order count; only the crashed one loses the versions that it has seen.
                     let highest = if rank == crashed { MapVersion(0) } else { engine.highest };
                     *engine = EngineRank { highest, ..EngineRank::new() };
                 }
-                visit(format_args!("rank {crashed} crashes and the group forms anew"), next);
+                visit(format_args!("rank {crashed} crashes and the group forms again"), next);
             }
         }
     }
 }
 
-impl ProtocolModel for ForwardModel {
-    type State = ForwardState;
+impl ProtocolModel for RollForwardModel {
+    type State = RollForwardState;
 
-    fn initial(&self) -> ForwardState {
-        ForwardState {
+    fn initial(&self) -> RollForwardState {
+        RollForwardState {
             ranks: vec![EngineRank::new(); self.ranks],
             epoch: GroupEpoch(1),
             step: StepNumber(0),
@@ -370,25 +375,25 @@
         }
     }
 
-    fn successors(&self, state: &ForwardState, visit: EventVisitor<'_, ForwardState>) {
+    fn successors(&self, state: &RollForwardState, visit: EventVisitor<'_, RollForwardState>) {
         self.driver_events(state, visit);
         self.group_events(state, visit);
     }
 
-    fn violation(&self, state: &ForwardState) -> Option<String> {
+    fn violation(&self, state: &RollForwardState) -> Option<String> {
         let map = state.ranks[0].map;
         let mixed = state.ranks.iter().any(|rank| rank.map != map);
         mixed.then(|| format!("two maps are used in step {}", state.step.0))
     }
 
-    /// Orders of earlier epochs and of passes that have begun change nothing any more.
-    fn normalize(&self, state: &mut ForwardState) {
+    /// Removes orders that no longer have an effect: those of earlier epochs and of passes that have begun.
+    fn normalize(&self, state: &mut RollForwardState) {
         let (epoch, step) = (state.epoch, state.step);
         let ranks = state.ranks.clone();
-        // Where epochs are not looked at, a rank that crashes may yet take what it refuses now.
+        // Without epoch checks, a rank that crashes may later accept an order that it refuses now.
         let settled = self.epochs_checked || state.formations >= self.formations;
         state.orders.retain(|(rank, order)| {
-            if !self.reaches(*order, epoch) {
+            if !self.accepts(*order, epoch) {
                 return false;
             }
             match order {
@@ -403,41 +408,49 @@
     }
 }
 
-/// Searches for a reachable state in which the group is held and from which it never goes on.
-pub fn search_held(model: &ForwardModel, limit: usize) -> SearchReport {
-    let Some((states, parents, free)) = explore(model, limit) else {
+/// Searches for a reachable state in which the group is held and from which it can never continue.
+pub fn search_held(model: &RollForwardModel, limit: usize) -> SearchReport {
+    let Some((states, predecessors, free)) = explore(model, limit) else {
         return SearchReport { states: limit, depth: 0, counterexample: None, complete: false };
     };
     let count = states.len();
-    let stuck = stuck_state(states, &parents, free);
+    let stuck = stuck_state(states, &predecessors, free);
     let counterexample = stuck.map(|state| ("the group stays held".to_owned(), vec![format!("{state:?}")]));
     SearchReport { states: count, depth: 0, counterexample, complete: true }
 }
 
-fn stuck_state(states: Vec<ForwardState>, parents: &[Vec<usize>], free: Vec<usize>) -> Option<ForwardState> {
-    let mut able: HashSet<usize> = free.iter().copied().collect();
-    let mut todo: Vec<usize> = free;
-    while let Some(state) = todo.pop() {
-        for parent in &parents[state] {
-            if able.insert(*parent) {
-                todo.push(*parent);
+fn stuck_state(
+    states: Vec<RollForwardState>,
+    predecessors: &[Vec<usize>],
+    free: Vec<usize>,
+) -> Option<RollForwardState> {
+    let mut can_continue: HashSet<usize> = free.iter().copied().collect();
+    let mut pending: Vec<usize> = free;
+    while let Some(state) = pending.pop() {
+        for parent in &predecessors[state] {
+            if can_continue.insert(*parent) {
+                pending.push(*parent);
             }
         }
     }
-    states.into_iter().enumerate().find(|(index, _state)| !able.contains(index)).map(|(_index, state)| state)
+    states
+        .into_iter()
+        .enumerate()
+        .find(|(index, _state)| !can_continue.contains(index))
+        .map(|(_index, state)| state)
 }
 
-/// All states, the parents of each, and those in which the group is not held.
-type ExploredStates = (Vec<ForwardState>, Vec<Vec<usize>>, Vec<usize>);
+/// All states, the predecessors of each, and the states in which the group is not held.
+type ExploredStates = (Vec<RollForwardState>, Vec<Vec<usize>>, Vec<usize>);
 
-/// Visits every state; nothing if there are too many.
-fn explore(model: &ForwardModel, limit: usize) -> Option<ExploredStates> {
-    let mut numbers: HashMap<ForwardState, usize> = HashMap::new();
-    let (mut states, mut parents, mut free) = (Vec::new(), Vec::new(), Vec::new());
+/// Visits every state, or returns `None` if there are more than `limit`.
+fn explore(model: &RollForwardModel, limit: usize) -> Option<ExploredStates> {
+    let mut numbers: HashMap<RollForwardState, usize> = HashMap::new();
+    let (mut states, mut predecessors, mut free) = (Vec::new(), Vec::new(), Vec::new());
     let initial = model.initial();
     numbers.insert(initial.clone(), 0);
     states.push(initial);
-    parents.push(Vec::new());
+    predecessors.push(Vec::new());
     let mut next_index = 0;
     while next_index < states.len() {
         let state = states[next_index].clone();
@@ -448,15 +461,15 @@
             model.normalize(&mut next);
             let number = *numbers.entry(next.clone()).or_insert_with(|| {
                 states.push(next);
-                parents.push(Vec::new());
+                predecessors.push(Vec::new());
                 states.len() - 1
             });
-            parents[number].push(next_index);
+            predecessors[number].push(next_index);
         });
         next_index += 1;
         if states.len() > limit {
             return None;
         }
     }
-    Some((states, parents, free))
+    Some((states, predecessors, free))
 }
--- a/crates/porthoist-spec/src/models/switch.rs
+++ b/crates/porthoist-spec/src/models/switch.rs
@@ -1,34 +1,34 @@
-//! Ranks in lock-step and leaders that switch their expert map.
+//! Model of ranks in lock-step and of leaders that switch their expert map.
 //!
-//! Every message may arrive at any time or never; arm, commit and abort may arrive again. Ranks step on whenever
-//! they may, so that the model is freer than lock-step.
+//! Every message may arrive at any time or never; arm, commit and abort messages may be repeated. Each rank steps whenever
+//! its state machine allows it, which permits more behaviours than lock-step.
 
 use crate::search::{EventVisitor, ProtocolModel};
 use porthoist_policy::switch::{
-    HeardRank, LeaderBallot, LeaderMachine, LeaderMessage, MapVersion, RankMachine, RankReply, StepNumber,
-    SwitchRules,
+    LeaderBallot, LeaderMachine, LeaderMessage, MapVersion, RankKnowledge, RankMachine, RankReply,
+    StepNumber, SwitchRules,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A switch is planned so many steps after the last one started.
+/// Steps between the last started one and the planned switch.
 const LEAD_STEPS: u32 = 1;
 
-/// The model's bounds and rules.
+/// Bounds and rules of the model.
 #[derive(Debug, Clone, Copy)]
 pub struct SwitchModel {
-    /// The protocol's rules.
+    /// Rules of the switch.
     pub rules: SwitchRules,
-    /// Ranks in the group.
+    /// Number of ranks in the group.
     pub ranks: usize,
-    /// Leaders, each with a higher ballot and a map of its own.
+    /// Number of leaders, each with its own ballot and map.
     pub leaders: u32,
-    /// Steps that the group runs.
+    /// Maximum number of steps.
     pub steps: u32,
-    /// Restarts of a process beside a running rank.
+    /// Maximum number of restarts of a process next to a running rank.
     pub restarts: u8,
 }
 
-/// Everything in the model.
+/// State of the model.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct SwitchState {
     ranks: Vec<RankMachine>,
@@ -58,7 +58,7 @@
                 if let Some(message) = message {
                     self.broadcast(&mut next, message);
                 }
-                visit(format_args!("leader {leader} waits no longer"), next);
+                visit(format_args!("leader {leader} times out"), next);
                 continue;
             }
             let ballot = LeaderBallot(leader + 1);
@@ -77,7 +77,7 @@
             if let Some(message) = machine.on(rank, reply) {
                 self.broadcast(&mut next, message);
             }
-            visit(format_args!("leader {leader} hears rank {rank}: {reply:?}"), next);
+            visit(format_args!("leader {leader} receives from rank {rank}: {reply:?}"), next);
         }
     }
 
@@ -90,7 +90,7 @@
             if let Some(reply) = next.ranks[rank].on(message, true) {
                 next.replies.insert((sender(message), rank, reply));
             }
-            visit(format_args!("rank {rank} hears {message:?}"), next);
+            visit(format_args!("rank {rank} receives {message:?}"), next);
         }
         for rank in 0..self.ranks {
             if state.ranks[rank].started().0 < self.steps {
@@ -104,41 +104,41 @@
                 let mut next = state.clone();
                 next.restarts += 1;
                 next.ranks[rank].restart();
-                visit(format_args!("the process beside rank {rank} restarts"), next);
+                visit(format_args!("the process next to rank {rank} restarts"), next);
             }
         }
     }
 }
 
-/// All that concerns one rank; two ranks for which it is the same are alike.
-type RankSide = (RankMachine, Vec<LeaderMessage>, Vec<(u32, RankReply)>, Vec<HeardRank>);
+/// All state that concerns one rank; ranks with equal state are interchangeable.
+type RankSlice = (RankMachine, Vec<LeaderMessage>, Vec<(u32, RankReply)>, Vec<RankKnowledge>);
 
 impl SwitchState {
-    /// Replies to a leader that has decided change nothing any more.
-    fn forget_settled(&mut self) {
+    /// Removes replies to leaders that have decided, which no longer have an effect.
+    fn drop_settled_replies(&mut self) {
         let leaders = &self.leaders;
         let decided = |leader: u32| leaders[leader as usize].as_ref().is_some_and(LeaderMachine::decided);
         self.replies.retain(|(leader, _rank, _reply)| !decided(*leader));
     }
 
-    fn side(&self, rank: usize) -> RankSide {
+    fn rank_slice(&self, rank: usize) -> RankSlice {
         let orders = self.orders.iter().filter(|(to, _message)| *to == rank).map(|(_to, message)| *message);
         let replies = self.replies.iter().filter(|(_leader, from, _reply)| *from == rank);
         let replies = replies.map(|(leader, _from, reply)| (*leader, *reply));
-        let heard = self.leaders.iter().flatten().map(|leader| leader.heard(rank));
-        (self.ranks[rank].clone(), orders.collect(), replies.collect(), heard.collect())
+        let rank_knowledge = self.leaders.iter().flatten().map(|leader| leader.rank_knowledge(rank));
+        (self.ranks[rank].clone(), orders.collect(), replies.collect(), rank_knowledge.collect())
     }
 
-    /// Numbers the ranks in the order of what concerns them.
+    /// Renumbers the ranks in the order of their state, so that symmetric states become equal.
     fn sort_ranks(&mut self) {
-        let mut sides: Vec<(RankSide, usize)> =
-            (0..self.ranks.len()).map(|rank| (self.side(rank), rank)).collect();
-        sides.sort();
-        let mut numbers = vec![0; sides.len()];
-        for (number, (_side, rank)) in sides.iter().enumerate() {
+        let mut slices: Vec<(RankSlice, usize)> =
+            (0..self.ranks.len()).map(|rank| (self.rank_slice(rank), rank)).collect();
+        slices.sort();
+        let mut numbers = vec![0; slices.len()];
+        for (number, (_side, rank)) in slices.iter().enumerate() {
             numbers[*rank] = number;
         }
-        self.ranks = sides.into_iter().map(|(side, _rank)| side.0).collect();
+        self.ranks = slices.into_iter().map(|(rank_slice, _rank)| rank_slice.0).collect();
         self.orders = self.orders.iter().map(|(rank, message)| (numbers[*rank], *message)).collect();
         self.replies =
             self.replies.iter().map(|(leader, rank, reply)| (*leader, numbers[*rank], *reply)).collect();
@@ -178,7 +178,7 @@
     }
 
     fn normalize(&self, state: &mut SwitchState) {
-        state.forget_settled();
+        state.drop_settled_replies();
         state.sort_ranks();
     }
 
--- a/crates/porthoist-spec/src/models/unkeyed.rs
+++ b/crates/porthoist-spec/src/models/unkeyed.rs
@@ -1,4 +1,4 @@
-//! A request that may not be repeated and has no key: it is sent once, and tried again only on proof.
+//! Model of a request without a key that must not be repeated: it is retried only on proof that it did not run.
 
 use crate::search::{EventVisitor, ProtocolModel};
 use porthoist_core::{RefusalReason, RepeatPolicy, RunVerdict, UnixDeadline, UnixMillis};
@@ -7,24 +7,24 @@
 const NOW: UnixMillis = UnixMillis(0);
 const DEADLINE: UnixDeadline = UnixDeadline(UnixMillis(1));
 
-/// The model's rules.
+/// Rules of the model.
 #[derive(Debug, Clone, Copy)]
 pub struct UnkeyedModel {
-    /// The retry rules.
+    /// Rules of retries.
     pub rules: RetryRules,
-    /// Whether a lost answer is called "may have run".
-    pub honest: bool,
+    /// Whether a lost answer is reported as "may have run".
+    pub lost_may_have_run: bool,
 }
 
-/// Everything in the model.
+/// State of the model.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct UnkeyedState {
     attempts: u32,
     open: bool,
-    /// Offers on their way that nobody waits for any more.
-    stray: u8,
+    /// Offers in transit that the entry no longer waits for.
+    orphaned_offers: u8,
     runs: u8,
-    not_run_said: bool,
+    not_run_reported: bool,
 }
 
 impl UnkeyedModel {
@@ -43,13 +43,13 @@
             next.open = true;
             next.attempts += 1;
         } else {
-            next.not_run_said |= verdict == RunVerdict::NotRun;
+            next.not_run_reported |= verdict == RunVerdict::NotRun;
         }
         next
     }
 
     fn lost_verdict(self) -> RunVerdict {
-        if self.honest { RunVerdict::MayHaveRun } else { RunVerdict::NotRun }
+        if self.lost_may_have_run { RunVerdict::MayHaveRun } else { RunVerdict::NotRun }
     }
 }
 
@@ -57,15 +57,15 @@
     type State = UnkeyedState;
 
     fn initial(&self) -> UnkeyedState {
-        UnkeyedState { attempts: 1, open: true, stray: 0, runs: 0, not_run_said: false }
+        UnkeyedState { attempts: 1, open: true, orphaned_offers: 0, runs: 0, not_run_reported: false }
     }
 
     fn successors(&self, state: &UnkeyedState, visit: EventVisitor<'_, UnkeyedState>) {
-        if state.stray > 0 {
+        if state.orphaned_offers > 0 {
             let mut next = state.clone();
-            next.stray -= 1;
+            next.orphaned_offers -= 1;
             next.runs += 1;
-            visit(format_args!("an offer that was given up arrives and runs"), next);
+            visit(format_args!("an abandoned offer arrives and runs"), next);
         }
         if !state.open {
             return;
@@ -78,18 +78,19 @@
         ran.runs += 1;
         let mut answered = ran.clone();
         answered.open = false;
-        visit(format_args!("it runs and the answer arrives"), answered);
+        visit(format_args!("the request runs and the answer arrives"), answered);
         let lost = self.failed(&ran, RefusalReason::ConnectionLost, self.lost_verdict());
-        visit(format_args!("it runs and the answer is lost"), lost);
-        let mut stray = self.failed(state, RefusalReason::ConnectionLost, self.lost_verdict());
-        stray.stray += 1;
-        visit(format_args!("the connection breaks while the offer is under way"), stray);
+        visit(format_args!("the request runs and the answer is lost"), lost);
+        let mut orphaned_offers = self.failed(state, RefusalReason::ConnectionLost, self.lost_verdict());
+        orphaned_offers.orphaned_offers += 1;
+        visit(format_args!("the connection breaks while the offer is in transit"), orphaned_offers);
     }
 
     fn violation(&self, state: &UnkeyedState) -> Option<String> {
         if state.runs > 1 {
             return Some("the request ran twice".to_owned());
         }
-        (state.not_run_said && state.runs > 0).then(|| "not-run was said, yet it ran".to_owned())
+        (state.not_run_reported && state.runs > 0)
+            .then(|| "not-run was reported, but the request ran".to_owned())
     }
 }
--- a/crates/porthoist-spec/src/search.rs
+++ b/crates/porthoist-spec/src/search.rs
@@ -1,4 +1,4 @@
-//! Breadth-first search of a model's states; the path to a bad state is a shortest counterexample.
+//! Breadth-first search of a model's states, which finds a shortest path to a violation.
 
 use pathfinding::directed::dijkstra::{build_path, dijkstra_partial};
 use std::cell::Cell;
@@ -6,38 +6,38 @@
 use std::hash::Hash;
 use std::rc::Rc;
 
-/// Takes one event and the state that it leads to; the event is put into words only when it is shown.
+/// Receives an event and the state that it leads to. The event is formatted only if it is displayed.
 pub type EventVisitor<'a, S> = &'a mut dyn FnMut(fmt::Arguments<'_>, S);
 
-/// A protocol with its faults as a transition system.
+/// Transition system of a protocol and its faults.
 pub trait ProtocolModel {
-    /// All that processes, table and network hold.
+    /// State of processes, table and network.
     type State: Clone + Eq + Hash + fmt::Debug;
 
-    /// The state at the start.
+    /// Returns the initial state.
     fn initial(&self) -> Self::State;
-    /// Visits every event possible in a state.
+    /// Visits every event that is possible in a state.
     fn successors(&self, state: &Self::State, visit: EventVisitor<'_, Self::State>);
-    /// The promise that a state breaks, if any.
+    /// Describes the property that a state violates, if any.
     fn violation(&self, state: &Self::State) -> Option<String>;
-    /// Replaces a state by the one that stands for all that are like it.
+    /// Replaces a state by the representative of its equivalence class.
     fn normalize(&self, _state: &mut Self::State) {}
 }
 
-/// What a search found.
+/// Result of a search.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SearchReport {
-    /// Distinct states reached.
+    /// Number of distinct states reached.
     pub states: usize,
-    /// Events on the longest shortest path.
+    /// Number of events on the longest of the shortest paths.
     pub depth: usize,
-    /// The broken promise and the events that lead to it.
+    /// The violated property and the events that lead to it.
     pub counterexample: Option<(String, Vec<String>)>,
     /// Whether every reachable state was visited.
     pub complete: bool,
 }
 
-/// Searches until a promise is broken, all states are visited, or `limit` states were expanded.
+/// Searches until a property is violated, all states are visited, or `limit` states have been expanded.
 pub fn search<M: ProtocolModel>(model: &M, limit: usize) -> SearchReport {
     let initial = Rc::new(model.initial());
     let expanded = Cell::new(0_usize);
@@ -56,14 +56,14 @@
     let (reached, stopped) = dijkstra_partial(&initial, next, stop);
     let depth = reached.values().map(|(_parent, cost)| *cost).max().unwrap_or(0);
     let counterexample = stopped.as_ref().and_then(|state| {
-        let promise = model.violation(state)?;
-        Some((promise, events(model, &build_path(state, &reached))))
+        let property = model.violation(state)?;
+        Some((property, path_events(model, &build_path(state, &reached))))
     });
     let complete = stopped.is_none();
     SearchReport { states: reached.len() + 1, depth, counterexample, complete }
 }
 
-fn events<M: ProtocolModel>(model: &M, path: &[Rc<M::State>]) -> Vec<String> {
+fn path_events<M: ProtocolModel>(model: &M, path: &[Rc<M::State>]) -> Vec<String> {
     let event = |pair: &[Rc<M::State>]| {
         let mut label = None;
         model.successors(&pair[0], &mut |event, mut next| {
--- a/crates/porthoist-spec/tests/spec.rs
+++ b/crates/porthoist-spec/tests/spec.rs
@@ -1,4 +1,4 @@
-//! The protocols hold within the small bounds, and every broken rule is found.
+//! Checks that the protocols hold within the small bounds, and that every mutant is caught.
 
 use porthoist_spec::all_models;
 use test_case::test_case;
