--- a/crates/porthoist-policy/src/explain.rs
+++ b/crates/porthoist-policy/src/explain.rs
@@ -1,4 +1,4 @@
-//! Bounded log of recent routing decisions, so that an operator can ask why a request went where it did.
+//! Bounded log of recent decisions on requests, which operators can query.
 
 use porthoist_core::{
     RefusalReason, RequestId, RetryReason, RunVerdict, ServiceName, TargetName, TeamName, UnixMillis,
--- a/crates/porthoist-policy/src/switch.rs
+++ b/crates/porthoist-policy/src/switch.rs
@@ -126,8 +126,8 @@
     }
 
     /// Restores a rank from the state stored in its engine, for a restarted process.
-    pub fn restored(kept: SavedRank) -> Self {
-        let SavedRank { promised, armed, committed, map, started } = kept;
+    pub fn restored(saved: SavedRank) -> Self {
+        let SavedRank { promised, armed, committed, map, started } = saved;
         Self { rules: SwitchRules::SOUND, promised, armed, committed, map, started }
     }
 
--- a/crates/porthoist-spec/src/models.rs
+++ b/crates/porthoist-spec/src/models.rs
@@ -157,8 +157,8 @@
         ),
     ];
     if restarts > 0 {
-        let forgetful = SwitchRules { promise_outlives_restart: false, ..sound };
-        mutants.push(mutant("a restart loses the promise", forgetful));
+        let promise_lost = SwitchRules { promise_outlives_restart: false, ..sound };
+        mutants.push(mutant("a restart loses the promise", promise_lost));
     }
     CheckedModel { name, bounds, sound: mutant("none", sound), mutants }
 }
@@ -174,10 +174,11 @@
     let name = "one expert map per step, 2 ranks";
     if large {
         let bounds =
-            "2 ranks, 2 leaders, 3 steps, 1 restart beside a rank, delayed, lost and repeated messages";
+            "2 ranks, 2 leaders, 3 steps, 1 restart of a rank's process, delayed, lost and repeated messages";
         return switch_model(name, bounds, SwitchShape { ranks: 2, steps: 3, restarts: 1 });
     }
-    let bounds = "2 ranks, 2 leaders, 2 steps, 1 restart beside a rank, delayed, lost and repeated messages";
+    let bounds =
+        "2 ranks, 2 leaders, 2 steps, 1 restart of a rank's process, delayed, lost and repeated messages";
     switch_model(name, bounds, SwitchShape { ranks: 2, steps: 2, restarts: 1 })
 }
 
@@ -185,7 +186,7 @@
     let name = "one expert map per step, 3 ranks";
     if large {
         let bounds =
-            "3 ranks, 2 leaders, 1 step, 1 restart beside a rank, delayed, lost and repeated messages";
+            "3 ranks, 2 leaders, 1 step, 1 restart of a rank's process, delayed, lost and repeated messages";
         return switch_model(name, bounds, SwitchShape { ranks: 3, steps: 1, restarts: 1 });
     }
     let bounds = "3 ranks, 2 leaders, 1 step, no restart, delayed, lost and repeated messages";
--- a/crates/porthoist-spec/src/models/roll_forward.rs
+++ b/crates/porthoist-spec/src/models/roll_forward.rs
@@ -410,11 +410,11 @@
 
 /// Searches for a reachable state in which the group is held and from which it can never continue.
 pub fn search_held(model: &RollForwardModel, limit: usize) -> SearchReport {
-    let Some((states, predecessors, free)) = explore(model, limit) else {
+    let Some((states, predecessors, not_held)) = explore(model, limit) else {
         return SearchReport { states: limit, depth: 0, counterexample: None, complete: false };
     };
     let count = states.len();
-    let stuck = stuck_state(states, &predecessors, free);
+    let stuck = stuck_state(states, &predecessors, not_held);
     let counterexample = stuck.map(|state| ("the group stays held".to_owned(), vec![format!("{state:?}")]));
     SearchReport { states: count, depth: 0, counterexample, complete: true }
 }
@@ -422,10 +422,10 @@
 fn stuck_state(
     states: Vec<RollForwardState>,
     predecessors: &[Vec<usize>],
-    free: Vec<usize>,
+    not_held: Vec<usize>,
 ) -> Option<RollForwardState> {
-    let mut can_continue: HashSet<usize> = free.iter().copied().collect();
-    let mut pending: Vec<usize> = free;
+    let mut can_continue: HashSet<usize> = not_held.iter().copied().collect();
+    let mut pending: Vec<usize> = not_held;
     while let Some(state) = pending.pop() {
         for parent in &predecessors[state] {
             if can_continue.insert(*parent) {
@@ -446,7 +446,7 @@
 /// Visits every state, or returns `None` if there are more than `limit`.
 fn explore(model: &RollForwardModel, limit: usize) -> Option<ExploredStates> {
     let mut numbers: HashMap<RollForwardState, usize> = HashMap::new();
-    let (mut states, mut predecessors, mut free) = (Vec::new(), Vec::new(), Vec::new());
+    let (mut states, mut predecessors, mut not_held) = (Vec::new(), Vec::new(), Vec::new());
     let initial = model.initial();
     numbers.insert(initial.clone(), 0);
     states.push(initial);
@@ -455,7 +455,7 @@
     while next_index < states.len() {
         let state = states[next_index].clone();
         if !state.held() {
-            free.push(next_index);
+            not_held.push(next_index);
         }
         model.successors(&state, &mut |_event, mut next| {
             model.normalize(&mut next);
@@ -471,5 +471,5 @@
             return None;
         }
     }
-    Some((states, predecessors, free))
+    Some((states, predecessors, not_held))
 }
