--- a/crates/porthoist-policy/src/proxy.rs
+++ b/crates/porthoist-policy/src/proxy.rs
@@ -1,5 +1,5 @@
-//! Decisions for requests that are passed on as they are: where one may run, whether the configuration held is fresh
-//! enough to say so, which target takes it next, and how many repeats the fleet can bear.
+//! Decisions for proxied requests: which route and target a request gets, whether the configuration is
+//! fresh enough to decide, and how many retries are permitted.
 
 pub mod backpressure;
 pub mod balancer;
--- a/crates/porthoist-policy/src/proxy/backpressure.rs
+++ b/crates/porthoist-policy/src/proxy/backpressure.rs
@@ -1,7 +1,9 @@
-//! What a target says of itself in its answers: how many requests it takes, for how long it wants none, that it leaves.
+//! Backpressure that targets signal in their answers: a rate limit, a rest period, a shutdown or a cold
+//! start.
 //!
-//! It is newer than its row and any report, and only the target itself takes it back. What can't be read changes nothing:
-//! taken for none it would lift a limit, taken for 0 it would close a sound target.
+//! A signal is newer than the target's row and any report, and only the target itself withdraws it. An
+//! unreadable value changes nothing: read as absent it would lift a limit, read as 0 it would close a
+//! healthy target.
 
 use super::cold::{ColdRule, ColdStatus, TargetCold};
 use super::notes::TargetNote;
@@ -10,68 +12,73 @@
 use porthoist_core::{RequestRate, UnixDeadline, UnixMillis};
 use std::collections::VecDeque;
 
-/// Time in milliseconds by which what other processes tell may be older than it seems: the way from one to the other.
+/// Time in milliseconds by which a note from another process may be older than its age says: the time
+/// that it takes to arrive.
 const NOTE_WAY_MILLIS: u64 = 1_000;
-/// Time in milliseconds between two log lines about one target's words; one may name a limit in every second answer.
+/// Minimum time in milliseconds between two log lines about one target, which may change its limit with
+/// every second answer.
 const LOG_MILLIS: u64 = 1_000;
 
-/// A target that nothing certain was heard of for so long, in milliseconds, is tried although others have room: only an answer can
-/// tell that it takes more again.
+/// Time in milliseconds without a conclusive answer after which a target gets a request although others
+/// have room. Only an answer can tell that it accepts more again.
 const UNHEARD_MILLIS: u64 = 4_000;
-/// Part of a rest by which its end differs between processes, so that they don't come back together.
+/// Fraction by which the end of a rest period varies between processes, so that they don't return
+/// together.
 const REST_SPREAD: f64 = 0.1;
-/// Time in milliseconds in which load comes back to a target that takes more again; many processes may hear of it together.
+/// Time in milliseconds over which load returns to a target that accepts more again; many processes may
+/// learn of it at once.
 const RETURN_MILLIS: u64 = 3_000;
 
-/// Lives whose needs are remembered after their rows have gone, at most.
+/// Maximum number of lives whose backpressure is stored after their rows have disappeared.
 const MAX_VANISHED: usize = 1_024;
 
-/// A value that an answer may name.
+/// A value that an answer may contain.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub enum SignalValue<T> {
-    /// It does not.
+    /// The answer does not contain it.
     #[default]
     Absent,
-    /// It does.
+    /// The answer contains it.
     Present(T),
-    /// It does, and the value can't be read.
+    /// The answer contains it in a form that can't be read.
     Unreadable,
 }
 
-/// What one answer says of the target that made it.
+/// Backpressure signals in one answer of a target.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct BackpressureSignals {
-    /// Requests that it takes from all processes together, as long as it says so.
+    /// Requests a second that the target accepts from all processes together until it says otherwise.
     pub limit: SignalValue<RequestRate>,
-    /// Milliseconds for which it wants nothing from this process.
+    /// Milliseconds for which it wants no requests from this process.
     pub rest_millis: SignalValue<u64>,
-    /// Whether it leaves.
+    /// Whether it is shutting down.
     pub leaving: bool,
     /// Milliseconds for which it stays cold.
     pub cold_millis: SignalValue<u64>,
-    /// Whether the answer names the request that it is to: only then does what it lacks end anything.
+    /// Whether the answer carries the identifier of the request. Only then does a missing signal
+    /// withdraw an earlier one.
     pub matches_request: bool,
 }
 
-/// A change of what a target says of itself.
+/// A change in a target's backpressure.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum BackpressureChange {
-    /// It names a limit, or another one than before.
+    /// It announces a limit, or a different one.
     Limited(RequestRate),
-    /// It names none any more, after so many milliseconds.
+    /// It no longer announces a limit, after this many milliseconds.
     Lifted(u64),
-    /// It wants nothing for so many milliseconds.
+    /// It wants no requests for this many milliseconds.
     Resting(u64),
-    /// It answers after a rest that it had asked for, and asks for none.
+    /// It answers after a rest period without asking for another.
     Rested,
-    /// It leaves.
+    /// It is shutting down.
     Leaving,
-    /// What it names can't be read.
+    /// A signal can't be read.
     Unreadable,
 }
 
 impl BackpressureChange {
-    /// Its name in logs and metrics.
+    /// The name in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Limited(_rate) => "limited",
@@ -84,47 +91,48 @@
     }
 }
 
-/// A change, and whether it is worth a line in the log.
+/// A change, and whether it should be logged.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ObservedChange {
     /// The change.
     pub change: BackpressureChange,
-    /// Whether the last line about the target is long enough ago.
+    /// Whether enough time has passed since the last log line about the target.
     pub logged: bool,
 }
 
-/// A limit that a target names.
+/// A limit that a target announced.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct HeardLimit {
     /// The limit.
     pub rate: RequestRate,
-    /// When it was first named.
+    /// When it was first announced.
     pub since: UnixMillis,
-    /// When it was last named, to this process or as another one told.
+    /// When it was last announced, to this process or to one that passed it on.
     named: UnixMillis,
 }
 
-/// What one process was told by one life of a target.
+/// Backpressure of one life of a target, as one process knows it.
 #[derive(Debug, Clone, Default)]
 pub struct TargetNeed {
     limit: Option<HeardLimit>,
-    /// When its last certain answer came.
+    /// When its last conclusive answer arrived.
     heard: UnixMillis,
-    /// Until when it wants nothing from this process.
+    /// Until when it wants no requests from this process.
     rest_until: Option<UnixDeadline>,
     /// Whether it is cold.
     cold: TargetCold,
-    /// Whether this life of it leaves: a row that calls it ready is older, and it may never have another.
+    /// Whether this life is shutting down. A row that says it is ready is older, and the target may
+    /// never write another.
     leaving: bool,
-    /// When it began to take requests again.
+    /// When it began to accept requests again.
     returned: Option<UnixMillis>,
     unreadable: bool,
     log_due: UnixDeadline,
 }
 
 impl TargetNeed {
-    /// Takes what the answer to a request says that was sent at a moment. `spread`, from 0 to 1, tells this process's rests from
-    /// those of others.
+    /// Applies the signals in an answer to a request that was sent at `sent`. `spread`, from 0 to 1,
+    /// varies the end of a rest period between processes.
     pub fn take(
         &mut self,
         word: &BackpressureSignals,
@@ -146,7 +154,7 @@
         changes.into_iter().flatten().map(|change| self.noted(change, now)).collect()
     }
 
-    /// Takes what another process tells of the target's limit.
+    /// Applies a limit that another process heard from the target.
     pub fn take_note(&mut self, note: &TargetNote, now: UnixMillis) -> Option<ObservedChange> {
         let change = match note.limit {
             Some(rate) if note.as_of > self.heard => self.limited(rate, note.as_of),
@@ -157,48 +165,49 @@
         change.map(|change| self.noted(change, now))
     }
 
-    /// Until when it wants nothing, if that is not over.
+    /// The end of the current rest period, if any.
     pub fn rest(&self, now: UnixMillis) -> Option<UnixDeadline> {
         self.rest_until.filter(|until| !until.passed(now))
     }
 
-    /// Whether it must get nothing now, whatever its row says.
+    /// Whether it must get no requests now, whatever its row says.
     pub fn closed(&self, now: UnixMillis) -> bool {
         self.leaving || self.rest(now).is_some()
     }
 
-    /// Whether it leaves.
+    /// Whether it is shutting down.
     pub fn leaves(&self) -> bool {
         self.leaving
     }
 
-    /// Whether there is anything that another life of the process must not be taken for.
+    /// Whether there is any state to keep in case its row comes back.
     pub(super) fn is_any(&self) -> bool {
         self.leaving || self.limit.is_some() || self.rest_until.is_some() || self.cold.is_any()
     }
 
-    /// Takes what its service's operators say of cold targets.
+    /// Sets its service's limit for cold targets.
     pub(super) fn set_cold_rule(&mut self, rule: Option<ColdRule>) {
         self.cold.set_rule(rule);
     }
 
-    /// Takes what its row says. One that is seen for the first time may just have started.
+    /// Applies its row. A target that is seen for the first time may have just started.
     pub(super) fn take_row(&mut self, word: ColdStatus, first_seen: bool) {
         self.cold.take_row(word, first_seen);
     }
 
-    /// Takes that it may have started again.
+    /// Records that it may have restarted.
     pub(super) fn suspect_start(&mut self) {
         self.cold.suspect();
     }
 
-    /// Takes that its zone gets requests again: it may just have become cold, and all entries come back to it together.
+    /// Records that its zone gets requests again. It may have become cold meanwhile, and all entries
+    /// return to it together.
     pub(super) fn restored(&mut self, now: UnixMillis) {
         self.cold.start(now);
         self.returned = Some(now);
     }
 
-    /// What it takes from all processes together, while anything bounds that.
+    /// Its rate limit for all processes together, if it has one.
     pub fn rate(&self, now: UnixMillis) -> Option<TargetRate> {
         let named = self.limit.map(|limit| TargetRate { rate: limit.rate, source: RateSource::Announced });
         let cold = self.cold.rate(now).map(|rate| TargetRate { rate, source: RateSource::Cold });
@@ -208,17 +217,18 @@
         }
     }
 
-    /// The limit that it names.
+    /// The limit that it announces.
     pub fn limit(&self) -> Option<HeardLimit> {
         self.limit
     }
 
-    /// Whether nothing certain was heard of it for long.
+    /// Whether the last conclusive answer is too old.
     pub fn unheard(&self, now: UnixMillis) -> bool {
         now.since(self.heard) >= UNHEARD_MILLIS
     }
 
-    /// Part of the time that is left until it takes as much as others again, 1 right after the end of a limit or rest.
+    /// Fraction of the return time that is left: 1 right after the end of a limit or a rest period, 0
+    /// once it accepts as much as others again.
     pub fn returning(&self, now: UnixMillis) -> f64 {
         let rested = self.rest_until.filter(|until| until.passed(now)).map(|until| until.0);
         let Some(returned) = self.returned.max(rested) else { return 0.0 };
@@ -245,8 +255,9 @@
         (known.map(|limit| limit.rate) != Some(rate)).then_some(BackpressureChange::Limited(rate))
     }
 
-    /// Takes that a request sent at a moment had an answer without a limit. One that was sent before the limit was last named may
-    /// have been answered before as well, and have lain somewhere since.
+    /// Records an answer without a limit to a request that was sent at `sent`. If that was before the
+    /// limit was last announced, the answer may be older than the limit and have been delayed, and
+    /// changes nothing.
     fn lifted(
         &mut self,
         sent: UnixMillis,
@@ -301,15 +312,15 @@
     }
 }
 
-/// What targets had said of themselves whose rows have gone: rows lapse in an outage of the table service and come back, and the
-/// same life needs what it needed before.
+/// Backpressure of targets whose rows have disappeared. Rows expire during an outage of the table
+/// service and come back, and the same life still needs the same treatment.
 #[derive(Debug, Clone, Default)]
 pub struct VanishedNeeds {
     needs: VecDeque<(TargetLife, TargetNeed)>,
 }
 
 impl VanishedNeeds {
-    /// Keeps what a target said, if that was anything; the oldest make room.
+    /// Stores the state of a target, if it has any; replaces the oldest if necessary.
     pub(super) fn keep(&mut self, life: TargetLife, need: TargetNeed) {
         if !need.is_any() {
             return;
@@ -320,7 +331,7 @@
         self.needs.push_back((life, need));
     }
 
-    /// What a life had said.
+    /// Removes and returns the state of a life.
     pub(super) fn take(&mut self, life: &TargetLife) -> TargetNeed {
         let known = self.needs.iter().position(|(known, _need)| known == life);
         known.and_then(|place| self.needs.remove(place)).map(|(_life, need)| need).unwrap_or_default()
--- a/crates/porthoist-policy/src/proxy/balancer.rs
+++ b/crates/porthoist-policy/src/proxy/balancer.rs
@@ -1,7 +1,7 @@
-//! Which target takes a request next.
+//! Selection of the target for a request.
 //!
-//! The board counts what this process has sent and has not seen end. Targets that fail in a row get nothing for a
-//! while, longer each time, and one request as a trial afterwards.
+//! The load balancer counts the requests that this process has in flight. Targets with several failures
+//! in a row are ejected for a growing time and then get a single request as a probe.
 
 use super::backpressure::VanishedNeeds;
 use super::cold::ColdRule;
@@ -25,10 +25,10 @@
 pub use asked::LimitedSupply;
 use tiers::preferred;
 
-/// Weight of a new report in this process's part of all requests: reports come some ten times a second.
+/// Weight of a new report in this process's share of all requests; some ten reports arrive each second.
 const SHARE_WEIGHT: f64 = 0.05;
 
-/// Work that a request brings.
+/// Work that a request causes at a target.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct RequestWork {
     /// Tokens of its prompt; 0 for requests without one.
@@ -38,32 +38,35 @@
 /// How a send to a target ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum SendOutcome {
-    /// An answer came after so many milliseconds.
+    /// An answer arrived after this many milliseconds.
     Answered(f64),
-    /// The target was full or leaving and said so.
+    /// The target refused it because it was full or shutting down.
     Shed,
-    /// It failed.
+    /// The send failed.
     Failed,
-    /// Its connection broke or could not be made, or it stood still: it may have started again since.
+    /// The connection broke or could not be made, or the target did not respond. The target may have
+    /// restarted since.
     Lost,
-    /// Another target has its address: this life of it is over, whatever its row says.
+    /// Another target uses the address: this life of the target is over, whatever its row says.
     Gone,
-    /// The caller left; nothing is known of the target.
+    /// The caller disconnected; the state of the target is unknown.
     Abandoned,
 }
 
-/// Settings of a board.
+/// Settings of a load balancer.
 #[derive(Debug, Clone, bon::Builder)]
 pub struct BalancerSettings {
     /// The availability zone of this process.
     pub zone: ZoneName,
-    /// Requests of this process that a rank of a group runs at once, while the others' are not known.
+    /// Maximum number of this process's requests at a rank of a group while the requests of other
+    /// processes are unknown.
     pub per_rank: u32,
-    /// Requests of all processes that a rank of a group runs at once, while they are known.
+    /// Maximum number of all processes' requests at a rank of a group while they are known.
     pub rank_limit: u32,
-    /// Entry processes that send to the same targets, while nobody counts them; without it they are assumed from the targets.
+    /// Number of entry processes that send to the same targets, used while nobody counts them. Without
+    /// it, the number is estimated from the targets.
     pub entries: Option<u32>,
-    /// Makes the choices of this process differ from those of others that see the same loads.
+    /// Seed that makes this process choose differently from others that see the same loads.
     pub seed: u64,
 }
 
@@ -79,50 +82,50 @@
 pub struct ChosenTarget {
     /// The target.
     pub record: Arc<TargetRecord>,
-    /// Requests of this process at it before this one.
+    /// Requests of this process at the target before this one.
     pub in_flight: u32,
-    /// What was reported of it, if that counted.
+    /// The reported load of the target, if the report was still valid.
     pub report: Option<ReportedRequests>,
-    /// How its group did, if it is known to be a rank of one.
+    /// State of the target's group, if it is known to be a rank of one.
     pub group: Option<GroupSnapshot>,
-    /// What bounds the requests that it takes, within which it was chosen.
+    /// The rate limit under which the target was chosen.
     pub rate: Option<TargetRate>,
 }
 
-/// Requests of all processes at a target, as this process believed when it chose.
+/// Requests of all processes at a target, as estimated when it was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReportedRequests {
-    /// How many: reported ones of others and its own.
+    /// Reported requests of other processes plus this process's own.
     pub requests: u32,
     /// Age of the report in milliseconds.
     pub age_millis: u64,
 }
 
-/// Loads of all targets, as this process sees them.
+/// Loads of all targets, as this process knows them.
 #[derive(Debug, Clone)]
 pub struct LoadBalancer {
     settings: BalancerSettings,
-    /// In a fixed order, so that the same seed makes the same choices.
+    /// Ordered, so that the same seed gives the same choices.
     loads: BTreeMap<TargetLife, TargetLoad>,
-    /// What targets had said whose rows have gone.
+    /// Backpressure of targets whose rows have disappeared.
     vanished: VanishedNeeds,
-    /// What is known of the groups that targets are ranks of.
+    /// State of the groups that the targets belong to.
     domains: DomainBook,
-    /// Part of the requests in a service's groups that this process sent, as reports showed it.
+    /// This process's share of the requests in a service's groups, from reports.
     shares: HashMap<ServiceName, f64>,
-    /// What services' operators say of cold targets.
+    /// Rate limits of cold targets, by service.
     cold_rules: HashMap<ServiceName, ColdRule>,
-    /// Zones whose targets get nothing new.
+    /// Zones whose targets get no new requests.
     emptied: EmptiedZones,
-    /// This process's place among the entries of its zone, once it was told.
+    /// This process's position among the entries of its zone, once known.
     place: Option<EntryPosition>,
-    /// Its place among all that send, by the zones of all targets.
+    /// Its position among all senders, derived from the zones of all targets.
     sender: SenderPosition,
     turn: u64,
 }
 
 impl LoadBalancer {
-    /// A board without targets.
+    /// Creates a load balancer without targets.
     pub fn new(settings: BalancerSettings) -> Self {
         let sender = SenderPosition::new(None, &settings.zone, &[], settings.uncounted(0));
         Self {
@@ -139,8 +142,8 @@
         }
     }
 
-    /// Takes the targets believed in now. What is in flight at a target that is gone, or at an earlier life of one, is still
-    /// counted there.
+    /// Replaces the set of known targets. Targets that are gone, and earlier lives of targets, stay
+    /// while requests are in flight there.
     pub fn sync(&mut self, book: &TargetRegistry) {
         let known: HashMap<TargetLife, &Arc<TargetRecord>> =
             book.records().map(|record| (record.life(), record)).collect();
@@ -168,7 +171,8 @@
         self.sync_sender();
     }
 
-    /// The best target that has room for one more request, counted as in flight from now on.
+    /// Chooses the best target that can take one more request, and counts the request as in flight
+    /// there.
     pub fn choose(
         &mut self,
         service: &ServiceName,
@@ -217,7 +221,7 @@
         Some(ChosenTarget { record, in_flight, report, group, rate })
     }
 
-    /// Takes the end of a send. Returns whether the target gets nothing for a while from now on.
+    /// Records the end of a send. Returns whether the target is ejected because of it.
     pub fn ended(
         &mut self,
         life: &TargetLife,
@@ -229,20 +233,21 @@
         load.ended(work, outcome, now)
     }
 
-    /// Takes that a target's process has ended. Unlike after a failure, which may be the request's own, it gets nothing for a
-    /// while from now on: others' second sends would go to it, idle as it seems.
+    /// Records that a target's process has ended. Unlike after a failure, which the request itself may
+    /// have caused, the target is ejected at once. Otherwise it would seem idle and attract the retries
+    /// of other requests.
     pub fn died(&mut self, life: &TargetLife, now: UnixMillis) {
         let Some(load) = self.loads.get_mut(life) else { return };
         load.died(now);
     }
 
-    /// Whether any target of the service may take requests, now or when it has room.
+    /// Whether any target of the service can take requests now or once it has room.
     pub fn serves(&self, service: &ServiceName, now: UnixMillis) -> bool {
         let mut loads = self.loads.values();
         loads.any(|load| load.record.service == *service && (load.open(now) || load.in_flight > 0))
     }
 
-    /// How the groups of a service do.
+    /// State of a service's groups.
     pub fn paces(&self, service: &ServiceName, now: UnixMillis) -> ServicePaces {
         let loads = || self.loads.values().filter(|load| load.record.service == *service);
         let mut running: Vec<Option<u32>> = vec![None; self.domains.len()];
@@ -255,7 +260,7 @@
         };
         let paces = ServicePaces::new(running.iter().enumerate().map(pace).collect());
         let (mut taken, mut slots) = (0, 0);
-        // A target in need takes none of what leaves others.
+        // Targets that apply backpressure can't absorb requests that leave other groups.
         let usable = loads().filter(|load| load.rate(now).is_none() && !load.closed(now));
         for load in usable.filter(|load| load.group.is_some_and(|group| paces.goes_on(group))) {
             taken += load.requests(None, now).count;
@@ -264,12 +269,12 @@
         paces.with_taken(if slots == 0 { 1.0 } else { f64::from(taken) / f64::from(slots) })
     }
 
-    /// Services whose groups are known.
+    /// Services with known groups.
     pub fn grouped_services(&self) -> Vec<ServiceName> {
         self.shares.keys().cloned().collect()
     }
 
-    /// The groups that began to stand, or go on again, since the last call.
+    /// The groups that stalled or recovered since the last call.
     pub fn group_changes(&mut self, service: &ServiceName, now: UnixMillis) -> Vec<GroupSnapshot> {
         let paces = self.paces(service, now);
         let known = (0..self.domains.len()).map(GroupIndex::at);
@@ -280,24 +285,24 @@
         changed.collect()
     }
 
-    /// Whether a report says that the process beside a target is not heard.
+    /// Whether a report says that the process next to a target is unreachable.
     pub fn silent(&self, life: &TargetLife, now: UnixMillis) -> bool {
         self.loads.get(life).is_some_and(|load| load.silent(now))
     }
 
-    /// The group that a target is a rank of, as far as reports told.
+    /// The group of a target, if a report has named it.
     pub fn group_of(&self, life: &TargetLife) -> Option<GroupIndex> {
         self.loads.get(life)?.group
     }
 
-    /// Takes that an event of a target came.
+    /// Records an event from a target.
     pub fn heard(&mut self, record: &TargetRecord, now: UnixMillis) {
         if let IpAddr::V4(host) = record.address.ip() {
             self.domains.heard(host, now);
         }
     }
 
-    /// Takes the loads that the engines of a group reported.
+    /// Applies the loads that the engines of a group reported.
     pub fn take_loads(&mut self, loads: &GroupLoads, now: UnixMillis) {
         let group = self.domains.take_report(loads, now);
         let by_host: HashMap<Ipv4Addr, &RankLoad> =
@@ -308,9 +313,10 @@
             if let Some(rank) = by_host.get(&host) {
                 load.group = Some(group);
                 if loads.pass == GroupPass::Broken {
-                    // Some rank of it may start again.
+                    // Some rank of the group may restart.
                     load.need.suspect_start();
-                    // Its loads are old; taken anew, they would hide what this process has sent since.
+                    // These loads are old. Applied again, they would hide what this process has sent
+                    // since.
                     continue;
                 }
                 load.take_report(rank, now);
@@ -319,7 +325,7 @@
                 service = Some(load.record.service.clone());
             }
         }
-        // A process that has just begun has no usual part yet.
+        // A process that has just started does not know its share yet.
         if let Some(service) = service
             && own > 0
         {
@@ -329,7 +335,7 @@
         }
     }
 
-    /// Mean of the others' requests at a service's targets that a report counts for; nothing without any.
+    /// Mean of other processes' requests at the targets with a valid report, or `None` without one.
     fn mean_others(&self, service: &ServiceName, now: UnixMillis) -> Option<u32> {
         let loads = self.loads.values().filter(|load| load.record.service == *service);
         let known: Vec<u32> = loads.filter_map(|load| load.others(now)).collect();
@@ -337,8 +343,9 @@
         Some((known.iter().sum::<u32>() + ranks / 2) / ranks)
     }
 
-    /// This process's usual part of what the ranks run, while no report counts. Where the group stood still for 4 s and its
-    /// reports with it, three a rank from each of six processes overfilled it by half.
+    /// This process's usual share of a rank's limit, used while no report is valid. With three requests
+    /// a rank from each of six processes, a group that stalled for 4 s without reports was overfilled by
+    /// half.
     fn own_limit(&self, service: &ServiceName) -> u32 {
         let Some(share) = self.shares.get(service) else { return self.settings.per_rank };
         let own = share * f64::from(self.settings.rank_limit);
@@ -362,13 +369,13 @@
     }
 }
 
-/// A number between 0 and 1 that changes from choice to choice.
+/// A pseudo-random number between 0 and 1 for one choice.
 fn random_point(seed: u64, turn: u64) -> f64 {
     let hash = xxhash_rust::xxh3::xxh3_64_with_seed(&turn.to_le_bytes(), seed);
     hash as f64 / u64::MAX as f64
 }
 
-/// An order of equal targets that changes from choice to choice.
+/// Orders equal targets differently for each choice.
 fn spread(id: &TargetName, turn: u64) -> u64 {
     xxhash_rust::xxh3::xxh3_64_with_seed(id.as_str().as_bytes(), turn)
 }
--- a/crates/porthoist-policy/src/proxy/balancer/asked.rs
+++ b/crates/porthoist-policy/src/proxy/balancer/asked.rs
@@ -1,4 +1,5 @@
-//! What keeps requests from targets on the board: their own words, other entries', and operators'; asked before each send.
+//! Limits on sends to targets: their backpressure, notes from other entries, and operators' settings.
+//! They are checked before each send.
 
 use super::{LoadBalancer, random_point};
 use crate::proxy::backpressure::{BackpressureSignals, ObservedChange};
@@ -10,19 +11,19 @@
 use porthoist_core::{ServiceName, UnixDeadline, UnixMillis, ZoneName};
 use std::collections::HashMap;
 
-/// What this process may send to the targets of a service where each bears only so much.
+/// What this process may send to a service whose targets are all rate limited.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitedSupply {
     /// Mean time in milliseconds between two of its requests.
     pub millis: f64,
-    /// When the next may be sent.
+    /// When the next request may be sent.
     pub next: UnixDeadline,
-    /// What bounds most of them.
+    /// What limits most of the targets.
     pub source: RateSource,
 }
 
 impl LoadBalancer {
-    /// Takes this process's place among the entries of its zone.
+    /// Sets this process's position among the entries of its zone.
     pub fn set_place(&mut self, place: Option<EntryPosition>) {
         self.place = place;
         self.sync_sender();
@@ -36,7 +37,7 @@
         self.sender = SenderPosition::new(self.place, &self.settings.zone, &zones, uncounted);
     }
 
-    /// Takes what a target says of itself in the answer to a request that was sent at a moment.
+    /// Applies the backpressure signals in an answer to a request that was sent at `sent`.
     pub fn told(
         &mut self,
         life: &TargetLife,
@@ -48,29 +49,29 @@
         self.loads.get_mut(life).map_or_else(Vec::new, |load| load.need.take(word, sent, spread, now))
     }
 
-    /// Takes what another entry tells of a target.
+    /// Applies a limit that another entry heard from a target.
     pub fn told_by_other(&mut self, note: &TargetNote, now: UnixMillis) -> Option<ObservedChange> {
         self.loads.get_mut(&note.life)?.need.take_note(note, now)
     }
 
-    /// Whether a request that was given a place at a target may still be sent there.
+    /// Whether a request that was assigned a slot at a target may still be sent there.
     pub fn stands(&self, life: &TargetLife, rate: Option<TargetRate>, now: UnixMillis) -> bool {
         self.loads.get(life).is_some_and(|load| load.stands(rate, now))
     }
 
-    /// Whether a target has said that it leaves.
+    /// Whether a target has announced that it is shutting down.
     pub fn leaves(&self, life: &TargetLife) -> bool {
         self.loads.get(life).is_some_and(|load| load.need.leaves())
     }
 
-    /// When the first rest ends, where nothing but rests keeps a service's requests from its targets.
+    /// When the first rest period ends, if only rest periods keep a service's requests from its targets.
     pub fn rest_end(&self, service: &ServiceName, now: UnixMillis) -> Option<UnixDeadline> {
         let loads = || self.loads.values().filter(|load| load.record.service == *service);
         let open = loads().any(|load| load.open(now));
         if open { None } else { loads().filter_map(|load| load.rest(now)).min() }
     }
 
-    /// Takes what services' operators say of cold targets.
+    /// Sets the services' limits for cold targets.
     pub fn set_cold_rules(&mut self, rules: HashMap<ServiceName, ColdRule>) {
         for load in self.loads.values_mut() {
             load.need.set_cold_rule(rules.get(&load.record.service).copied());
@@ -78,7 +79,7 @@
         self.cold_rules = rules;
     }
 
-    /// Takes the zones that operators have emptied.
+    /// Sets the zones that operators have emptied.
     pub fn set_emptied(&mut self, zones: &EmptiedZones, now: UnixMillis) {
         if self.emptied == *zones {
             return;
@@ -89,19 +90,20 @@
         self.emptied = zones.clone();
     }
 
-    /// Whether nothing but emptied zones keeps a service's requests from its targets.
+    /// Whether only emptied zones keep a service's requests from its targets.
     pub fn emptied(&self, service: &ServiceName, now: UnixMillis) -> bool {
         let loads = || self.loads.values().filter(|load| load.record.service == *service);
         !loads().any(|load| load.open(now)) && loads().any(|load| load.only_emptied(now))
     }
 
-    /// Targets that count as cold now.
+    /// Number of targets that count as cold.
     pub fn cold(&self, now: UnixMillis) -> usize {
         let cold = |rate: TargetRate| rate.source == RateSource::Cold;
         self.loads.values().filter(|load| load.rate(now).is_some_and(cold)).count()
     }
 
-    /// What this process may send, where something bounds what each target takes that is open to the service.
+    /// What this process may send if all open targets of the service are rate limited, or `None`
+    /// otherwise.
     pub fn limited_supply(&self, service: &ServiceName, now: UnixMillis) -> Option<LimitedSupply> {
         let loads = || self.loads.values().filter(|load| load.record.service == *service && load.open(now));
         let turns: Option<Vec<&SendTurns>> = loads().map(|load| load.turns(now)).collect();
--- a/crates/porthoist-policy/src/proxy/balancer/tiers.rs
+++ b/crates/porthoist-policy/src/proxy/balancer/tiers.rs
@@ -1,11 +1,11 @@
-//! Which of the targets that have room come first.
+//! Preference among the targets that have room.
 
 use crate::proxy::target_load::{SendTier, TargetLoad};
 use crate::proxy::turns::SenderPosition;
 use porthoist_core::UnixMillis;
 
-/// Those that are to get a request before the others: targets in need get none while others have room, but for a first send now
-/// and then that asks how they do.
+/// The targets of the best tier. Targets with a limit get no requests while others have room, except for
+/// an occasional first send that checks their state.
 pub(super) fn preferred<'a>(
     open: impl Iterator<Item = &'a mut TargetLoad>,
     sender: SenderPosition,
--- a/crates/porthoist-policy/src/proxy/entries.rs
+++ b/crates/porthoist-policy/src/proxy/entries.rs
@@ -1,26 +1,28 @@
-//! How many entries a zone has, and which place each has among them, as the process tells that follows the tables for them.
+//! Number of entries in a zone, and each entry's position among them, as told by the process that
+//! follows the tables for the zone.
 //!
-//! All entries of a zone ask one process all the time, so it knows them without rows or rounds of its own. What it tells may
-//! be too little for a while, after its start or while entries ask different processes; a number that falls is not believed at once.
+//! All entries of a zone query that process regularly, so it knows them without extra rows or requests.
+//! Its count may be too low for a while, after it has started or while entries query different
+//! processes, so a falling number is adopted only after a delay.
 
 use super::turns::EntryPosition;
 use porthoist_core::{UnixDeadline, UnixMillis};
 use std::collections::BTreeMap;
 
-/// How long an entry counts after its last question, in milliseconds: one that stands still may go on within that time, and
-/// questions come every second.
+/// Time in milliseconds for which an entry counts after its last query. An entry that stalls may resume
+/// within this time; queries arrive every second.
 const COUNTED_MILLIS: u64 = 10_000;
-/// How long a process has been asked before what it counts is told, in milliseconds: by then all entries have asked it twice, also
-/// those that started together with it.
+/// Time in milliseconds between the first query and the first answer with a count. By then all entries
+/// have asked twice, including those that started at the same time.
 const SETTLE_MILLIS: u64 = 2_000;
-/// How long a greater number of entries is held on to, in milliseconds.
+/// Time in milliseconds for which a higher number of entries is kept.
 const KEPT_MILLIS: u64 = 30_000;
 
-/// Names an entry process's host, also over its restarts.
+/// Identifies an entry process's host, also across restarts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EntryId(pub u64);
 
-/// The entries that ask one process.
+/// The entries that query one process.
 #[derive(Debug, Clone, Default)]
 pub struct EntryRoster {
     counted: BTreeMap<EntryId, UnixDeadline>,
@@ -28,7 +30,7 @@
 }
 
 impl EntryRoster {
-    /// Takes a question of an entry; tells its place, once all have asked.
+    /// Records a query of an entry. Returns the entry's position once the count is reliable.
     pub fn record_query(&mut self, entry: EntryId, now: UnixMillis) -> Option<EntryPosition> {
         self.counted.retain(|_entry, until| !until.passed(now));
         if self.counted.is_empty() {
@@ -44,7 +46,7 @@
     }
 }
 
-/// The place that an entry believes to have.
+/// The position that an entry uses for itself.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PositionTracker {
     place: Option<EntryPosition>,
@@ -52,7 +54,7 @@
 }
 
 impl PositionTracker {
-    /// Takes what a process tells. Returns whether the place is another one now.
+    /// Applies the position from an answer. Returns whether the position changed.
     pub fn update(&mut self, told: Option<EntryPosition>, now: UnixMillis) -> bool {
         let Some(told) = told else { return false };
         let fewer = self.place.is_some_and(|place| told.entries < place.entries);
@@ -63,7 +65,7 @@
         self.place.replace(told) != Some(told)
     }
 
-    /// The place; nothing before one was told.
+    /// The position, or `None` until one is known.
     pub fn place(&self) -> Option<EntryPosition> {
         self.place
     }
--- a/crates/porthoist-policy/src/proxy/forecast.rs
+++ b/crates/porthoist-policy/src/proxy/forecast.rs
@@ -1,84 +1,89 @@
-//! Whether a request that finds no place is worth keeping, and when a refused caller should come back.
+//! Decides whether a request without a slot should wait, and when a refused caller should retry.
 //!
-//! Both follow from what this process has seen of the service: how long places are taken, how long a first event takes,
-//! and for how long earlier outages and jams lasted. A request waits only while it can still be answered within its
-//! target latency; all others are refused at once. The load that this answers is a group of ranks near what it bears,
-//! whose streams slow each other down, and one that is down for seconds.
+//! Both decisions use what this process has observed of the service: how long slots stay occupied, how
+//! long a first event takes, and how long earlier outages and overloads lasted. A request waits only
+//! while it can still be answered within its latency target; all others are refused at once. This
+//! handles a group of ranks near its capacity, whose streams slow each other down, and a group that is
+//! down for seconds.
 
 use super::groups::{GroupStatus, STANDING_MILLIS};
 use super::waiting::QueueClass;
 use porthoist_core::{UnixDeadline, UnixMillis};
 use std::collections::{HashMap, VecDeque};
 
-/// Weight of a new observation in a mean: some ten of them make it.
+/// Weight of a new observation in a mean, which covers about ten of them.
 const NEW_SHARE: f64 = 0.1;
-/// A first event is expected so many mean deviations after its mean: some 19 of 20 are earlier.
+/// Number of mean deviations after the mean within which a first event is expected; about 19 of 20
+/// arrive earlier.
 const FIRST_DEVIATIONS: f64 = 2.0;
-/// Spells that are remembered.
+/// Number of stored episodes.
 const KEPT_SPELLS: usize = 8;
-/// Length in milliseconds that a spell is expected to have before one was seen: a rank that crashed is back in some 2 s, and
-/// a caller that comes back too early has come in vain.
+/// Expected length in milliseconds of an episode before one has been observed. A crashed rank is back
+/// after some 2 s, and a caller that retries too early has done so in vain.
 const FIRST_SPELL_MILLIS: f64 = 2_500.0;
-/// A refusal so long after the last one, in milliseconds, begins a new jam: shifts of demand are seconds apart.
+/// Time in milliseconds without a refusal after which the next one begins a new overload episode; demand
+/// shifts are seconds apart.
 const JAM_GAP_MILLIS: u64 = 500;
-/// A group whose streams have brought nothing for so long, in milliseconds, is down: the slowest passes, right after a shift
-/// of demand, take 350.
+/// Time in milliseconds without stream events after which a group counts as down. The slowest passes,
+/// right after a demand shift, take 350 ms.
 const SILENT_MILLIS: u64 = 600;
-/// One request in so many milliseconds tries a group that is down and refuses at once.
+/// Interval in milliseconds between probes of a group that is down and refuses at once.
 const PROBE_MILLIS: u64 = 100;
-/// A request that tries a group that is down and answers nothing keeps others from it for so long, in milliseconds: what is
-/// sent to a group that stands still lies there and overfills it when it goes on (25 requests a rank in place of 12, and
-/// 8 s of late streams).
+/// Time in milliseconds for which an unanswered probe keeps others from a group that is down. Requests
+/// sent to a stalled group stay there and overfill it when it resumes (25 requests a rank instead of 12,
+/// and 8 s of late streams).
 const SILENT_PROBE_MILLIS: u64 = 500;
-/// Longest time in milliseconds that a request waits which is to be repeated or resumed: its caller has waited for it
-/// already, and leaves after some two seconds without an event.
+/// Longest wait in milliseconds of a request that is to be resent or resumed. Its caller has already
+/// waited, and leaves after some 2 s without an event.
 const REPEATED_WAIT_MILLIS: u64 = 1_000;
-/// Part of the time that a request can wait in which its place must be expected: places become free unevenly.
+/// Fraction of its possible wait within which a request must expect its slot, because slots become free
+/// irregularly.
 const WAIT_PART: f64 = 0.6;
-/// Part of the time that a caller has left that it may be told to stay away: the rest must suffice to serve it.
+/// Divisor of a caller's remaining time that gives its longest retry delay; the rest must suffice to
+/// serve it.
 const AWAY_PART: u64 = 3;
-/// Time in milliseconds that first tries of a route may differ by in what they have left.
+/// Tolerance in milliseconds for the remaining time of first attempts on a route.
 const FIRST_TRY_MILLIS: u64 = 200;
-/// Routes whose callers' patience is remembered, in the largest configurations some 1,000; more are of routes that are gone.
+/// Maximum number of routes with a stored timeout. The largest configurations have some 1,000; more
+/// belong to removed routes.
 const MAX_ROUTES: usize = 4_096;
-/// Callers are told times that differ by up to this part, so that they don't return together.
+/// Fraction by which retry delays vary, so that callers don't return together.
 const SPREAD_PART: f64 = 0.3;
 
-/// What is known of a request that finds no place.
+/// A request without a free slot.
 #[derive(Debug, Clone, Copy)]
 pub struct PlaceAsk {
-    /// Requests that wait and go before it.
+    /// Number of waiting requests before it.
     pub ahead: usize,
-    /// When it came.
+    /// When it arrived.
     pub arrival: UnixMillis,
-    /// Time in milliseconds within which its answer, or first event, is on time.
+    /// Time in milliseconds within which its answer or first event is on time.
     pub latency_millis: u64,
-    /// When nobody waits for it any more.
+    /// When its caller stops waiting.
     pub deadline: UnixDeadline,
-    /// Its turn.
+    /// Its class in the wait queue.
     pub turn: QueueClass,
-    /// Mean time in milliseconds between two sends of this process, where all targets name limits.
+    /// Mean time in milliseconds between two sends of this process if all targets have rate limits.
     pub limited_millis: Option<f64>,
 }
 
-/// What becomes of a request that finds no place.
+/// What to do with a request without a free slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlaceForecast {
-    /// It will be served in time; it waits until then at most.
+    /// Let it wait until then at most; it is expected to be answered in time.
     Wait(UnixDeadline),
-    /// It won't.
+    /// Refuse it: it would not be answered in time.
     Refuse,
 }
 
-/// Tells callers that come back from those that come for the first time: they have less time left than first tries of
-/// their route.
+/// Detects retries by callers: they have less time left than first attempts on the same route.
 #[derive(Debug, Clone, Default)]
 pub struct CallerRetryDetector {
     longest: HashMap<Box<str>, u64>,
 }
 
 impl CallerRetryDetector {
-    /// Whether a caller with so many milliseconds left comes back.
+    /// Whether a request with this remaining time is a caller's retry.
     pub fn is_retry(&mut self, route: &str, remaining_millis: Option<u64>) -> bool {
         let Some(remaining) = remaining_millis else { return false };
         let Some(longest) = self.longest.get_mut(route) else {
@@ -93,7 +98,7 @@
     }
 }
 
-/// Lengths of spells in which a service refused.
+/// Lengths of episodes in which a service refused requests.
 #[derive(Debug, Clone, Default)]
 struct SpellTimes {
     lengths: VecDeque<f64>,
@@ -115,8 +120,8 @@
         self.lengths.push_back(end.since(began) as f64);
     }
 
-    /// Milliseconds that the present spell is expected to last on: the mean rest of those seen that were longer. One that
-    /// outlasts all is expected to last as long again.
+    /// Expected remaining milliseconds of the current episode: the mean remainder of the stored episodes
+    /// that lasted longer. An episode longer than all of them is expected to double.
     fn expected_rest(&self, now: UnixMillis) -> f64 {
         let age = self.began.map_or(0.0, |began| now.since(began) as f64);
         if self.lengths.is_empty() {
@@ -131,45 +136,45 @@
     }
 }
 
-/// What streams of a service are like, as one process sees them.
+/// Statistics of a service's streams, as one process sees them.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StreamTimes {
-    /// Mean milliseconds to a first event.
+    /// Mean milliseconds until the first event.
     pub first_millis: f64,
-    /// Mean by which first events differ from that.
+    /// Mean deviation from that.
     pub first_deviation: f64,
-    /// Mean events of an answer.
+    /// Mean number of events in an answer.
     pub answer_events: f64,
 }
 
-/// What one process has seen of one service.
+/// Observations of one service by one process.
 #[derive(Debug, Clone, Default)]
 pub struct ServiceForecast {
     in_flight: u32,
     hold_millis: Option<f64>,
     first_millis: Option<f64>,
-    /// Mean by which first events differ from their mean.
+    /// Mean deviation of first events from their mean.
     first_deviation: f64,
-    /// Events of an answer.
+    /// Mean number of events in an answer.
     answer_events: Option<f64>,
     heard: Option<UnixMillis>,
-    /// When the next request may try a group that is down.
+    /// When the next request may probe a group that is down.
     next_probe: UnixDeadline,
     jam: SpellTimes,
     outage: SpellTimes,
 }
 
 impl ServiceForecast {
-    /// A request was given a place.
+    /// Records that a request got a slot.
     pub fn placed(&mut self, now: UnixMillis) {
         if self.in_flight == 0 {
-            // Silence counts only while something is expected.
+            // Silence counts only while an answer is expected.
             self.heard = Some(self.heard.map_or(now, |heard| heard.max(now)));
         }
         self.in_flight += 1;
     }
 
-    /// A place is free again; an answer had taken it for so many milliseconds.
+    /// Records that a slot is free again, and for how many milliseconds an answer had occupied it.
     pub fn freed(&mut self, answered_millis: Option<f64>) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if let Some(millis) = answered_millis {
@@ -177,7 +182,7 @@
         }
     }
 
-    /// The first event of a stream, or an answer, came so many milliseconds after its request was sent.
+    /// Records the first event of a stream, or a whole answer, and its delay after the request was sent.
     pub fn began(&mut self, millis: f64, now: UnixMillis) {
         let deviation = self.first_millis.map_or(0.0, |first| (millis - first).abs());
         self.first_deviation = smoothed(Some(self.first_deviation), deviation);
@@ -185,18 +190,18 @@
         self.heard(now);
     }
 
-    /// A stream ended with so many events.
+    /// Records the end of a stream and its number of events.
     pub fn streamed(&mut self, events: u64) {
         self.answer_events = Some(smoothed(self.answer_events, events as f64));
     }
 
-    /// What streams of the service are like; nothing before one ended.
+    /// Statistics of the service's streams, or `None` before one has ended.
     pub fn streams(&self) -> Option<StreamTimes> {
         let (first_millis, answer_events) = (self.first_millis?, self.answer_events?);
         Some(StreamTimes { first_millis, first_deviation: self.first_deviation, answer_events })
     }
 
-    /// The service showed that it works.
+    /// Records that the service works.
     pub fn heard(&mut self, now: UnixMillis) {
         self.heard = Some(now);
         self.outage.end(now);
@@ -207,7 +212,7 @@
         self.outage.began.is_some()
     }
 
-    /// The service refused a request or failed one.
+    /// Records that the service refused or failed a request.
     pub fn refused(&mut self, now: UnixMillis) {
         if self.silent(now) {
             self.outage.begin(now);
@@ -215,8 +220,8 @@
         self.next_probe = self.next_probe.min(UnixDeadline::after(now, PROBE_MILLIS));
     }
 
-    /// Whether a request may be sent to a group whose streams show whether it works. To one that is down, a
-    /// request now and then is.
+    /// Whether a request may be sent to a group whose streams show whether it works. A group that is
+    /// down only gets probes.
     pub fn may_send(&mut self, now: UnixMillis) -> bool {
         if self.in_flight > 0 && self.silent(now) {
             self.outage.begin(now);
@@ -231,7 +236,8 @@
         due
     }
 
-    /// How the service does where its groups are not known: its silence counts as a pass.
+    /// State of the service as a single group, where its groups are unknown: the time without events
+    /// counts as a pass.
     pub fn pace(&self, now: UnixMillis) -> GroupStatus {
         let silence = self.heard.map_or(u64::MAX, |heard| now.since(heard));
         GroupStatus {
@@ -246,7 +252,7 @@
         self.heard.is_none_or(|heard| now.since(heard) > SILENT_MILLIS)
     }
 
-    /// What becomes of a request that finds no place.
+    /// Decides whether a request without a free slot should wait.
     pub fn ask(&self, ask: PlaceAsk, now: UnixMillis) -> PlaceForecast {
         if self.down() {
             return PlaceForecast::Refuse;
@@ -256,7 +262,7 @@
         let wait = match ask.turn {
             QueueClass::First => on_time,
             QueueClass::Resent => on_time.max(REPEATED_WAIT_MILLIS),
-            // First tries would come before it again and again.
+            // First attempts would overtake it again and again.
             QueueClass::CallerRetry => return PlaceForecast::Refuse,
         };
         let until = UnixDeadline::after(ask.arrival, wait).min(ask.deadline);
@@ -271,14 +277,15 @@
         }
     }
 
-    /// Milliseconds until a request with so many before it has a place, if places become free as they did.
+    /// Expected milliseconds until a request with `ahead` others before it gets a slot, at the observed
+    /// rate.
     fn expected_wait(&self, ahead: usize) -> f64 {
         let hold = self.hold_millis.unwrap_or_default();
         hold * (ahead + 1) as f64 / f64::from(self.in_flight.max(1))
     }
 
-    /// Takes that a request is refused; says after how many milliseconds its caller should come back: not before `least_millis`,
-    /// as far as its deadline bears. `point` is random between 0 and 1.
+    /// Records a refusal and returns the caller's retry delay in milliseconds: at least `least_millis`
+    /// as far as its deadline permits. `point` is random between 0 and 1.
     pub fn return_millis(
         &mut self,
         deadline: UnixDeadline,
--- a/crates/porthoist-policy/src/proxy/groups.rs
+++ b/crates/porthoist-policy/src/proxy/groups.rs
@@ -1,9 +1,10 @@
-//! What is known of groups of targets that fail and slow down together.
+//! State of groups of targets that fail and slow down together.
 //!
-//! One process hears from one target too seldom to judge it: 42 processes before 72 targets send each target a request
-//! every six seconds. All ranks of a group run each pass together, so an event of any one speaks for all, and so do
-//! the reports of the process that plans for the group. Silence counts in the same unit as a pass: a group that nothing was
-//! heard of for a time has passes of at least that time, whether it is held, broken, or behind a link that is cut.
+//! One process hears from a single target too rarely to assess it: with 42 processes and 72 targets,
+//! each sends a request to a given target every six seconds. All ranks of a group run each pass
+//! together, so an event from any of them, or a report of the process that plans for the group,
+//! describes the whole group. Time without events or reports counts as a pass of that duration, whether
+//! the group has stalled, is broken or is behind a cut link.
 
 use super::loads::GroupLoads;
 use super::pass_time::GroupPass;
@@ -11,76 +12,80 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::Ipv4Addr;
 
-/// Silence in milliseconds that says nothing while no stream of this process runs in a group: reports come every 80 to 350.
+/// Time in milliseconds without reports that is ignored while this process has fewer than
+/// [`SURE_STREAMS`] streams in a group. Reports arrive every 80 to 350 ms.
 const REPORT_GRACE_MILLIS: u64 = 400;
-/// Silence in milliseconds that says nothing while streams of this process run there: three passes of a busy group.
+/// Time in milliseconds without events that is ignored while this process has streams in a group: three
+/// passes of a busy group.
 const EVENT_GRACE_MILLIS: u64 = 200;
-/// Streams of this process in a group from which on their silence speaks for the group: a single one may have been sent just
-/// now.
+/// Number of this process's streams in a group from which on a lack of events counts. A single stream
+/// may have just been sent.
 const SURE_STREAMS: u32 = 2;
-/// A group with passes so long in milliseconds counts as standing: an answer of 20 events would take the 8 s after which
-/// its caller leaves.
+/// Pass time in milliseconds from which a group counts as stalled. An answer of 20 events would take 8
+/// s, after which its caller leaves.
 pub const STANDING_MILLIS: u64 = 400;
-/// Streams with passes of more milliseconds are late: their pauses are longer than most routes allow (120 to 200).
+/// Pass time in milliseconds above which streams are late: their pauses exceed what most routes allow
+/// (120 to 200 ms).
 pub const LATE_PASS_MILLIS: f64 = 160.0;
-/// A pass time in milliseconds that is as good as any shorter one: first events come within three passes, and pauses of 120
-/// and more are in time. Were shorter ones told apart, the error of the measure would move load to and fro.
+/// Pass time in milliseconds below which groups count as equally good: first events arrive within three
+/// passes, and pauses of 120 ms or more are allowed. If shorter pass times were distinguished,
+/// measurement errors would shift load back and forth.
 pub const GOOD_PASS_MILLIS: f64 = 80.0;
-/// How often in milliseconds a request may try a group that nothing is heard of: its reports come back by themselves
-/// unless the process that plans for it has gone.
+/// Interval in milliseconds between probes of a silent group. Its reports resume without probes unless
+/// its planning process has gone.
 const PROBE_MILLIS: u64 = 3_000;
 
-/// Number of a group in a book.
+/// Index of a group in a [`GroupTracker`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct GroupIndex(usize);
 
 impl GroupIndex {
-    /// The group at a place in the book.
+    /// The group with this index.
     pub fn at(place: usize) -> Self {
         Self(place)
     }
 
-    /// Its place in the book.
+    /// The index as a number.
     pub fn place(self) -> usize {
         self.0
     }
 }
 
-/// What is known of one group.
+/// Observed state of one group.
 #[derive(Debug, Clone)]
 struct GroupEvidence {
     pass: GroupPass,
     reported: UnixMillis,
-    /// When an event of any of its targets came to this process.
+    /// When an event from any of its targets arrived at this process.
     heard: UnixMillis,
     next_probe: UnixDeadline,
     /// Since when reports have shown passes that make streams late.
     slow_since: Option<UnixMillis>,
-    /// Whether it was last said to stand.
+    /// Whether it was last reported as stalled.
     said_standing: bool,
 }
 
-/// How a group does.
+/// State of a group.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct GroupStatus {
-    /// How long its passes take in milliseconds, as far as known; silence counts as a pass.
+    /// Pass time in milliseconds, as far as known. Time without events or reports counts as a pass.
     pub millis: f64,
-    /// Whether it runs no passes that could still serve a request.
+    /// Whether its passes are too slow to serve a request, or it runs none.
     pub stalled: bool,
-    /// For how many milliseconds reports have shown passes that make streams late.
+    /// Milliseconds for which reports have shown passes that make streams late.
     pub slow_for_millis: u64,
-    /// Whether a request may try it although it stands.
+    /// Whether a request may probe it although it is stalled.
     pub probe_due: bool,
 }
 
 impl GroupStatus {
-    /// How many times longer its passes take than the best one's.
+    /// Pass time relative to that of the best group, at least 1.
     pub fn factor(&self, best_millis: f64) -> f64 {
         (self.millis / best_millis.max(GOOD_PASS_MILLIS)).max(1.0)
     }
 }
 
-/// What one process knows of all groups.
+/// State of all groups, as one process knows it.
 #[derive(Debug, Clone, Default)]
 pub struct DomainBook {
     groups: Vec<GroupEvidence>,
@@ -88,7 +93,7 @@
 }
 
 impl DomainBook {
-    /// Takes a report; returns the group that it is about.
+    /// Applies a report; returns its group.
     pub fn take_report(&mut self, loads: &GroupLoads, now: UnixMillis) -> GroupIndex {
         let index = self.known_group(loads).unwrap_or(GroupIndex(self.groups.len()));
         if index.0 == self.groups.len() {
@@ -112,7 +117,7 @@
         index
     }
 
-    /// The group that most hosts of a report were in: a rank may have moved from one group to another.
+    /// The group that most hosts of a report belonged to; single ranks may have moved between groups.
     fn known_group(&self, loads: &GroupLoads) -> Option<GroupIndex> {
         let mut hosts: BTreeMap<GroupIndex, usize> = BTreeMap::new();
         for index in loads.ranks.iter().filter_map(|rank| self.by_host.get(&rank.host)) {
@@ -121,7 +126,7 @@
         hosts.into_iter().max_by_key(|(_index, count)| *count).map(|(index, _count)| index)
     }
 
-    /// Takes that an event of a target came.
+    /// Records an event from a target.
     pub fn heard(&mut self, host: Ipv4Addr, now: UnixMillis) {
         let Some(index) = self.by_host.get(&host) else { return };
         let group = &mut self.groups[index.0];
@@ -132,27 +137,27 @@
         }
     }
 
-    /// Takes that a request tries a group that stands.
+    /// Records that a request probes a stalled group.
     pub fn probed(&mut self, index: GroupIndex, now: UnixMillis) {
         self.groups[index.0].next_probe = UnixDeadline::after(now, PROBE_MILLIS);
     }
 
-    /// Takes whether a group stands; returns whether that is new.
+    /// Records whether a group is stalled; returns whether that changed.
     pub fn take_standing(&mut self, index: GroupIndex, standing: bool) -> bool {
         std::mem::replace(&mut self.groups[index.0].said_standing, standing) != standing
     }
 
-    /// Groups known of.
+    /// Number of known groups.
     pub fn len(&self) -> usize {
         self.groups.len()
     }
 
-    /// Whether no group is known of.
+    /// Whether no group is known.
     pub fn is_empty(&self) -> bool {
         self.groups.is_empty()
     }
 
-    /// How a group does in which so many requests of this process run.
+    /// State of a group in which this process has `running` requests.
     pub fn pace(&self, index: GroupIndex, running: u32, now: UnixMillis) -> GroupStatus {
         let group = &self.groups[index.0];
         let heard = group.reported.max(group.heard);
--- a/crates/porthoist-policy/src/proxy/moving.rs
+++ b/crates/porthoist-policy/src/proxy/moving.rs
@@ -1,87 +1,92 @@
-//! When a request leaves a target that still has it, to be sent again or resumed at another one.
+//! Decides when a request leaves the target that runs it, to be resent or resumed at another one.
 //!
-//! It answers the load of one group of several that stands, turns slow or is cut off, and of one host that stands still
-//! while its group goes on. A move wastes what the target did, and the repeats that processes may send are bounded; it is
-//! worth it only where the caller gains: an answer in time, or one at all.
+//! This handles a group that stalls, becomes slow or is cut off while others work, and a host that
+//! stalls while its group goes on. A move wastes the work that the target has done, and the number of
+//! resends is limited. It is worthwhile only if the caller gains an answer in time, or one at all.
 
 use super::forecast::StreamTimes;
 use super::groups::{GOOD_PASS_MILLIS, GroupStatus};
 use porthoist_core::{UnixDeadline, UnixMillis};
 
-/// Least time in milliseconds that a request waits for its first event before its target alone is suspected.
+/// Minimum time in milliseconds that a request waits for its first event before its target alone is
+/// suspected.
 const LEAST_FIRST_MILLIS: f64 = 250.0;
-/// A first event that is late by so many mean deviations is taken to be lost. On a calm day 99 of 100 come within 263 ms
-/// and the mean is 175.
+/// Number of mean deviations after which a late first event is considered lost. Usually 99 of 100 arrive
+/// within 263 ms, and the mean is 175 ms.
 const FIRST_DEVIATIONS: f64 = 5.0;
-/// Time in milliseconds that a request waits for its first event at a host that is not heard: twice what one takes elsewhere.
+/// Time in milliseconds that a request waits for its first event at an unreachable host: twice the usual
+/// time elsewhere.
 const HOST_SILENT_MILLIS: u64 = 350;
-/// Pause in milliseconds after which a stream goes on elsewhere. Callers leave after two seconds without an event, and the
-/// first event elsewhere takes some 200.
+/// Pause in milliseconds after which a stream is resumed elsewhere. Callers leave after 2 s without an
+/// event, and the first event elsewhere takes some 200 ms.
 const PAUSE_MILLIS: u64 = 800;
-/// Least time in milliseconds since a request was sent, or its last event came, after which it leaves a target, and that
-/// after which it leaves a group that stands where it can still be in time elsewhere: a switch of maps holds a group for
-/// less.
+/// Minimum time in milliseconds since a request was sent, or since its last event, before it leaves a
+/// target. Also the time after which it leaves a stalled group if it can still be in time elsewhere;
+/// switching expert maps blocks a group for less.
 pub const LEAST_WAIT_MILLIS: u64 = 150;
-/// How many times longer than elsewhere passes must take to leave a group that goes on.
+/// Factor by which passes must take longer than elsewhere before a request leaves a group that still
+/// works.
 const SLOW_FACTOR: f64 = 3.0;
-/// The longest answers have so many times the events of the mean one: 48.5 and 19.4 on the users' routes. In a group slow by
-/// 12, 14 of 6,900 requests came to their deadline with half of their events.
+/// Number of events in the longest answers, as a multiple of the mean: 48.5 to 19.4 on the users'
+/// routes. In a group slowed by a factor of 12, 14 of 6,900 requests reached their deadline with half of
+/// their events.
 const LONGEST_ANSWER: f64 = 2.5;
-/// Time in milliseconds for which a group must be slow to be left for that: a switch of maps that takes long is over by
-/// then.
+/// Time in milliseconds for which a group must be slow before requests leave it for that reason; even a
+/// long switch of expert maps is over by then.
 const LASTING_MILLIS: u64 = 400;
 
-/// Part of the places in other groups up to which streams go on there, and up to which requests do that can still be in
-/// time. Above, they would only make others late: the 250 streams of two groups that were held filled the third one, whose
-/// ranks then refused 190 new requests in a second.
+/// Fractions of occupied slots in other groups up to which streams, and requests that can still be in
+/// time, move there. Above these, moves only make others late: the 250 streams of two stalled groups
+/// filled the third one, whose ranks then refused 190 new requests in a second.
 const ROOM_FOR_STREAMS: f64 = 0.7;
 const ROOM_FOR_FIRST: f64 = 0.8;
-/// Longest time in milliseconds by which moves are spread, so that those of all processes are not at the same moment.
+/// Upper bound in milliseconds of the random delay of a move, so that the moves of all processes are not
+/// simultaneous.
 pub const MAX_MOVE_JITTER_MILLIS: u64 = 400;
 
-/// A request at a target.
+/// A request that waits for its target.
 #[derive(Debug, Clone, Copy)]
 pub struct PendingSend {
-    /// When it was sent, or its last event came.
+    /// When it was sent or its last event arrived.
     pub since: UnixMillis,
-    /// Events that came.
+    /// Number of events received.
     pub events: u64,
-    /// By how much a move is put off, in milliseconds, at most [`MAX_MOVE_JITTER_MILLIS`].
+    /// Delay of a move in milliseconds, below [`MAX_MOVE_JITTER_MILLIS`].
     pub jitter_millis: u64,
-    /// When its first event would be late.
+    /// Until when its first event is on time.
     pub on_time_until: UnixDeadline,
-    /// When nobody waits for it any more.
+    /// When its caller stops waiting.
     pub deadline: UnixDeadline,
 }
 
-/// What is known of the ways that it has.
+/// State of its own group and of the alternatives.
 #[derive(Debug, Clone, Copy)]
 pub struct KnownWays {
-    /// How its group does.
+    /// State of its own group.
     pub here: GroupStatus,
-    /// Pass time in milliseconds of the best other group that goes on; nothing without one.
+    /// Pass time in milliseconds of the best other working group; `None` without one.
     pub elsewhere_millis: Option<f64>,
-    /// Part of the places that is taken in groups that go on.
+    /// Fraction of slots that are occupied in working groups.
     pub taken: f64,
-    /// Whether the process on the target's host is not heard either.
+    /// Whether the process on the target's host is unreachable as well.
     pub host_silent: bool,
-    /// What streams of the service are like.
+    /// Statistics of the service's streams.
     pub streams: StreamTimes,
 }
 
 /// Why a request leaves a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MoveCause {
-    /// Its group stands, or its way is cut.
+    /// Its group has stalled or is unreachable.
     GroupStalled,
-    /// Its group is too slow to end the answer before its deadline.
+    /// Its group is too slow to finish the answer before the deadline.
     GroupSlow,
-    /// Its group goes on, and the target does not.
+    /// Its group works, but the target does not respond.
     TargetSilent,
 }
 
 impl MoveCause {
-    /// Its name in logs.
+    /// The name in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::GroupStalled => "group_stands",
@@ -91,11 +96,11 @@
     }
 }
 
-/// Whether a request is to leave its target now.
+/// Whether a request should leave its target now, and why.
 pub fn move_cause(send: &PendingSend, ways: &KnownWays, now: UnixMillis) -> Option<MoveCause> {
     let waited = now.since(send.since);
     let target_silent = !ways.here.stalled && is_silent(send, ways, waited);
-    // Another rank of the same group can take what this one does not.
+    // Another rank of the same group can serve it as well.
     let elsewhere = ways.elsewhere_millis.or_else(|| target_silent.then_some(ways.here.millis))?;
     let left = send.deadline.0.since(now) as f64;
     if ways.streams.first_millis > left {
@@ -118,7 +123,8 @@
     let rest = (ways.streams.answer_events - send.events as f64).max(ways.streams.answer_events / 2.0);
     let lasting = ways.here.slow_for_millis >= LASTING_MILLIS + send.jitter_millis
         && ways.here.millis > SLOW_FACTOR * elsewhere;
-    // Nobody knows the rest of a long answer: it leaves while the longest can still end elsewhere.
+    // The length of the answer is unknown, so the request leaves while even the longest can still finish
+    // elsewhere.
     let longest = LONGEST_ANSWER * ways.streams.answer_events;
     let last_chance = ways.streams.first_millis + longest * elsewhere;
     let too_slow = lasting && (rest * ways.here.millis > left || left < last_chance);
@@ -126,7 +132,7 @@
     (too_slow && ends_elsewhere).then_some(MoveCause::GroupSlow)
 }
 
-/// Whether a target says nothing although its group goes on.
+/// Whether a target does not respond although its group works.
 fn is_silent(send: &PendingSend, ways: &KnownWays, waited: u64) -> bool {
     let streams = ways.streams;
     let patience = match (send.events, ways.host_silent) {
@@ -136,6 +142,6 @@
         }
         (_begun, _silent) => PAUSE_MILLIS as f64,
     };
-    // Where passes are long, many first events are late and none is lost: leaving for that would add to the load.
+    // Where passes are slow, many first events are late and none is lost; moves would only add load.
     (ways.host_silent || ways.here.millis <= GOOD_PASS_MILLIS) && waited as f64 > patience
 }
--- a/crates/porthoist-policy/src/proxy/pass_time.rs
+++ b/crates/porthoist-policy/src/proxy/pass_time.rs
@@ -1,25 +1,25 @@
-//! How long the passes of a group take, from the numbers of passes begun that its first rank shows.
+//! Pass times of a group, derived from the pass counter of its first rank.
 //!
-//! All ranks of a group run each pass together, so that one rank which is slow, held or cut off delays all of them. The
-//! time of a pass tells this at once and whatever the cause.
+//! All ranks of a group run each pass together, so a single rank that is slow, stalled or cut off delays
+//! all of them. The pass time shows this at once, whatever the cause.
 
 use crate::roll_forward::{GroupEpoch, RankPace};
 use crate::switch::StepNumber;
 use porthoist_core::UnixMillis;
 use serde::{Deserialize, Serialize};
 
-/// Weight of a newly seen pass in the mean: a group that turns slow shows it within two passes.
+/// Weight of a new pass in the mean. A group that becomes slow is detected within two passes.
 const PASS_WEIGHT: f64 = 0.5;
 
-/// What is told of a group's passes.
+/// Reported pass time of a group.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GroupPass {
-    /// Nothing, for example by a process that has seen no pass yet.
+    /// Not known, for example because the process has seen no pass yet.
     #[default]
     Unknown,
-    /// A pass takes so many milliseconds, or has taken them already and goes on.
+    /// Milliseconds that a pass takes, or that the current one has already taken.
     Millis(u16),
-    /// The group is not formed: a rank of it is missing.
+    /// The group is not formed: one of its ranks is missing.
     Broken,
 }
 
@@ -33,25 +33,26 @@
     }
 }
 
-/// Weight of a newly seen pass in the usual time, which outlasts the shifts of demand, seconds apart.
+/// Weight of a new pass in the typical time, which must not follow the demand shifts, seconds apart.
 const USUAL_WEIGHT: f64 = 0.05;
-/// Most that one pass counts in the means, in milliseconds: one that was held for seconds is forgotten within five.
+/// Upper bound in milliseconds of one pass in the means. A pass that was blocked for seconds is
+/// forgotten after five more passes.
 const MOST_PASS_MILLIS: f64 = 1_000.0;
 
-/// What a reading of a group showed.
+/// Observed state of a group.
 #[derive(Debug, Clone, Copy)]
 pub struct GroupSample {
-    /// Its formation.
+    /// Epoch of its formation.
     pub epoch: GroupEpoch,
-    /// The last pass begun.
+    /// Number of the last pass begun.
     pub step: StepNumber,
     /// Whether any rank has requests.
     pub busy: bool,
-    /// How slow the slowest rank says that it is.
+    /// Pace of its slowest rank, as the rank reports it.
     pub slowest: RankPace,
 }
 
-/// The pass that was last seen.
+/// The last observed pass.
 #[derive(Debug, Clone, Copy)]
 struct SeenPass {
     epoch: GroupEpoch,
@@ -70,8 +71,9 @@
 }
 
 impl PassTimer {
-    /// Takes a reading. A group without work makes no passes: what was measured before says nothing of it any more.
-    /// Without that, a group that was held for 4 s and left by all requests meanwhile was taken to stand for ever.
+    /// Records an observation. A group without work runs no passes, so earlier measurements are
+    /// discarded. Otherwise a group that stalled for 4 s and lost all its requests meanwhile would count
+    /// as stalled forever.
     pub fn observe(&mut self, group: GroupSample, now: UnixMillis) {
         let GroupSample { epoch, step, busy: working, slowest } = group;
         self.slowest = slowest;
@@ -100,8 +102,8 @@
         }
     }
 
-    /// How long a pass takes; the one under way counts once it has taken longer. Of a group without work it is what its
-    /// slowest rank lets expect.
+    /// Current pass time; the running pass counts once it takes longer than the mean. For a group
+    /// without work, the typical time scaled by the pace of its slowest rank.
     pub fn pass(&self, now: UnixMillis) -> GroupPass {
         let expected = self.usual_millis.map(|usual| usual * self.slowest.factor());
         let Some(mean) = self.mean_millis.or(expected) else { return GroupPass::Unknown };
--- a/crates/porthoist-policy/src/proxy/quarantine.rs
+++ b/crates/porthoist-policy/src/proxy/quarantine.rs
@@ -1,19 +1,22 @@
-//! Which requests are kept from targets, because targets die of them.
+//! Quarantine of requests that crash the targets that run them.
 //!
-//! A request that kills the target that runs it comes again at any entry, as another attempt. A few such requests keep a
-//! group of ranks down, which takes seconds to form again, and with it the requests of all others. So a death is held against each request that was at the target, all entries
-//! are told, and the book decides whether the same request may be sent once more:
+//! A caller retries a request that killed its target, at any entry and as a new attempt. A few such
+//! requests keep a group of ranks down, which takes seconds to form again, and with it the requests of
+//! all other callers. Each death is therefore counted against every request that was at the target and
+//! shared with all entries. The tracker decides when the same request may be sent again:
 //!
-//! - after one death, in a group: not before [`HOLD_MILLIS`] have passed. A send that kills costs a group some 5 s of all its
-//!   requests, and a bystander has left by the time that the group serves again;
-//! - after one death of a plain target: at once, but never twice at the same time;
-//! - after deaths of two targets: not before [`HOLD_MILLIS`] have passed. A bystander may have gone from one target to the next
-//!   together with the request that kills;
-//! - after three: not before [`QUARANTINE_MILLIS`] have passed, and twice as long after each further death.
+//! - After one death in a group: after [`HOLD_MILLIS`]. A request that kills costs a group some 5 s of
+//!   all its requests, and the caller of an innocent request has left by the time the group serves
+//!   again.
+//! - After one death of a target without a group: at once, but never twice at the same time.
+//! - After deaths of two targets: after [`HOLD_MILLIS`]. An innocent request may have been retried on
+//!   the second target together with the one that kills.
+//! - After three: after [`QUARANTINE_MILLIS`], which doubles with each further death.
 //!
-//! A request that kills, kills every target that begins to run it. One whole answer clears it.
+//! A request that kills does so at every target that begins to run it, so one complete answer clears it.
 //!
-//! What the book says follows from the set of deaths that it knows, not from the order in which it heard of them.
+//! The decision depends only on the set of known deaths, not on the order in which the process learned
+//! of them.
 
 use crate::proxy::trusted::TrustedMarks;
 use porthoist_core::{RequestMark, UnixDeadline, UnixMillis};
@@ -22,40 +25,42 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// How long a request is kept from targets on little evidence, in milliseconds after its last death.
+/// Time in milliseconds for which a request is held after its last death while the evidence is weak.
 ///
-/// Recorded requests of this kind came again for 14 to 20 s. Callers wait 8 s at most, so that a bystander loses nothing by a
-/// longer time. Each is held for up to half as long again.
+/// Requests that kill were retried for 14 to 20 s. Callers wait 8 s at most, so an innocent request
+/// loses nothing by a longer hold. Each hold is extended by up to half this time.
 pub const HOLD_MILLIS: u64 = 60_000;
-/// How long a request is kept from targets that nearly certainly kills them, in milliseconds after its last death: one more
-/// send then costs a group 5 s in 10 minutes at most.
+/// Time in milliseconds for which a request is held after its last death once it almost certainly kills
+/// its targets. One more send then costs a group at most 5 s in 10 minutes.
 pub const QUARANTINE_MILLIS: u64 = 600_000;
-/// The longest time for which a request is kept from targets without another death, in milliseconds: a day.
+/// Longest time in milliseconds for which a request is held without another death: one day.
 pub const MAX_QUARANTINE_MILLIS: u64 = 86_400_000;
-/// Deaths of targets after which a request is held to kill, whatever else was at them. Operators allow three.
+/// Number of deaths after which a request counts as the cause, whatever else ran on the targets.
+/// Operators tolerate three.
 pub const CERTAIN_DEATHS: usize = 3;
-/// When a caller may come back whose request runs at this moment, and must not run twice while it is suspected, in
-/// milliseconds: recorded requests killed their target within 0.5 s.
+/// Retry delay in milliseconds for a suspected request that is already running and must not run twice at
+/// the same time. Requests that kill did so within 0.5 s.
 pub const ALONE_RETRY_MILLIS: u64 = 1_000;
-/// Requests that are remembered at most; each is remembered for a death of a target, and has some 200 bytes.
+/// Maximum number of tracked requests. Each takes some 200 bytes.
 pub const MAX_MARKS: usize = 1_024;
-/// Deaths that are remembered of one request at most.
+/// Maximum number of deaths stored for one request.
 pub const MOST_DEATHS: usize = 16;
-/// How much longer than the process that noted a death the others wait before they remove its row, in milliseconds.
+/// Additional time in milliseconds after which other processes remove a row that its writer has not
+/// removed.
 const OTHERS_MILLIS: u64 = 30_000;
 
 /// Minimum delay before a process rewrites a lost row of a death that another process noted, in milliseconds. Jitter adds up
 /// to the same amount.
 const REWRITE_DELAY_MILLIS: u64 = 2_000;
 
-/// What a book decides by; tests vary it.
+/// Thresholds of a tracker; tests vary them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QuarantineRules {
-    /// As [`CERTAIN_DEATHS`].
+    /// See [`CERTAIN_DEATHS`].
     pub certain_deaths: usize,
-    /// As [`HOLD_MILLIS`].
+    /// See [`HOLD_MILLIS`].
     pub hold_millis: u64,
-    /// Whether whole answers of the last seconds speak for a request.
+    /// Whether a recent complete answer protects a request from suspicion.
     pub trust: bool,
 }
 
@@ -65,12 +70,12 @@
     }
 }
 
-/// A death that is held against a request: also the key of its row.
+/// A death counted against a request, and the key of its row.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CrashKey {
     /// The request.
     pub mark: RequestMark,
-    /// The target's life that ended.
+    /// The life of the target that ended.
     pub target: Box<str>,
 }
 
@@ -80,7 +85,7 @@
     }
 }
 
-/// Error of parsing the key of a row of deaths.
+/// Error of parsing the key of a row of the crash table.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{0:?} is not the key of a death: expected a mark, a slash and a target")]
 pub struct CrashKeyError(String);
@@ -99,27 +104,28 @@
     }
 }
 
-/// What a row of deaths says.
+/// Value of a row of the crash table.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
-    /// When the death was noted, by the clock of the host that noted it.
+    /// When the death was observed, by the clock of the host that observed it.
     pub died: UnixMillis,
     /// Whether the target was a rank of a group.
     pub ranked: bool,
-    /// The host that noted it.
+    /// The host that observed it.
     pub by: Box<str>,
 }
 
-/// The table of deaths.
+/// All rows of the crash table.
 pub type CrashRows = HashMap<CrashKey, CrashReport>;
 
-/// A death in the book.
+/// A death as this process knows it.
 #[derive(Debug, Clone)]
 struct KnownDeath {
     report: CrashReport,
-    /// Whether the table has shown it since its last restore; one that it no longer shows was cleared.
+    /// Whether the table has contained it since its last restore. A death that then disappears from the
+    /// table has been cleared.
     told: bool,
-    /// Whether its row's removal was asked for.
+    /// Whether removal of its row was requested.
     leaving: bool,
     /// When to rewrite its row, if a restore of the table lost it.
     rewrite_at: Option<UnixDeadline>,
@@ -135,7 +141,7 @@
 #[derive(Debug, Clone, Default)]
 struct SuspectRecord {
     deaths: BTreeMap<Box<str>, KnownDeath>,
-    /// Runs of this process now.
+    /// Number of sends of this process that are running.
     running: u32,
 }
 
@@ -145,19 +151,19 @@
     }
 }
 
-/// How strong the evidence is.
+/// How strongly a request is suspected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SuspicionLevel {
-    /// One death of a plain target: one run at a time.
+    /// One death of a target without a group: one send at a time.
     Watched,
-    /// Too little to be certain, too much to send it again soon.
+    /// Too little evidence to be certain, too much to send it again soon.
     Held,
-    /// It kills targets.
+    /// It kills its targets.
     Quarantined,
 }
 
 impl SuspicionLevel {
-    /// Its name in logs and metrics.
+    /// The name in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Watched => "watched",
@@ -170,51 +176,52 @@
 /// Permission to send a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendPermit {
-    /// Nothing is held against it.
+    /// The request is not suspected.
     Clear,
-    /// It is suspected; the book counts its run until [`QuarantineTracker::ended`].
+    /// The request is suspected; the send counts as running until [`QuarantineTracker::ended`].
     Suspected,
 }
 
-/// Why a request is kept from targets now.
+/// Why a request must not be sent now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestBlock {
-    /// How strong the evidence is.
+    /// How strongly it is suspected.
     pub level: SuspicionLevel,
     /// Targets that died under it.
     pub deaths: usize,
-    /// When it may be sent again, if nothing else happens.
+    /// When it may be sent again if nothing else happens.
     pub until: UnixDeadline,
 }
 
-/// What a death changed.
+/// Effect of a death on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DeathOutcome {
-    /// A whole answer of the last seconds speaks for the request.
+    /// Not counted: a recent complete answer protects the request.
     Trusted,
-    /// It was known.
+    /// Already known.
     Known,
-    /// It is held against the request.
+    /// Counted against the request.
     Held {
-        /// How strong the evidence is now.
+        /// How strongly it is suspected now.
         level: SuspicionLevel,
         /// Targets that died under the request.
         deaths: usize,
     },
 }
 
-/// What the rows of the table changed.
+/// Effects of the rows of the crash table.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct QuarantineChanges {
-    /// Requests that a death was heard of.
+    /// Requests with deaths that other processes reported.
     pub heard: Vec<(RequestMark, SuspicionLevel, usize)>,
     /// Requests whose deaths were all removed.
     pub lifted: Vec<RequestMark>,
-    /// Rows to remove: this process has a whole answer to the request, or the book is full.
+    /// Rows to remove, because this process has received a complete answer to the request or tracks too
+    /// many requests.
     pub remove: Vec<CrashKey>,
 }
 
-/// Deaths of targets by the requests that were at them.
+/// Deaths of targets by the requests that ran on them.
 #[derive(Debug, Default)]
 pub struct QuarantineTracker {
     rules: QuarantineRules,
@@ -223,22 +230,22 @@
 }
 
 impl QuarantineTracker {
-    /// An empty book.
+    /// Creates a tracker without deaths.
     pub fn new(rules: QuarantineRules) -> Self {
         Self { rules, ..Self::default() }
     }
 
-    /// Whether nothing is held against any request.
+    /// Whether no request is suspected.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Requests that something is held against.
+    /// Number of suspected requests.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether a request with this head may be in the book, which spares the digest of its body.
+    /// Whether a request with this head may be tracked; if not, its body need not be hashed.
     pub fn knows_head(&self, head: u64) -> bool {
         self.records.keys().any(|mark| mark.head == head)
     }
@@ -252,10 +259,11 @@
         if deaths > 1 || ranked { SuspicionLevel::Held } else { SuspicionLevel::Watched }
     }
 
-    /// How long a request is kept from targets after its last death.
+    /// Time for which a request is held after its last death.
     ///
-    /// Requests that were at a target together are held for different times: a hot request that came back in the same moment as the
-    /// one that kills was at its third death 60 s after the second, in 1 of 60 random plays.
+    /// Requests that were on the same target are held for different times. Otherwise a popular request
+    /// that was retried at the same moment as the one that kills had its third death 60 s after the
+    /// second, in 1 of 60 random simulations.
     fn kept_millis(&self, mark: &RequestMark, level: SuspicionLevel, deaths: usize) -> u64 {
         let hold = self.rules.hold_millis;
         match level {
@@ -268,14 +276,14 @@
         }
     }
 
-    /// When the deaths of a request no longer count: as long again as it was kept from targets, so that one more death finds
-    /// them remembered.
+    /// When the deaths of a request expire: after twice the hold, so that they still count if it kills
+    /// again when the hold ends.
     fn forgotten_at(&self, mark: &RequestMark, record: &SuspectRecord) -> UnixDeadline {
         let kept = self.kept_millis(mark, self.level(record), record.deaths.len());
         UnixDeadline::after(record.last_death(), 2 * kept.max(self.rules.hold_millis))
     }
 
-    /// What is held against a request, and until when it is kept from targets; nothing if nothing is.
+    /// How strongly a request is suspected and until when it is held, or `None` if it is not suspected.
     pub fn status(&self, mark: &RequestMark, now: UnixMillis) -> Option<RequestBlock> {
         let record = self.records.get(mark)?;
         if self.forgotten_at(mark, record).passed(now) {
@@ -287,7 +295,8 @@
         Some(RequestBlock { level, deaths, until })
     }
 
-    /// Asks to send a request. With [`SendPermit::Suspected`] its run counts until [`Self::ended`].
+    /// Requests permission to send. With [`SendPermit::Suspected`] the send counts as running until
+    /// [`Self::ended`].
     pub fn begin(&mut self, mark: &RequestMark, now: UnixMillis) -> Result<SendPermit, RequestBlock> {
         let Some(kept) = self.status(mark, now) else { return Ok(SendPermit::Clear) };
         if !kept.until.passed(now) {
@@ -301,14 +310,14 @@
         Ok(SendPermit::Suspected)
     }
 
-    /// Takes that a run of a suspected request ended, in whatever way.
+    /// Records that a send of a suspected request ended, whatever the outcome.
     pub fn ended(&mut self, mark: &RequestMark) {
         if let Some(record) = self.records.get_mut(mark) {
             record.running = record.running.saturating_sub(1);
         }
     }
 
-    /// Takes that a target died while this request was at it.
+    /// Records that a target died while this request was on it.
     pub fn died(&mut self, key: &CrashKey, report: CrashReport, now: UnixMillis) -> DeathOutcome {
         if self.rules.trust && self.trusted.trusts(&key.mark, now) {
             return DeathOutcome::Trusted;
@@ -322,15 +331,16 @@
         DeathOutcome::Held { level: self.level(record), deaths: record.deaths.len() }
     }
 
-    /// Takes that a target answered a request whole; returns the rows to remove.
+    /// Records a complete answer to a request; returns the rows to remove.
     pub fn answered(&mut self, mark: &RequestMark, now: UnixMillis) -> Vec<CrashKey> {
         self.trusted.answered(*mark, now);
         let Some(record) = self.records.remove(mark) else { return Vec::new() };
         record.deaths.into_keys().map(|target| CrashKey { mark: *mark, target }).collect()
     }
 
-    /// Takes the whole table of deaths. `first` says that nothing was known of it before, or that it was restored from a backup:
-    /// only then do the clocks of other hosts count, all later news are of this moment.
+    /// Applies all rows of the crash table. `first` marks the first listing and the first one after a
+    /// restore from a backup: only then are times of death taken from the rows, by the clocks of other
+    /// hosts. Rows that are new later count from `now`.
     pub fn apply_rows(&mut self, rows: &CrashRows, first: bool, now: UnixMillis) -> QuarantineChanges {
         let mut changes = QuarantineChanges::default();
         self.drop_removed(rows, &mut changes);
@@ -364,9 +374,10 @@
         changes
     }
 
-    /// Schedules rewrites of rows that are missing after the table was restored from a backup. Their deaths count until the table
-    /// has shown them again. The process that noted a death rewrites its row at once, others after a delay if it is still
-    /// missing. `jitter` from 0 to 1 spreads the rewrites of the others.
+    /// Schedules rewrites of rows that are missing after the table was restored from a backup. Their
+    /// deaths count until the table contains them again. The process that observed a death rewrites its
+    /// row at once, others after a delay if it is still missing. `jitter` from 0 to 1 spreads the
+    /// rewrites of the others.
     pub fn schedule_rewrites(&mut self, rows: &CrashRows, own: &str, jitter: f64, now: UnixMillis) {
         let later = REWRITE_DELAY_MILLIS + (REWRITE_DELAY_MILLIS as f64 * jitter) as u64;
         for (mark, record) in &mut self.records {
@@ -412,7 +423,8 @@
         changes.lifted.sort_unstable();
     }
 
-    /// Drops the least suspected and oldest requests beyond [`MAX_MARKS`]; returns their rows, to be removed.
+    /// Drops the least suspected and oldest requests above [`MAX_MARKS`]; returns their rows for
+    /// removal.
     pub fn evict_excess(&mut self) -> Vec<CrashKey> {
         let beyond = self.records.len().saturating_sub(MAX_MARKS);
         if beyond == 0 {
@@ -432,8 +444,9 @@
         rows.collect()
     }
 
-    /// Rows that no longer count and that this process is to remove now: its own at once, those of others later, in case that
-    /// they can't. `jitter` from 0 to 1 spreads the processes that would remove the same rows.
+    /// Expired rows that this process has to remove now: its own at once, those of other processes
+    /// later, in case their writers no longer run. `jitter` from 0 to 1 spreads the processes that would
+    /// remove the same rows.
     pub fn take_expired(&mut self, own: &str, jitter: f64, now: UnixMillis) -> Vec<CrashKey> {
         let ends: Vec<(RequestMark, UnixDeadline)> =
             self.records.iter().map(|(mark, record)| (*mark, self.forgotten_at(mark, record))).collect();
--- a/crates/porthoist-policy/src/proxy/retry_share.rs
+++ b/crates/porthoist-policy/src/proxy/retry_share.rs
@@ -1,26 +1,28 @@
-//! One process's share of the repeats that all processes together may send to a service.
+//! One process's share of the retries that all processes together may send to a service.
 //!
-//! Nothing is coordinated: the shares of all processes add up to less than the whole, whoever is alive.
+//! The processes don't coordinate. Their shares add up to less than the total, whichever of them are
+//! running.
 
 use porthoist_core::UnixMillis;
 use std::collections::VecDeque;
 
-/// Part of the share that requests which are not lost without a repeat may use. A crash of one of three groups repeats
-/// a third of what runs, some 20 of a process's 70 requests in a window of 10 s, of which the share bears 14.
+/// Fraction of the share for retries of requests that would succeed without them. A crash of one of
+/// three groups causes retries for a third of the running requests: some 20 of a process's 70 requests
+/// in a window of 10 s, of which the share permits 14.
 const SPARE_PART: f64 = 0.6;
 
-/// Settings of a share.
+/// Settings of a retry share.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryShareSettings {
-    /// Repeats allowed for each first send of this process.
+    /// Retries permitted per first send of this process.
     pub ratio: f64,
-    /// Repeats in a window that are allowed beside the ratio.
+    /// Retries permitted per window in addition to the ratio.
     pub slack: f64,
     /// Length of the window in milliseconds.
     pub window_millis: u64,
 }
 
-/// First sends and repeats of the last window.
+/// First sends and retries within the window.
 #[derive(Debug, Clone)]
 pub struct RetryShare {
     settings: RetryShareSettings,
@@ -29,7 +31,7 @@
 }
 
 impl RetryShare {
-    /// An empty window.
+    /// Creates a share without sends.
     pub fn new(settings: RetryShareSettings) -> Self {
         Self { settings, firsts: VecDeque::new(), repeats: VecDeque::new() }
     }
@@ -39,18 +41,19 @@
         self.settings.slack = slack;
     }
 
-    /// Counts the first send of a request.
+    /// Records the first send of a request.
     pub fn first(&mut self, now: UnixMillis) {
         self.forget(now);
         self.firsts.push_back(now);
     }
 
-    /// Takes one repeat from the share; `false` when it is spent.
+    /// Takes one retry from the share; `false` if it is used up.
     pub fn take(&mut self, now: UnixMillis) -> bool {
         self.take_part(1.0, now)
     }
 
-    /// Takes one repeat for a request that is not lost without it; `false` when only the reserve for failures is left.
+    /// Takes one retry for a request that would succeed without it; `false` if only the reserve for
+    /// failed requests is left.
     pub fn take_optional(&mut self, now: UnixMillis) -> bool {
         self.take_part(SPARE_PART, now)
     }
--- a/crates/porthoist-policy/src/proxy/routes.rs
+++ b/crates/porthoist-policy/src/proxy/routes.rs
@@ -1,6 +1,7 @@
-//! The routes of a configuration: a host and the longest path prefix select one, and it names the services.
+//! The routes of a configuration. A request's host and the longest matching path prefix select a route,
+//! which refers to services.
 //!
-//! A table is immutable; a newer version replaces it as a whole.
+//! A table is immutable and is replaced as a whole by a newer version.
 
 use super::cold::ColdRule;
 use porthoist_core::{ServiceName, TeamName};
@@ -18,22 +19,22 @@
     }
 }
 
-/// What a failed send of a request allows.
+/// Whether requests of a route may be resent after a failure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
-    /// A request that may run more than once.
+    /// Requests may run more than once.
     Repeatable,
-    /// A request that may run once at most.
+    /// Requests may run at most once.
     Once,
-    /// A stream of events; `resumable` says whether it may go on at another target.
+    /// The answer is a stream of events.
     Events {
-        /// Whether a second target may go on after the last event delivered.
+        /// Whether another target may continue after the last delivered event.
         resumable: bool,
     },
 }
 
 impl RouteKind {
-    /// Whether the request may be sent again after it may have run.
+    /// Whether a request may be resent after it may have run.
     pub fn repeatable(self) -> bool {
         matches!(self, Self::Repeatable | Self::Events { resumable: true })
     }
@@ -44,12 +45,12 @@
     }
 }
 
-/// A service with its part of a route's requests.
+/// A service and its share of a route's requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WeightedService {
     /// The service.
     pub service: ServiceName,
-    /// Its part of the sum of all weights.
+    /// Its share of the sum of all weights.
     pub weight: u32,
 }
 
@@ -60,26 +61,27 @@
     pub name: Arc<str>,
     /// Path prefix; begins and ends with a slash.
     pub prefix: Box<str>,
-    /// What may be repeated.
+    /// Whether its requests may be resent.
     pub kind: RouteKind,
-    /// Longest time in milliseconds that a caller is kept waiting.
+    /// Maximum time in milliseconds that a caller waits.
     pub timeout_millis: u64,
     /// Time in milliseconds within which an answer is on time.
     pub target_latency_millis: u64,
-    /// Longest pause in milliseconds between two events of a stream that is on time; 0 where none is declared.
+    /// Longest pause in milliseconds between two events of a stream that is on time; 0 if none is
+    /// specified.
     pub target_pause_millis: u64,
-    /// Rank among requests, 0 first.
+    /// Priority class of its requests, 0 first.
     pub priority: u8,
-    /// Targets that one request may be sent to at most.
+    /// Maximum number of targets that one request may be sent to.
     pub max_attempts: u32,
-    /// Whether callers need no key.
+    /// Whether callers may omit the key.
     pub public: bool,
-    /// Where requests go; at least one entry.
+    /// Services that requests are sent to; at least one.
     pub services: Vec<WeightedService>,
 }
 
 impl RouteRule {
-    /// The service for a request whose identifier has this hash: the same hash gets the same service.
+    /// The service for a request whose identifier has this hash. Equal hashes get the same service.
     pub fn service(&self, hash: u64) -> Option<&ServiceName> {
         let total: u64 = self.services.iter().map(|part| u64::from(part.weight)).sum();
         if total == 0 {
@@ -97,61 +99,61 @@
     }
 }
 
-/// Timing of a group of ranks, from its operators.
+/// Timing model of a group of ranks, provided by its operators.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineModel {
-    /// Requests that one rank runs at once.
+    /// Number of requests that one rank runs concurrently.
     pub slots: u32,
-    /// Tokens that one rank's memory holds.
+    /// Tokens that fit in one rank's memory.
     pub memory_tokens: u64,
     /// Time in milliseconds of an empty step.
     pub step_millis: f64,
     /// Time in milliseconds that each running request adds to a step.
     pub request_millis: f64,
-    /// Steps in a pass while something is being written.
+    /// Steps per pass while tokens are being generated.
     pub stride: u32,
-    /// Prompt tokens read in a millisecond.
+    /// Prompt tokens processed per millisecond.
     pub read_tokens_per_milli: f64,
     /// Sets of experts.
     pub sets: usize,
     /// Experts in each set.
     pub experts: usize,
-    /// Experts of a set that one rank holds at most.
+    /// Maximum number of experts of a set at one rank.
     pub places: usize,
-    /// Experts of a set that may be new to a rank in one map.
+    /// Maximum number of experts of a set that may be new to a rank in one map.
     pub spare: usize,
-    /// Part of a step's token work that goes to experts.
+    /// Fraction of a step's token work that is done by experts.
     pub expert_share: f64,
 }
 
-/// A service that routes name.
+/// A service that routes refer to.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceSpec {
     /// Its name.
     pub name: ServiceName,
-    /// Timing where its targets are ranks of a group.
+    /// Timing model if its targets are ranks of a group.
     pub engine: Option<EngineModel>,
-    /// What its targets take while they are cold; nothing where they never are.
+    /// Rate limit of its cold targets; `None` if its targets are never cold.
     pub cold: Option<ColdRule>,
 }
 
-/// Bounds on what a caller may send.
+/// Limits on requests from callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Bytes of request line and headers.
+    /// Maximum size of request line and headers in bytes.
     pub header_bytes: usize,
-    /// Bytes of a body.
+    /// Maximum size of a body in bytes.
     pub body_bytes: usize,
-    /// Milliseconds that a connection may stay idle.
+    /// Maximum time in milliseconds for which a connection may be idle.
     pub idle_millis: u64,
 }
 
-/// What a key stands for.
+/// What a key grants.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TeamGrant {
     /// The team that holds the key.
     pub team: TeamName,
-    /// Rank of the team's requests where it goes before the route's.
+    /// Priority class of the team's requests, if it replaces that of the route.
     pub priority: Option<u8>,
 }
 
@@ -160,7 +162,7 @@
 pub struct RouteTable {
     /// The version.
     pub version: ConfigVersion,
-    /// Bounds on callers.
+    /// Limits on requests from callers.
     pub limits: CallerLimits,
     /// Services by name.
     pub services: HashMap<ServiceName, ServiceSpec>,
@@ -168,7 +170,7 @@
     keys: Option<HashMap<Box<str>, TeamGrant>>,
 }
 
-/// Why a request has no route or no team.
+/// Why a request was not assigned a route or team.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum RouteError {
     /// No route matches host and path.
@@ -180,7 +182,7 @@
 }
 
 impl RouteTable {
-    /// Builds a table. Without `keys`, no request needs one.
+    /// Creates a table. Without `keys`, requests need no key.
     pub fn new(
         version: ConfigVersion,
         limits: CallerLimits,
@@ -199,7 +201,7 @@
         Self { version, limits, services, hosts, keys }
     }
 
-    /// The route with the longest prefix that begins the path. A port in `host` is ignored.
+    /// The route with the longest prefix that matches the path. A port in `host` is ignored.
     pub fn route(&self, host: &str, path: &str) -> Result<Arc<RouteRule>, RouteError> {
         let name = host.split(':').next().unwrap_or_default().to_ascii_lowercase();
         let rules = self.hosts.get(name.as_str()).ok_or(RouteError::NoRoute)?;
@@ -207,7 +209,7 @@
         rule.map(Arc::clone).ok_or(RouteError::NoRoute)
     }
 
-    /// The team behind a key; nothing where the route or the whole table needs no key.
+    /// The team that holds a key; `None` if the route or the whole table requires no key.
     pub fn team(&self, rule: &RouteRule, key: Option<&str>) -> Result<Option<TeamGrant>, RouteError> {
         let Some(keys) = &self.keys else { return Ok(None) };
         let grant = key.and_then(|key| keys.get(key));
@@ -217,7 +219,7 @@
         grant.cloned().map(Some).ok_or(RouteError::UnknownKey)
     }
 
-    /// Whether any request needs a key.
+    /// Whether requests need a key.
     pub fn requires_keys(&self) -> bool {
         self.keys.is_some()
     }
--- a/crates/porthoist-policy/src/proxy/scheduler.rs
+++ b/crates/porthoist-policy/src/proxy/scheduler.rs
@@ -1,7 +1,7 @@
-//! Who gets a place, who waits for one and who is refused: the decisions of one process about all its requests.
+//! Decides whether a request is sent, waits or is refused, for all requests of one process.
 //!
-//! The caller of this module sends, waits and answers; it only asks here. The same code is driven by a load that is
-//! played in virtual time.
+//! The scheduler only decides; its caller sends, waits and answers. Simulations in virtual time run the
+//! same code.
 
 use super::backpressure::{BackpressureSignals, ObservedChange};
 use super::balancer::{BalancerSettings, ChosenTarget, LoadBalancer, RequestWork, SendOutcome};
@@ -18,39 +18,39 @@
 use porthoist_core::{ServiceName, TargetName, UnixDeadline, UnixMillis};
 use std::collections::HashMap;
 
-/// Requests of one service that wait at most; more are refused at once.
+/// Maximum number of waiting requests of one service; further ones are refused at once.
 const MAX_WAITING: usize = 512;
 
-/// What a request needs.
+/// A request that needs a slot at a target.
 #[derive(Debug, Clone)]
 pub struct SlotRequest {
     /// The service.
     pub service: ServiceName,
-    /// Whether its targets are ranks of a group.
+    /// Whether the service's targets are ranks of a group.
     pub ranked: bool,
-    /// The work it brings.
+    /// The work that it causes.
     pub work: RequestWork,
-    /// Rank among requests, 0 first.
+    /// Priority class, 0 first.
     pub priority: u8,
-    /// Targets that it was sent to already.
+    /// Targets that it was already sent to.
     pub tried: Vec<TargetName>,
-    /// When it came.
+    /// When it arrived.
     pub arrival: UnixMillis,
-    /// Time in milliseconds within which its answer, or first event, is on time.
+    /// Time in milliseconds within which its answer or first event is on time.
     pub latency_millis: u64,
-    /// When nobody waits for it any more.
+    /// When its caller stops waiting.
     pub deadline: UnixDeadline,
-    /// Its turn among requests of its rank.
+    /// Its class among waiting requests of the same priority.
     pub class: QueueClass,
 }
 
-/// Why there is no place.
+/// Why there is no slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum SlotError {
-    /// Every target is busy, and none will be free in time.
+    /// All targets are busy, and none will have room in time.
     #[error("all targets are busy")]
     Busy,
-    /// The targets answer nothing, or refuse everything.
+    /// The targets answer nothing or refuse everything.
     #[error("the targets are down")]
     Down,
     /// No target may take requests.
@@ -59,13 +59,13 @@
     /// Too many requests wait.
     #[error("too many requests wait")]
     Full,
-    /// All targets name limits that leave no place in time.
+    /// All targets announce limits that leave no slot in time.
     #[error("the targets take no more requests a second")]
     Limited,
-    /// All targets are cold, and leave no place in time.
+    /// All targets are cold and leave no slot in time.
     #[error("the targets are cold")]
     Cold,
-    /// All targets have asked for rest.
+    /// All targets have asked for a rest period.
     #[error("the targets rest")]
     Resting,
     /// Operators have emptied the zones of all targets.
@@ -82,14 +82,14 @@
     }
 }
 
-/// What becomes of a request.
+/// What to do with a request.
 #[derive(Debug, Clone)]
 pub enum SlotDecision {
-    /// It goes to this target now.
+    /// Send it to this target now.
     Assign(ChosenTarget),
-    /// It waits until then at most, to be served in time.
+    /// Let it wait until then at most, to be answered in time.
     Wait(UnixDeadline),
-    /// It is refused.
+    /// Refuse it.
     Refuse(SlotError),
 }
 
@@ -99,7 +99,7 @@
     waiter: W,
 }
 
-/// The decisions of one process; `W` is what its caller needs to go on with a request that waited.
+/// The scheduler of one process; `W` is what its caller needs to resume a waiting request.
 #[derive(Debug)]
 pub struct RequestScheduler<W> {
     board: LoadBalancer,
@@ -108,32 +108,32 @@
 }
 
 impl<W> RequestScheduler<W> {
-    /// A desk without targets.
+    /// Creates a scheduler without targets.
     pub fn new(settings: BalancerSettings) -> Self {
         Self { board: LoadBalancer::new(settings), waiting: HashMap::new(), forecasts: HashMap::new() }
     }
 
-    /// Takes the targets believed in now.
+    /// Replaces the set of known targets.
     pub fn sync(&mut self, book: &TargetRegistry) {
         self.board.sync(book);
     }
 
-    /// Takes the loads that the engines of a group reported.
+    /// Applies the loads that the engines of a group reported.
     pub fn update_loads(&mut self, loads: &GroupLoads, now: UnixMillis) {
         self.board.take_loads(loads, now);
     }
 
-    /// The groups of a service that began to stand, or go on again, since the last call.
+    /// The groups of a service that stalled or recovered since the last call.
     pub fn group_changes(&mut self, service: &ServiceName, now: UnixMillis) -> Vec<GroupSnapshot> {
         self.board.group_changes(service, now)
     }
 
-    /// Services whose groups are known.
+    /// Services with known groups.
     pub fn grouped_services(&self) -> Vec<ServiceName> {
         self.board.grouped_services()
     }
 
-    /// What becomes of a request now. One that is to wait is handed over with [`Self::keep`].
+    /// Decides what to do with a request. If it has to wait, pass it to [`Self::enqueue`].
     pub fn decide(&mut self, demand: &SlotRequest, now: UnixMillis) -> SlotDecision {
         let service = &demand.service;
         if let Some(error) = self.closed(service, now) {
@@ -176,13 +176,13 @@
         self.board.emptied(service, now).then_some(SlotError::Emptied)
     }
 
-    /// Lets a request wait.
+    /// Adds a request to the wait queue.
     pub fn enqueue(&mut self, demand: SlotRequest, waiter: W) {
         let list = self.waiting.entry(demand.service.clone()).or_default();
         list.add(demand.priority, demand.class, WaitingRequest { demand, waiter });
     }
 
-    /// The next request that waited and has a place now. Those that `waits` says have gone are forgotten.
+    /// The next waiting request that has a slot now. Requests for which `waits` is false are dropped.
     pub fn next_ready(
         &mut self,
         service: &ServiceName,
@@ -202,7 +202,8 @@
         }
     }
 
-    /// Those that wait for a service that is down, or whose targets may get nothing: they are to be refused now.
+    /// Removes all waiting requests of a service that is down or whose targets accept nothing; the
+    /// caller refuses them.
     pub fn take_unservable(&mut self, service: &ServiceName, now: UnixMillis) -> Vec<W> {
         if !self.forecast(service).down() && self.closed(service, now).is_none() {
             return Vec::new();
@@ -211,7 +212,7 @@
         std::iter::from_fn(|| list.pop()).map(|waiting| waiting.waiter).collect()
     }
 
-    /// Takes the end of a send that had a place for so many milliseconds.
+    /// Records the end of a send that occupied a slot for `held_millis`.
     pub fn ended(
         &mut self,
         service: &ServiceName,
@@ -226,26 +227,27 @@
         self.forecast(service).freed(answered.then_some(held_millis as f64));
     }
 
-    /// Takes that a stream's first event, or an answer, came from a target so many milliseconds after its request had a
-    /// place.
+    /// Records the first event of a stream, or a whole answer, and its delay after the request got its
+    /// slot.
     pub fn first_event_received(&mut self, target: &TargetRecord, millis: f64, now: UnixMillis) {
         self.board.heard(target, now);
         self.forecast(&target.service).began(millis, now);
     }
 
-    /// Takes that a stream of a service ended with so many events.
+    /// Records the end of a stream and its number of events.
     pub fn stream_ended(&mut self, service: &ServiceName, events: u64) {
         self.forecast(service).streamed(events);
     }
 
-    /// Whether a request is to leave the target that has it, to go on at another one.
+    /// Whether a request should leave its target and continue at another one.
     pub fn move_cause(
         &self,
         target: &TargetRecord,
         send: &PendingSend,
         now: UnixMillis,
     ) -> Option<MoveCause> {
-        // Streams that go on are asked about 20 times a second each; only silence is worth a look at all targets.
+        // Active streams call this about 20 times a second; only a pause justifies looking at all
+        // targets.
         if now.since(send.since) < LEAST_WAIT_MILLIS {
             return None;
         }
@@ -265,12 +267,12 @@
         )
     }
 
-    /// Takes that a target's process has ended.
+    /// Records that a target's process has ended.
     pub fn died(&mut self, life: &TargetLife, now: UnixMillis) {
         self.board.died(life, now);
     }
 
-    /// Takes what a target says of itself in the answer to a request that was sent at a moment.
+    /// Applies the backpressure signals in an answer to a request that was sent at `sent`.
     pub fn apply_signals(
         &mut self,
         life: &TargetLife,
@@ -281,28 +283,29 @@
         self.board.told(life, word, sent, now)
     }
 
-    /// Takes what another entry tells of a target.
+    /// Applies a limit that another entry heard from a target.
     pub fn apply_note(&mut self, note: &TargetNote, now: UnixMillis) -> Option<ObservedChange> {
         self.board.told_by_other(note, now)
     }
 
-    /// Takes that a stream brought an event from a target.
+    /// Records a stream event from a target.
     pub fn event_received(&mut self, target: &TargetRecord, now: UnixMillis) {
         self.board.heard(target, now);
         self.forecast(&target.service).heard(now);
     }
 
-    /// Takes that a service refused or failed a request.
+    /// Records that a service refused or failed a request.
     pub fn refused(&mut self, service: &ServiceName, now: UnixMillis) {
         self.forecast(service).refused(now);
     }
 
-    /// Whether a target has said that it leaves.
+    /// Whether a target has announced that it is shutting down.
     pub fn is_leaving(&self, life: &TargetLife) -> bool {
         self.board.leaves(life)
     }
 
-    /// After how many milliseconds a caller that is refused should come back; `point` is random between 0 and 1.
+    /// Delay in milliseconds after which a refused caller should retry; `point` is random between 0 and
+    /// 1.
     pub fn retry_after_millis(
         &mut self,
         service: &ServiceName,
@@ -318,7 +321,7 @@
         self.forecast(service).return_millis(deadline, least, point, now)
     }
 
-    /// Why a request that waited in vain is refused.
+    /// Why a request is refused that has waited without getting a slot.
     pub fn refusal(&self, service: &ServiceName, now: UnixMillis) -> SlotError {
         if let Some(error) = self.closed(service, now) {
             return error;
@@ -330,48 +333,48 @@
         }
     }
 
-    /// Whether a request that was given a place at a target may still be sent there.
+    /// Whether a request that was assigned a slot at a target may still be sent there.
     pub fn is_still_valid(&self, life: &TargetLife, rate: Option<TargetRate>, now: UnixMillis) -> bool {
         self.board.stands(life, rate, now)
     }
 
-    /// Takes what services' operators say of cold targets.
+    /// Sets the services' limits for cold targets.
     pub fn set_cold_rules(&mut self, rules: HashMap<ServiceName, ColdRule>) {
         self.board.set_cold_rules(rules);
     }
 
-    /// Takes the zones that operators have emptied.
+    /// Sets the zones that operators have emptied.
     pub fn set_emptied(&mut self, zones: &EmptiedZones, now: UnixMillis) {
         self.board.set_emptied(zones, now);
     }
 
-    /// Targets that count as cold now.
+    /// Number of targets that count as cold.
     pub fn cold_targets(&self, now: UnixMillis) -> usize {
         self.board.cold(now)
     }
 
-    /// When the next request of a service that waits may be sent although nothing was released.
+    /// When the next waiting request of a service may be sent even if no slot is released.
     pub fn next_turn(&self, service: &ServiceName, now: UnixMillis) -> Option<UnixDeadline> {
         self.board.limited_supply(service, now).map(|supply| supply.next)
     }
 
-    /// Takes this process's place among the entries of its zone.
+    /// Sets this process's position among the entries of its zone.
     pub fn set_entry_position(&mut self, place: Option<EntryPosition>) {
         self.board.set_place(place);
     }
 
-    /// Services that requests wait for.
+    /// Services with waiting requests.
     pub fn awaited_services(&self) -> Vec<ServiceName> {
         let lists = self.waiting.iter().filter(|(_service, list)| !list.is_empty());
         lists.map(|(service, _list)| service.clone()).collect()
     }
 
-    /// Requests that wait now.
+    /// Number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.waiting.values().map(WaitList::len).sum()
     }
 
-    /// Requests of this process at a target.
+    /// Number of this process's requests at a target.
     pub fn in_flight(&self, target: &TargetLife) -> u32 {
         self.board.in_flight(target)
     }
--- a/crates/porthoist-policy/src/proxy/spread.rs
+++ b/crates/porthoist-policy/src/proxy/spread.rs
@@ -1,14 +1,14 @@
-//! A choice among loads that others see too, and a moment late.
+//! Randomized selection among loads that other processes see as well, with a delay.
 //!
-//! Were each process to take the least loaded target, all would take the same one until the next report. Instead each
-//! fills the targets up to a common level with the requests that are expected until then, and chooses a target with
-//! the probability of its part of them (load interpretation, after Dahlin).
+//! If each process took the least loaded target, all would take the same one until the next report.
+//! Instead, the requests expected until then are distributed over the targets up to a common level, and
+//! each target is chosen with the probability of its share of them (load interpretation, after Dahlin).
 
-/// Requests that all processes are expected to send to a target between two reports: on the users' deployments 0.8
-/// (160 ms) to 1.4 (330 ms).
+/// Requests per target that all processes are expected to send between two reports: 0.8 (160 ms) to 1.4
+/// (330 ms) in the users' deployments.
 const EXPECTED_A_TARGET: f64 = 1.0;
 
-/// Chooses one of the loads; `point` is random between 0 and 1. Nothing if there are none.
+/// Chooses the index of a load; `point` is random between 0 and 1. Returns `None` without loads.
 pub(crate) fn choose_by_level(loads: &[f64], point: f64) -> Option<usize> {
     let level = common_level(loads, EXPECTED_A_TARGET * loads.len() as f64);
     let part = |load: &f64| (level - load).max(0.0);
@@ -21,11 +21,11 @@
         }
         left -= part;
     }
-    // Only rounding leads here.
+    // Reached only through rounding errors.
     (0..loads.len()).min_by(|left, right| loads[*left].total_cmp(&loads[*right]))
 }
 
-/// The level to which `expected` more requests fill the loads.
+/// The level that the loads reach after `expected` more requests.
 fn common_level(loads: &[f64], expected: f64) -> f64 {
     let mut sorted = loads.to_vec();
     sorted.sort_by(f64::total_cmp);
--- a/crates/porthoist-policy/src/proxy/target_load.rs
+++ b/crates/porthoist-policy/src/proxy/target_load.rs
@@ -1,4 +1,5 @@
-//! What one process knows of one target: its own requests there, others' as reported, and how its answers were.
+//! State of one target as one process knows it: its own requests there, the reported ones of others, and
+//! recent answers.
 
 use super::backpressure::TargetNeed;
 use super::balancer::{BalancerSettings, ReportedRequests, RequestWork, SendOutcome};
@@ -11,65 +12,67 @@
 use porthoist_core::{ServiceName, TargetName, UnixDeadline, UnixMillis, ZoneName};
 use std::sync::Arc;
 
-/// Failures in a row after which a target gets nothing for a while. One alone is common: a reset of an idle
-/// connection, for example.
+/// Consecutive failures after which a target is ejected. A single one is common, for example when an
+/// idle connection is reset.
 const FAILURES_TO_EJECT: u32 = 3;
-/// First time out in milliseconds; it doubles with each further failure.
+/// First ejection time in milliseconds; it doubles with each further failure.
 const EJECT_MILLIS: u64 = 800;
-/// Longest time out in milliseconds. A target that recovers is found again within this time.
+/// Longest ejection time in milliseconds. A target that recovers is used again within this time.
 const MAX_EJECT_MILLIS: u64 = 6_400;
-/// What a request to another availability zone costs, as a part of one request in flight.
+/// Cost of a request to another availability zone, as a fraction of one request in flight.
 const ZONE_COST: f64 = 0.3;
-/// Prompt tokens that weigh as much as one request in flight; the mean prompt of the users' streams.
+/// Prompt tokens that cost as much as one request in flight: the mean prompt of the users' streams.
 const TOKENS_OF_A_REQUEST: f64 = 835.0;
-/// Requests that a rank counts for more whose process is not heard. It gets none while others can take them, and some where
-/// they are full: its process alone may have ended, and its engine go on.
+/// Requests added to the load of a rank whose process is unreachable. It gets none while others have
+/// room and some when they are full: its process alone may have ended while its engine still runs.
 const SILENT_REQUESTS: f64 = 4.0;
-/// Requests that a rank counts for more whose group is late and another is not: it serves late, where the others are full.
+/// Requests added to the load of a rank whose group is late while another group is not. It is used only
+/// when the others are full.
 const LATE_REQUESTS: f64 = 4.0;
-/// A rank that said it is full gets nothing for so long in milliseconds, or until its next report: an older one makes a
-/// full rank seem free.
+/// Time in milliseconds for which a rank that refused a request as full gets nothing. The next report
+/// ends it earlier; the previous one makes the rank seem free.
 const FULL_MILLIS: u64 = 300;
-/// Requests that a target counts for more right after it took its limit back.
+/// Requests added to the load of a target right after it withdrew its limit.
 const RETURN_REQUESTS: f64 = 4.0;
-/// How much slower than the service's mean a target's answers must be to count as a slow one.
+/// Factor by which a target's answers must be slower than the service's median to count as slow.
 const SLOW_FACTOR: f64 = 2.5;
-/// Weight of a new answer in the mean time of a target.
+/// Weight of a new answer in the mean answer time of a target.
 const ANSWER_WEIGHT: f64 = 0.2;
 
-/// Which targets a request is sent to first.
+/// Order in which targets are preferred.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum SendTier {
-    /// It names a limit, and is to be asked whether it still does.
+    /// It announces a limit and is due for a request that checks whether it still does.
     Asked,
-    /// It takes what it has room for, or is cold and it is this process's turn: a cold target bears more than its usual share.
+    /// It takes requests as far as it has room, or it is cold and this process has a turn. A cold target
+    /// can take more than its usual share.
     Free,
-    /// It names a limit, within which it may get one.
+    /// It announces a limit under which it may get a request.
     Limited,
 }
 
-/// What is known of one target.
+/// State of one target.
 #[derive(Debug, Clone)]
 pub(super) struct TargetLoad {
     pub(super) record: Arc<TargetRecord>,
     pub(super) in_flight: u32,
     tokens: u64,
     others: Option<OthersLoad>,
-    /// The group that it is a rank of, once a report told of it.
+    /// Its group, once a report has named it.
     pub(super) group: Option<GroupIndex>,
     failures: u32,
     ejections: u32,
     closed_until: Option<UnixDeadline>,
-    /// Until when it counts as full, since it said so.
+    /// Until when it counts as full, after it refused a request.
     full_until: Option<UnixDeadline>,
     /// Whether another target was found at its address.
     gone: bool,
     pub(super) mean_millis: Option<f64>,
-    /// What it said of itself.
+    /// Backpressure that it signalled.
     pub(super) need: TargetNeed,
     /// Whether operators have emptied its zone.
     emptied: bool,
-    /// When this process may send to it while something bounds what it takes.
+    /// When this process may send to it under a rate limit.
     turns: SendTurns,
 }
 
@@ -93,18 +96,18 @@
         }
     }
 
-    /// Whether a report says that the process beside it is not heard.
+    /// Whether a report says that the process next to it is unreachable.
     pub(super) fn silent(&self, now: UnixMillis) -> bool {
         self.others.is_some_and(|others| others.silent(now))
     }
 
-    /// Others' requests there, while a report counts.
+    /// Requests of other processes, if a valid report counts them.
     pub(super) fn others(&self, now: UnixMillis) -> Option<u32> {
         self.others.and_then(|others| others.requests(now))
     }
 
-    /// Requests there of all processes that are known of, and whether all are. Where no report counts for the target but
-    /// some do for others of its service, the others' requests are taken to be `assumed`.
+    /// Known requests at the target, and whether they include those of all processes. Without a valid
+    /// report, `assumed` stands for the other processes' requests.
     pub(super) fn requests(&self, assumed: Option<u32>, now: UnixMillis) -> KnownRequests {
         match self.others(now).or(assumed) {
             Some(others) => KnownRequests { count: self.in_flight + others, all: true },
@@ -123,13 +126,13 @@
             return false;
         }
         match self.closed_until {
-            // After its time out, a target gets one request at a time until one succeeds.
+            // After an ejection, a target gets one request at a time until one succeeds.
             Some(deadline) => deadline.passed(now) && self.in_flight == 0,
             None => true,
         }
     }
 
-    /// Whether it may take a request for a service that was sent to `tried` already.
+    /// Whether it can take a request of a service that was already sent to `tried`.
     pub(super) fn fits(
         &self,
         settings: &BalancerSettings,
@@ -149,12 +152,12 @@
         self.emptied || self.need.closed(now)
     }
 
-    /// Whether nothing but its zone, which operators have emptied, keeps requests from it.
+    /// Whether only the emptying of its zone keeps requests from it.
     pub(super) fn only_emptied(&self, now: UnixMillis) -> bool {
         self.emptied && self.record.state == TargetState::Ready && !self.gone && !self.need.closed(now)
     }
 
-    /// Takes whether operators have emptied its zone.
+    /// Sets whether operators have emptied its zone.
     pub(super) fn set_emptied(&mut self, emptied: bool, now: UnixMillis) {
         let before = std::mem::replace(&mut self.emptied, emptied);
         if before && !emptied {
@@ -162,50 +165,52 @@
         }
     }
 
-    /// Takes its row, and what its service's operators say of cold targets.
+    /// Applies its row and its service's limit for cold targets.
     pub(super) fn take_row(&mut self, record: &Arc<TargetRecord>, rule: Option<ColdRule>, first_seen: bool) {
         self.need.set_cold_rule(rule);
         self.need.take_row(record.cold, first_seen);
         self.record = Arc::clone(record);
     }
 
-    /// Until when it rests, where that alone keeps requests from it.
+    /// The end of its rest period, if nothing else keeps requests from it.
     pub(super) fn rest(&self, now: UnixMillis) -> Option<UnixDeadline> {
         let ready = self.record.state == TargetState::Ready && !self.gone && !self.emptied;
         let ready = ready && !self.need.leaves();
         self.need.rest(now).filter(|_until| ready)
     }
 
-    /// Whether a request that was given a place here may still be sent: what the target said meanwhile counts.
+    /// Whether a request that was assigned a slot here may still be sent, after signals that arrived
+    /// meanwhile.
     pub(super) fn stands(&self, rate: Option<TargetRate>, now: UnixMillis) -> bool {
         !self.closed(now) && (rate.is_some() || self.rate(now).is_none())
     }
 
-    /// Which requests it may get now, of those that it has room for; nothing while its rate leaves none for this process.
+    /// Its current tier for requests that it has room for; `None` while its rate limit leaves no turn
+    /// for this process.
     pub(super) fn tier(&self, first_send: bool, now: UnixMillis) -> Option<SendTier> {
         let Some(TargetRate { source, .. }) = self.rate(now) else { return Some(SendTier::Free) };
         let tier = match source {
             RateSource::Cold => SendTier::Free,
-            // A request that was sent in vain already is not the one to ask with.
+            // A request that was already sent in vain is not used to check a limit.
             RateSource::Announced if first_send && self.need.unheard(now) => SendTier::Asked,
             RateSource::Announced => SendTier::Limited,
         };
         self.turns.free(now).then_some(tier)
     }
 
-    /// Takes by which rounds this process keeps its rate.
+    /// Sets the rounds in which this process keeps to the rate limit.
     pub(super) fn set_turns(&mut self, sender: SenderPosition, now: UnixMillis) {
         if let Some(rate) = self.rate(now) {
             self.turns.set(TurnRound::new(rate, sender, &self.record.life()), now);
         }
     }
 
-    /// This process's turns, while something bounds what it takes.
+    /// This process's turns under a rate limit, or `None` without a limit.
     pub(super) fn turns(&self, now: UnixMillis) -> Option<&SendTurns> {
         self.rate(now).map(|_rate| &self.turns)
     }
 
-    /// What it takes from all processes together, while anything bounds that.
+    /// Its rate limit for all processes together, if it has one.
     pub(super) fn rate(&self, now: UnixMillis) -> Option<TargetRate> {
         self.need.rate(now)
     }
@@ -222,8 +227,8 @@
         }
     }
 
-    /// What one more request costs there, in units of a request in flight. Where its group is slower than others, a
-    /// request weighs as much more: groups are filled so that their passes become alike.
+    /// Cost of one more request, in units of a request in flight. Requests at a group that is slower
+    /// than others cost more, so that the pass times of the groups converge.
     pub(super) fn cost(
         &self,
         own_zone: &ZoneName,
@@ -246,7 +251,7 @@
         (requests + tokens + silence + lateness + returning + 1.0) * slowness + zone
     }
 
-    /// Takes the end of a send. Returns whether the target gets nothing for a while from now on.
+    /// Records the end of a send. Returns whether the target is ejected because of it.
     pub(super) fn ended(&mut self, work: RequestWork, outcome: SendOutcome, now: UnixMillis) -> bool {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.tokens = self.tokens.saturating_sub(work.prompt_tokens);
@@ -269,14 +274,14 @@
         }
     }
 
-    /// Takes that the target's process has ended.
+    /// Records that the target's process has ended.
     pub(super) fn died(&mut self, now: UnixMillis) {
         self.failures = self.failures.max(FAILURES_TO_EJECT - 1);
         self.need.suspect_start();
         self.failed(now);
     }
 
-    /// Counts a request there.
+    /// Counts a request that is sent now.
     pub(super) fn take(&mut self, work: RequestWork, now: UnixMillis) {
         self.in_flight += 1;
         self.tokens += work.prompt_tokens;
@@ -285,7 +290,7 @@
         }
     }
 
-    /// Takes what a report says of it.
+    /// Applies the reported load of the target.
     pub(super) fn take_report(&mut self, rank: &RankLoad, now: UnixMillis) {
         self.others = Some(OthersLoad::reported(rank, self.in_flight, now));
         if rank.silent {
@@ -315,22 +320,22 @@
     }
 }
 
-/// What is known of all targets of a service together.
+/// Common state of all targets of a service.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct GroupView {
     /// Whether they are ranks of groups.
     pub(super) ranked: bool,
-    /// Others' requests at a target that no report counts for: the mean of those with one. A group whose report is missing
-    /// is then neither preferred nor starved.
+    /// Assumed requests of other processes at a target without a valid report: the mean of the targets
+    /// with one. A group whose report is missing is then neither preferred nor starved.
     pub(super) assumed: Option<u32>,
-    /// Requests of this process that a rank runs at once while no report counts.
+    /// Maximum number of this process's requests at a rank without a valid report.
     pub(super) own_limit: u32,
 }
 
-/// Requests at a target.
+/// Number of requests at a target.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct KnownRequests {
     pub(super) count: u32,
-    /// Whether those of all processes are counted, not only of this one.
+    /// Whether the count covers all processes or only this one.
     all: bool,
 }
--- a/crates/porthoist-policy/src/proxy/targets.rs
+++ b/crates/porthoist-policy/src/proxy/targets.rs
@@ -1,16 +1,17 @@
-//! The targets that serve a service, as the table last showed them.
+//! The targets of all services, as the table last showed them.
 //!
-//! An address serves one life of a target at a time: a newer row at an address ends the older one's target, whose own row may
-//! stay for seconds. Rows of other
-//! writers end nobody: where services are known, only a row of one of them does.
+//! An address serves one life of a target at a time. A newer row at an address therefore ends the older
+//! row's target, whose own row may stay for seconds. Where services are known, only rows of known
+//! services do so; rows of other writers end no target.
 //!
-//! A target may start again under the identifier that it had. That is another life, of which nothing is known.
+//! A target may restart under the same identifier. That is another life, about which nothing is known.
 //!
-//! A row that is missing in a listing is gone, unless the table service was away just before: then the row gets a
-//! short grace, since the target may not have registered again yet.
+//! A row that is missing in a listing is gone, unless the table service was just unavailable: then the
+//! row gets a short grace period, since the target may not have registered again yet.
 //!
-//! A table service that was restored from a backup may list targets as ready although they have drained or been
-//! removed since the backup was made. Rows of such targets are ignored until they change again or a grace period ends.
+//! A table service that was restored from a backup may list targets as ready although they have drained
+//! or been removed since the backup was made. Rows of such targets are ignored until they change again
+//! or a grace period ends.
 
 use super::cold::ColdStatus;
 use porthoist_core::{ServiceName, StartMillis, TargetName, UnixDeadline, UnixMillis, ZoneName};
@@ -19,12 +20,13 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// How long a target's row may be missing after the table service was away, in milliseconds: its page says that rows which
-/// lapsed meanwhile are back within two seconds, and a target that left must get nothing new after two seconds.
+/// Time in milliseconds for which a row may be missing after the table service was unavailable. Its
+/// documentation says that expired rows are back within two seconds, and a target that left must get
+/// nothing new after two seconds.
 const LAPSE_MILLIS: u64 = 1_700;
 
-/// Kept of the time that a belief about targets may be old, in milliseconds: 400 for a new connection to the target, 200 for
-/// timers.
+/// Reserve in milliseconds that is subtracted from the permitted staleness: 400 for a new connection to
+/// the target, 200 for timers.
 const SEND_MILLIS: u64 = 600;
 
 /// Maximum number of departed lives that are remembered in case the table service is restored from an older backup.
@@ -34,44 +36,45 @@
 /// that the restore lost can be written again within this time.
 const IGNORED_ROWS_GRACE_MILLIS: u64 = 10_000;
 
-/// How old what is believed of targets may be and still be current.
+/// Maximum permitted staleness of what is known about targets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StalenessBound {
-    /// In milliseconds.
+    /// The limit in milliseconds.
     pub millis: u64,
 }
 
 impl StalenessBound {
-    /// What operators allow, in milliseconds: to notice that a connection is gone, and until a target that leaves gets
-    /// nothing new.
+    /// Adds up what operators permit, in milliseconds: the time to notice a lost connection and the time
+    /// until a target that is shutting down gets nothing new.
     pub fn new(notice_millis: u64, leaving_millis: u64) -> Self {
         Self { millis: (notice_millis + leaving_millis).saturating_sub(SEND_MILLIS) }
     }
 }
 
 impl Default for StalenessBound {
-    /// The least that is asked of a deployment now: 3 s and 2 s.
+    /// The smallest values that a deployment requires: 3 s and 2 s.
     fn default() -> Self {
         Self::new(3_000, 2_000)
     }
 }
 
-/// A time in which no answer of the table service came.
+/// A period without answers from the table service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AnswerGap {
-    /// When the last question without an answer was sent. The service, or just the connection, was away from some moment
-    /// behind it.
+    /// When the last unanswered request to the service was sent. The service, or only the connection,
+    /// became unavailable some time after that.
     pub asked: UnixMillis,
-    /// When the first answer came.
+    /// When the first answer arrived.
     pub returned: UnixMillis,
 }
 
 impl AnswerGap {
-    /// The end of the grace for a row that vanishes now; nothing if it is over.
+    /// End of the grace period for a row that disappears now, or `None` if it has passed.
     ///
-    /// It counts from the first answer: a row that vanishes later may have lapsed before, but must be back by the same
-    /// time. It is over as well once a belief from before the gap would be too old: a gap may be no more than a connection
-    /// that fell silent, behind which a target has left.
+    /// It is counted from the first answer: a row that disappears later may have expired before, but
+    /// must be back by the same time. It also ends when information from before the gap would exceed the
+    /// permitted staleness. The gap may have been only a silent connection, during which a target has
+    /// left.
     pub fn grace(&self, bound: StalenessBound, now: UnixMillis) -> Option<UnixDeadline> {
         let back = UnixDeadline::after(self.returned, LAPSE_MILLIS);
         let end = back.min(UnixDeadline::after(self.asked, bound.millis));
@@ -82,13 +85,13 @@
 /// Whether a target takes new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TargetState {
-    /// It does.
+    /// It accepts new requests.
     Ready,
-    /// It leaves and must get nothing new.
+    /// It is shutting down and must get no new requests.
     Draining,
 }
 
-/// Names one life of a target: what was seen of another life says nothing of it.
+/// Identifies one life of a target. Observations of one life say nothing about another.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TargetLife {
     /// The target.
@@ -98,7 +101,7 @@
 }
 
 impl From<TargetName> for TargetLife {
-    /// The only life of a target whose restarts have new identifiers.
+    /// For targets whose restarts get new identifiers, and which therefore have only one life.
     fn from(id: TargetName) -> Self {
         Self { id, born: StartMillis::default() }
     }
@@ -107,26 +110,26 @@
 /// One life of a target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TargetRecord {
-    /// Identifier; a restart may have the same one.
+    /// Identifier, which may stay the same over a restart.
     pub id: TargetName,
-    /// When this life began; the same for all where a restart always has a new identifier.
+    /// When this life began; equal for all where a restart always gets a new identifier.
     pub born: StartMillis,
     /// The service it runs.
     pub service: ServiceName,
-    /// Where it listens.
+    /// Its listen address.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub state: TargetState,
-    /// How long it is cold, as far as its row says.
+    /// What its row says about a cold start.
     pub cold: ColdStatus,
 }
 
 impl TargetRecord {
-    /// The life that it is about.
+    /// Identifies this life.
     pub fn life(&self) -> TargetLife {
         TargetLife { id: self.id.clone(), born: self.born }
     }
@@ -139,7 +142,8 @@
     Put(TargetRecord),
     /// The row was removed.
     Gone(TargetName),
-    /// The row can't be read: it names no target to use, and unlike one that is missing it has no grace.
+    /// The row can't be read, so its target must not be used. Unlike a missing row, it gets no grace
+    /// period.
     Unusable(TargetName),
 }
 
@@ -159,12 +163,12 @@
     }
 }
 
-/// What a process believes of all targets.
+/// The known targets.
 #[derive(Debug, Clone, Default)]
 pub struct TargetRegistry {
     records: HashMap<TargetName, Arc<TargetRecord>>,
     missing: HashMap<TargetName, UnixDeadline>,
-    /// Services that routes are known for; empty while none are.
+    /// Services that routes refer to; empty until routes are known.
     named: HashSet<ServiceName>,
     departed: DepartedLives,
     /// Lives that departed before the last restore, with the last row of each that was ignored. Rows are ignored until they
@@ -204,8 +208,8 @@
 }
 
 impl TargetRegistry {
-    /// Takes the services that are configured from now on. Returns whether others were named before and a target of none of
-    /// them is known: what its row ended may hold after all.
+    /// Sets the configured services. Returns whether they changed and some known target belongs to none
+    /// of them: rows that such a target replaced may be valid after all.
     pub fn set_services(&mut self, services: impl IntoIterator<Item = ServiceName>) -> bool {
         let services: HashSet<ServiceName> = services.into_iter().collect();
         let news = services != self.named;
@@ -213,8 +217,8 @@
         news && self.records.values().any(|record| !self.named.contains(&record.service))
     }
 
-    /// Takes a whole listing, older rows before newer ones. Rows that it lacks are gone, or at `grace` where the service has
-    /// just come back.
+    /// Applies a complete listing, sorted from older to newer rows. Rows that it lacks are removed, or
+    /// at `grace` if the service was just unavailable.
     pub fn apply_listing<R>(&mut self, rows: impl IntoIterator<Item = R>, grace: Option<UnixDeadline>)
     where
         R: Into<TargetChange>,
@@ -229,19 +233,20 @@
         self.ignored.retain(|life, _row| seen.contains(&life.id));
         self.awaiting_backup_rows = false;
         let rows = self.withhold_ignored(rows);
-        // A row that the listing lacks does not outlive another life at its address.
+        // A row that the listing lacks gets no grace if a newer life uses its address.
         self.apply(rows, grace);
     }
 
-    /// Records that the table service was restored from a backup. The rows of the next call of [`Self::listed`] or
-    /// [`Self::changed`] are taken to be from the backup; those of departed lives are ignored for a grace period from `now`.
+    /// Records that the table service was restored from a backup. The rows of the next call of
+    /// [`Self::apply_listing`] or [`Self::apply_changes`] are taken to be from the backup; those of
+    /// departed lives are ignored for a grace period from `now`.
     pub fn restored(&mut self, now: UnixMillis) {
         self.ignored = self.departed.lives.iter().map(|life| (life.clone(), None)).collect();
         self.ignored_until = Some(UnixDeadline::after(now, IGNORED_ROWS_GRACE_MILLIS));
         self.awaiting_backup_rows = true;
     }
 
-    /// Takes changes in their order. `grace` is as in [`Self::listed`].
+    /// Applies changes in order. `grace` is as in [`Self::apply_listing`].
     pub fn apply_changes(&mut self, changes: Vec<TargetChange>, grace: Option<UnixDeadline>) {
         if std::mem::take(&mut self.awaiting_backup_rows) {
             let changes = self.withhold_ignored(changes);
--- a/crates/porthoist-policy/src/proxy/trusted.rs
+++ b/crates/porthoist-policy/src/proxy/trusted.rs
@@ -1,16 +1,16 @@
-//! Requests that targets answered whole within the last seconds, so that a death at one of them is not held against it.
+//! Requests with a recent complete answer, against which deaths of their targets are not counted.
 
 use porthoist_core::{RequestMark, UnixDeadline, UnixMillis};
 use std::collections::{HashMap, VecDeque};
 
-/// How long a whole answer speaks for a request, in milliseconds. Under a hot key the same request comes many times a second
-/// until the moment at which its targets die; a new version of a target may die of what the last one answered, so that it is
-/// not much longer than a second send would take to come.
+/// Time in milliseconds for which a complete answer protects a request. A popular request is sent many
+/// times a second up to the moment its targets die. A new version of a target may die of a request that
+/// the old one answered, so the time is not much longer than a retry takes to arrive.
 const TRUSTED_MILLIS: u64 = 20_000;
-/// Requests that are remembered at most, some 80 bytes each: 20 s of 200 answers a second.
+/// Maximum number of stored requests, some 80 bytes each: 20 s at 200 answers a second.
 const MOST_TRUSTED: usize = 4_096;
 
-/// The requests that were answered.
+/// Requests by the end of their protection.
 #[derive(Debug, Default)]
 pub struct TrustedMarks {
     until: HashMap<RequestMark, UnixDeadline>,
@@ -18,7 +18,7 @@
 }
 
 impl TrustedMarks {
-    /// Takes that a target answered a request whole.
+    /// Records a complete answer to a request.
     pub fn answered(&mut self, mark: RequestMark, now: UnixMillis) {
         let until = UnixDeadline::after(now, TRUSTED_MILLIS);
         self.until.insert(mark, until);
@@ -28,14 +28,14 @@
                 break;
             }
             self.order.pop_front();
-            // A later answer to the same request has a line of its own.
+            // A later answer to the same request has its own entry.
             if self.until.get(&oldest) == Some(&end) {
                 self.until.remove(&oldest);
             }
         }
     }
 
-    /// Whether a whole answer of the last seconds speaks for a request.
+    /// Whether a request has a recent complete answer.
     pub fn trusts(&self, mark: &RequestMark, now: UnixMillis) -> bool {
         self.until.get(mark).is_some_and(|until| !until.passed(now))
     }
--- a/crates/porthoist-policy/src/proxy/turns.rs
+++ b/crates/porthoist-policy/src/proxy/turns.rs
@@ -1,65 +1,68 @@
-//! When this process may send to a target that bears only so many requests a second, so that all processes together keep to
-//! its rate.
+//! Schedules sends to targets with a rate limit, so that all processes together keep to it.
 //!
-//! The rate holds for all processes together, and none of them can hear the others in time. Time is cut into rounds, in
-//! which each process has one turn, at a moment that follows from its place among them. A turn that is not used lapses, so that
-//! the turns of many processes never come to one burst. Whoever does not know its place takes many others for granted: an
-//! error sends less, never more.
+//! The limit applies to all processes together, and they cannot coordinate in time. Time is divided into
+//! rounds in which each process has one turn, at a moment derived from its position among them. An
+//! unused turn expires, so that the turns of many processes never add up to a burst. A process that does
+//! not know its position assumes many others, so that an error sends too little rather than too much.
 
 use super::targets::TargetLife;
 use porthoist_core::{RequestRate, UnixDeadline, UnixMillis, ZoneName};
 use std::fmt;
 
-/// Part of a limit that is given out: the rest bears processes that are not counted yet, and clocks that are apart.
+/// Fraction of a limit that is used. The rest absorbs processes that are not counted yet and clock
+/// differences.
 const GIVEN_PART: f64 = 0.75;
-/// Requests a second that all processes together may send to a target at least, whatever it names: one that nothing is sent to
-/// could never say that it takes more again.
+/// Minimum number of requests a second that all processes together may send, whatever limit the target
+/// announces. A target without requests could never announce a higher limit.
 const LEAST_RATE: f64 = 0.25;
-/// Time in milliseconds after which a turn at a target that names a limit lapses.
+/// Time in milliseconds after which an unused turn at a target with an announced limit expires.
 const NAMED_LAPSE_MILLIS: u64 = 1_000;
-/// Time in milliseconds after which a turn at a cold target lapses: it is counted by the second, and turns that were saved up may
-/// come on top of a second's.
+/// Time in milliseconds after which an unused turn at a cold target expires. Its limit is checked for
+/// each second, and saved turns would add to those of the next second.
 const COLD_LAPSE_MILLIS: u64 = 600;
-/// Entries that are assumed for each target known: deployments have about one. Far too many leave callers without cold targets in the
-/// first seconds after a restart of all; up to twice as many as are assumed keep to what cold targets survive.
+/// Entries assumed per known target; deployments have about one. A far higher number would leave callers
+/// without cold targets in the first seconds after all have restarted. Up to twice as many entries as
+/// assumed stay within what cold targets survive.
 const ENTRIES_A_TARGET: u32 = 2;
-/// Entries that are assumed at least.
+/// Minimum number of assumed entries.
 const LEAST_ENTRIES: u32 = 100;
 
-/// Entries that are taken for granted where nobody counts them and no setting tells.
+/// Number of entries to assume while nobody counts them and no setting gives it.
 pub fn assumed_entries(targets: usize) -> u32 {
     LEAST_ENTRIES.max(ENTRIES_A_TARGET.saturating_mul(u32::try_from(targets).unwrap_or(u32::MAX)))
 }
 
-/// A process's place among the entry processes of its availability zone, by an order that all agree on.
+/// A process's position among the entry processes of its availability zone, in an order that all agree
+/// on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EntryPosition {
-    /// Entries before it.
+    /// Number of entries before it.
     pub index: u32,
-    /// All entries.
+    /// Number of all entries.
     pub entries: u32,
 }
 
-/// What an entry goes by while nobody has told it its place.
+/// What an entry uses until it learns its position.
 #[derive(Debug, Clone, Copy)]
 pub struct UncountedEntry {
-    /// All entries that send to the same targets.
+    /// Number of entries that send to the same targets.
     pub entries: u32,
-    /// Tells this entry from others.
+    /// Distinguishes this entry from others.
     pub seed: u64,
 }
 
-/// A process's place among all that send to the same targets.
+/// A process's position among all that send to the same targets.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SenderPosition {
-    /// How many send, if all zones have as many entries as this one: with shares by zone their sum is right either way.
+    /// Number of senders if every zone has as many entries as this one. Since each zone uses its own
+    /// count, the total rate is right even where the counts differ.
     count: f64,
-    /// Part of a round that is over when its turn comes.
+    /// Fraction of a round before its turn.
     phase: f64,
 }
 
 impl SenderPosition {
-    /// The place of an entry of `zone`, with targets in `zones`, which are in order.
+    /// The position of an entry of `zone`, for targets in `zones`, which are sorted.
     pub fn new(
         place: Option<EntryPosition>,
         zone: &ZoneName,
@@ -73,7 +76,7 @@
             let phase = unit(xxhash_rust::xxh3::xxh3_64(&seed.to_le_bytes()));
             return Self { count: f64::from(entries.max(1)), phase };
         };
-        // A zone without targets takes a share as well; it counts as one more.
+        // A zone without targets also sends, so it counts as one more.
         let (index, known) = match zones.binary_search(zone) {
             Ok(index) => (index, zones.len()),
             Err(index) => (index, zones.len() + 1),
@@ -88,17 +91,17 @@
     hash as f64 / u64::MAX as f64
 }
 
-/// Why a target takes only so many requests a second.
+/// Why a target has a rate limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RateSource {
-    /// It names a limit in its answers.
+    /// It announces a limit in its answers.
     Announced,
     /// It is cold.
     Cold,
 }
 
 impl RateSource {
-    /// Its name in logs.
+    /// The name in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Announced => "named",
@@ -114,12 +117,12 @@
     }
 }
 
-/// Requests that a target takes from all processes together.
+/// Rate limit of a target for all processes together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TargetRate {
-    /// How many.
+    /// Requests a second.
     pub rate: RequestRate,
-    /// Why not more.
+    /// Why it is limited.
     pub source: RateSource,
 }
 
@@ -129,7 +132,7 @@
     }
 }
 
-/// The rounds of one target, as one process sees them.
+/// The rounds of one target as one process sees them.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TurnRound {
     millis: f64,
@@ -138,7 +141,7 @@
 }
 
 impl TurnRound {
-    /// The rounds of a target that bears a rate. Different targets' rounds begin at different moments.
+    /// The rounds of a target with a rate limit. Rounds of different targets begin at different moments.
     pub fn new(rate: TargetRate, sender: SenderPosition, life: &TargetLife) -> Self {
         let TargetRate { rate: RequestRate(allowed), source } = rate;
         let given = (GIVEN_PART * allowed).max(LEAST_RATE);
@@ -155,7 +158,7 @@
         self.millis
     }
 
-    /// Turns of this process that have begun.
+    /// Number of turns of this process that have begun.
     fn begun(&self, now: UnixMillis) -> u64 {
         (now.0 as f64 / self.millis - self.phase + 1.0).max(0.0) as u64
     }
@@ -175,7 +178,7 @@
 }
 
 impl SendTurns {
-    /// Takes the rounds that hold now. Turns of other rounds are over.
+    /// Sets the current rounds. Turns of earlier rounds expire.
     pub fn set(&mut self, round: TurnRound, now: UnixMillis) {
         if self.round != Some(round) {
             self.round = Some(round);
@@ -186,30 +189,30 @@
     /// Whether a request may be sent now.
     pub fn free(&self, now: UnixMillis) -> bool {
         let Some(round) = self.round else { return false };
-        // Rounds that change often must not bring turns closer together.
+        // Frequent changes of the rounds must not bring turns closer together.
         let apart = now.since(self.used_at) as f64 >= round.millis / 2.0;
         let spaced = round.millis <= round.lapse_millis as f64 || apart;
         spaced && round.begun(now) > self.lapsed(round, now)
     }
 
-    /// Counts a request that is sent now.
+    /// Uses a turn for a request that is sent now.
     pub fn take(&mut self, now: UnixMillis) {
         let Some(round) = self.round else { return };
         self.used = self.lapsed(round, now) + 1;
         self.used_at = now;
     }
 
-    /// When the next turn begins; nothing without a limit.
+    /// When the next turn begins, or `None` without a limit.
     pub fn next(&self, now: UnixMillis) -> Option<UnixDeadline> {
         self.round.map(|round| round.next(now))
     }
 
-    /// Mean time in milliseconds between two turns; nothing without a limit.
+    /// Mean time in milliseconds between two turns, or `None` without a limit.
     pub fn millis(&self) -> Option<f64> {
         self.round.map(|round| round.millis())
     }
 
-    /// Turns that were used or have lapsed.
+    /// Number of turns that were used or have expired.
     fn lapsed(&self, round: TurnRound, now: UnixMillis) -> u64 {
         let before = UnixMillis(now.0.saturating_sub(round.lapse_millis));
         self.used.max(round.begun(before))
--- a/crates/porthoist-policy/src/proxy/waiting.rs
+++ b/crates/porthoist-policy/src/proxy/waiting.rs
@@ -1,27 +1,27 @@
-//! In which order requests wait for a target.
+//! Order in which requests wait for a target.
 
 use std::collections::BTreeMap;
 
-/// Turns of requests that wait, in their order.
+/// Classes of waiting requests, first to last.
 ///
-/// First tries go before returned ones, since they can still be on time; the other order makes all late while more come than
-/// targets bear.
+/// First attempts go before callers' retries because they can still be on time. The other order makes
+/// all requests late as long as more arrive than the targets can serve.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum QueueClass {
-    /// It was sent already and is to be repeated or resumed.
+    /// It was already sent and is to be resent or resumed.
     Resent,
-    /// Its caller comes for the first time.
+    /// First attempt of its caller.
     First,
-    /// Its caller was refused before: it is late, whatever happens.
+    /// Its caller was refused before, so it is late in any case.
     CallerRetry,
 }
 
-/// Where a request stands among those that wait.
+/// Position of a request in the wait queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WaitRank {
-    /// Rank of the request, 0 first.
+    /// Priority class, 0 first.
     pub priority: u8,
-    /// Whose turn it is among requests of one rank.
+    /// Class among requests of the same priority.
     pub turn: QueueClass,
     /// Order of arrival.
     pub arrival: u64,
@@ -41,7 +41,7 @@
 }
 
 impl<T> WaitList<T> {
-    /// Adds a request; the rank takes it out again.
+    /// Adds a request; the returned key removes it.
     pub fn add(&mut self, priority: u8, turn: QueueClass, item: T) -> WaitRank {
         let rank = WaitRank { priority, turn, arrival: self.arrivals };
         self.arrivals += 1;
@@ -49,33 +49,33 @@
         rank
     }
 
-    /// How many would go before one that is added now.
+    /// Number of requests that would be served before one that is added now.
     pub fn ahead(&self, priority: u8, turn: QueueClass) -> usize {
         let rank = WaitRank { priority, turn, arrival: self.arrivals };
         self.waiting.range(..rank).count()
     }
 
-    /// Takes out one that gave up.
+    /// Removes a request that gave up.
     pub fn remove(&mut self, rank: WaitRank) -> Option<T> {
         self.waiting.remove(&rank)
     }
 
-    /// Takes out the first.
+    /// Removes and returns the first request.
     pub fn pop(&mut self) -> Option<T> {
         self.waiting.pop_first().map(|(_rank, item)| item)
     }
 
-    /// Looks at the first.
+    /// The first request.
     pub fn first(&self) -> Option<&T> {
         self.waiting.first_key_value().map(|(_rank, item)| item)
     }
 
-    /// How many wait.
+    /// Number of waiting requests.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether none waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
--- a/crates/porthoist-policy/src/proxy/zones.rs
+++ b/crates/porthoist-policy/src/proxy/zones.rs
@@ -1,4 +1,5 @@
-//! Availability zones that operators have emptied: their targets get nothing new until they are taken back.
+//! Availability zones that operators have emptied. Their targets get no new requests until the zone is
+//! restored.
 
 use porthoist_core::{UnixDeadline, UnixMillis, ZoneName};
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,21 +8,21 @@
 /// Operators can write the lost row again within this time.
 const UNCONFIRMED_GRACE_MILLIS: u64 = 10_000;
 
-/// What operators say of a zone.
+/// A change that operators made to a zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ZoneChange {
-    /// Its targets are to get nothing new.
+    /// Its targets get no new requests.
     Emptied(ZoneName),
-    /// They may get requests again.
+    /// Its targets may get requests again.
     Restored(ZoneName),
 }
 
-/// News of emptied zones.
+/// News about emptied zones.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ZoneUpdate {
-    /// All that are emptied.
+    /// All emptied zones.
     Listed(Vec<ZoneName>),
-    /// Changes in their order.
+    /// Changes in order.
     Changed(Vec<ZoneChange>),
 }
 
@@ -32,25 +33,26 @@
 }
 
 impl ZoneUpdate {
-    /// Whether it changes nothing, whatever is known.
+    /// Whether it changes nothing in any state.
     pub fn is_empty(&self) -> bool {
         matches!(self, Self::Changed(changes) if changes.is_empty())
     }
 }
 
-/// The zones that are emptied, as this process believes, with the moment at which it learnt of each.
+/// The emptied zones as this process knows them, each with the time at which it learned of it.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EmptiedZones {
     since: BTreeMap<ZoneName, UnixMillis>,
-    /// Zones that were emptied before the last restore and have not been reported as emptied since, with the end of their
-    /// grace. A missing row does not take these zones back before that.
+    /// Zones that were emptied before the last restore of the table service and have not been reported
+    /// as emptied since, with the end of their grace period. Until then, a missing row does not restore
+    /// the zone.
     unconfirmed: BTreeMap<ZoneName, UnixDeadline>,
-    /// Whether the next news is the first after a restore and is taken to be from the backup.
+    /// Whether the next update is the first after a restore and is taken to be from the backup.
     awaiting_backup_rows: bool,
 }
 
 impl EmptiedZones {
-    /// Takes news; returns what they changed.
+    /// Applies an update; returns the changes that took effect.
     pub fn take(&mut self, news: ZoneUpdate, now: UnixMillis) -> Vec<ZoneChange> {
         let mut keep_unconfirmed = std::mem::take(&mut self.awaiting_backup_rows);
         let changes = match news {
@@ -63,15 +65,15 @@
         changes.into_iter().filter(|change| self.apply(change, keep_unconfirmed, now)).collect()
     }
 
-    /// Records that the table service was restored from a backup. Starts the grace of all emptied zones. The news of the
-    /// next call of [`Self::take`] is taken to be from the backup.
+    /// Records that the table service was restored from a backup. Starts the grace period of all emptied
+    /// zones. The update in the next call of [`Self::take`] is taken to be from the backup.
     pub fn restored(&mut self, now: UnixMillis) {
         let deadline = UnixDeadline::after(now, UNCONFIRMED_GRACE_MILLIS);
         self.unconfirmed = self.since.keys().map(|zone| (zone.clone(), deadline)).collect();
         self.awaiting_backup_rows = true;
     }
 
-    /// Takes back zones whose grace after a restore has ended; returns what this changed.
+    /// Restores zones whose grace period has ended; returns the changes.
     pub fn expire(&mut self, now: UnixMillis) -> Vec<ZoneChange> {
         let expired = self.unconfirmed.iter().filter(|(_zone, deadline)| deadline.passed(now));
         let expired: Vec<ZoneChange> =
@@ -79,7 +81,7 @@
         expired.into_iter().filter(|change| self.apply(change, false, now)).collect()
     }
 
-    /// The earliest deadline at which [`Self::expire`] takes back a zone.
+    /// The earliest deadline at which [`Self::expire`] restores a zone.
     pub fn next_expiry(&self) -> Option<UnixDeadline> {
         self.unconfirmed.values().min().copied()
     }
@@ -91,7 +93,8 @@
         restored.into_iter().chain(listed.into_iter().map(ZoneChange::Emptied)).collect()
     }
 
-    /// Returns whether the change took effect. With `keep_unconfirmed`, unconfirmed zones are not taken back.
+    /// Returns whether the change took effect. With `keep_unconfirmed`, unconfirmed zones are not
+    /// restored.
     fn apply(&mut self, change: &ZoneChange, keep_unconfirmed: bool, now: UnixMillis) -> bool {
         let (ZoneChange::Emptied(zone) | ZoneChange::Restored(zone)) = change;
         let unconfirmed = self.unconfirmed.remove(zone);
@@ -111,7 +114,7 @@
         self.since.contains_key(zone)
     }
 
-    /// Each with the moment at which this process learnt of it.
+    /// The emptied zones with the time at which this process learned of each.
     pub fn iter(&self) -> impl Iterator<Item = (&ZoneName, UnixMillis)> {
         self.since.iter().map(|(zone, since)| (zone, *since))
     }
--- a/crates/porthoist-policy/tests/policy/cold.rs
+++ b/crates/porthoist-policy/tests/policy/cold.rs
@@ -1,4 +1,5 @@
-//! Cold targets and emptied zones: what targets get, summed over all entries, and what callers are told.
+//! Cold targets and emptied zones: the load on targets from all entries together, and the answers to
+//! callers.
 
 use crate::cold_fleet::{ALLOWED, ColdSettings, play};
 use porthoist_core::{RequestRate, ServiceName, StartMillis, UnixDeadline, UnixMillis, ZoneName};
@@ -13,10 +14,9 @@
 use std::collections::HashMap;
 use test_case::test_case;
 
-/// What operators saw: a target that came back got 32 requests in a second from 42 entries, of 30.5 allowed. In order: its row
-/// returns; each entry finds it empty, and sends.
-///
-/// Cause: no entry read that it was cold. Evidence: without a rule the same play brings more than is allowed at each size.
+/// Guards against entries that ignore a cold start: each of 42 entries found a returned target idle and
+/// sent to it, 32 requests in a second where 30.5 are permitted. Without a cold rule, the simulation
+/// exceeds the limit at each size.
 #[test_case(6, 1; "one target before 6 entries")]
 #[test_case(42, 1; "one target before 42 entries")]
 #[test_case(600, 1; "one target before 600 entries")]
@@ -46,7 +46,7 @@
 
 #[test]
 fn a_target_whose_connections_broke_counts_as_cold_before_its_row_says_so() {
-    // Those whose connections broke hold back; the others go on as before, at 8 requests a second and target.
+    // Entries whose connections broke hold back; the others continue at 8 requests a second per target.
     let report = play(&ColdSettings::builder().entries(42).cold(4).rate(2.3).rows(false).build());
     assert!(report.most() as f64 <= ALLOWED, "{} in a second", report.most());
 }
@@ -72,7 +72,7 @@
     }
 }
 
-/// A process that is alone before targets, each in a zone with its name.
+/// A process that is the only entry, with one target in each zone. A zone has the name of its target.
 struct Alone {
     desk: RequestScheduler<()>,
     book: TargetRegistry,
@@ -116,7 +116,7 @@
         }
     }
 
-    /// How often a target is chosen of a hundred requests within a second.
+    /// Number of times a target is chosen for a hundred requests within a second.
     fn count(&mut self, target: &str, from: u64) -> usize {
         (0..100).filter(|index| self.ask(from + 10 * index) == target).count()
     }
@@ -169,7 +169,7 @@
     assert!(!ZoneUpdate::Listed(Vec::new()).is_empty(), "a listing may take zones back");
 }
 
-/// What makes a target cold, and when it is warm again: `rate` is what it bears at a moment.
+/// What makes a target cold, and when it is warm again.
 #[test]
 fn only_time_makes_a_target_warm() {
     let until = |at| ColdStatus::Until(UnixDeadline(UnixMillis(at)));
@@ -183,19 +183,20 @@
         alone.desk.sync(&alone.book);
         assert_eq!([cold_until - 1, cold_until].map(|at| cold(&alone, at)), [true, false], "{word:?}");
     }
-    // Its own answer says so.
+    // Its own answer announces a cold time.
     let answer =
         BackpressureSignals { cold_millis: SignalValue::Present(500), ..BackpressureSignals::default() };
     let life = record("a", 1, ColdStatus::Warm).life();
     alone.desk.apply_signals(&life, &answer, UnixMillis(7_000), UnixMillis(7_000));
     assert_eq!([7_499, 7_500].map(|at| cold(&alone, at)), [true, false]);
-    // A connection broke: it may have started again at any time until it answers, and is cold from then on.
+    // Its connection broke. It may have restarted at any time until it answers, and counts as cold for
+    // the whole cold time after that.
     alone.desk.ended(&service(), &life, RequestWork::default(), SendOutcome::Lost, 10, UnixMillis(8_000));
     let certain = BackpressureSignals { matches_request: true, ..BackpressureSignals::default() };
     assert!(cold(&alone, 60_000));
     alone.desk.apply_signals(&life, &certain, UnixMillis(61_000), UnixMillis(61_000));
     assert_eq!([63_999, 64_000].map(|at| cold(&alone, at)), [true, false]);
-    // Another life whose row says nothing.
+    // Another life whose row says nothing about a cold start.
     alone.book.apply_changes(vec![record("a", 2, ColdStatus::Unknown).into()], None);
     alone.desk.sync(&alone.book);
     assert!(cold(&alone, 70_000));
--- a/crates/porthoist-policy/tests/policy/cold_fleet.rs
+++ b/crates/porthoist-policy/tests/policy/cold_fleet.rs
@@ -1,4 +1,5 @@
-//! Entries before targets that start again, in virtual time: each entry decides by itself, with the code that is in use.
+//! Simulation in virtual time of entries whose targets restart. Each entry runs the production
+//! scheduler.
 
 use porthoist_core::{RequestRate, ServiceName, StartMillis, UnixDeadline, UnixMillis, ZoneName};
 use porthoist_policy::proxy::balancer::{BalancerSettings, ChosenTarget, RequestWork, SendOutcome};
@@ -12,21 +13,21 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 
-/// How long a target takes for a request, in milliseconds.
+/// Duration of a request at a target in milliseconds.
 const RUN_MILLIS: u64 = 200;
-/// Requests of one entry that a target runs at once.
+/// Requests of one entry that a target runs concurrently.
 const SLOTS: u32 = 1;
-/// Moment at which the fleet begins, in milliseconds.
+/// Unix time in milliseconds at which the simulation starts.
 const BEGIN: u64 = 1_700_000_000_000;
-/// When targets start again, in milliseconds from the beginning.
+/// When targets restart, in milliseconds since the start.
 pub const START: u64 = 6_000;
-/// How long they are cold, in milliseconds.
+/// Time in milliseconds for which they are cold.
 pub const COLD: u64 = 3_000;
-/// Requests a second that a cold target bears.
+/// Requests a second that a cold target can take.
 pub const RATE: f64 = 17.0;
-/// Requests in a second that break the users' rule: one and a half times the rate, and five.
+/// Permitted requests in a second by the users' rule: one and a half times the rate, plus five.
 pub const ALLOWED: f64 = 1.5 * RATE + 5.0;
-/// Longest time in milliseconds until an entry learns of a row.
+/// Longest time in milliseconds until an entry reads a row.
 const ROW_MILLIS: u64 = 800;
 
 #[derive(Debug, Clone, bon::Builder)]
@@ -36,21 +37,21 @@
     pub zones: usize,
     #[builder(default = 12)]
     pub targets: usize,
-    /// Targets that start again, those of the first zone first.
+    /// Number of targets that restart, beginning with those of the first zone.
     pub cold: usize,
-    /// Requests a second that callers send to each entry; more than all targets have room for, if nothing is said.
+    /// Requests a second of the callers of each entry; more than the targets have room for by default.
     #[builder(default = 80.0)]
     pub rate: f64,
-    /// Whether their rows tell, or the entries only see their connections break.
+    /// Whether rows announce the restart; otherwise the entries only see broken connections.
     #[builder(default = true)]
     pub rows: bool,
-    /// Entries that begin anew while targets are cold, and know no place for a second.
+    /// Number of entries that restart while targets are cold and don't know their position for a second.
     #[builder(default)]
     pub killed: usize,
-    /// Entries that hear nothing of rows and places from then on.
+    /// Number of entries that receive no rows and positions from the restart on.
     #[builder(default)]
     pub cut_off: usize,
-    /// By how much entries' clocks differ at most, in milliseconds.
+    /// Maximum difference between the clocks of entries in milliseconds.
     #[builder(default)]
     pub clocks_apart: u64,
     #[builder(default = 1)]
@@ -71,7 +72,7 @@
     Turn {
         entry: usize,
     },
-    /// A row reaches an entry.
+    /// An entry reads a row.
     Row {
         entry: usize,
     },
@@ -83,18 +84,18 @@
     },
 }
 
-/// What became of all requests.
+/// Totals of a simulation.
 #[derive(Debug, Default, Clone)]
 pub struct ColdReport {
     pub served: usize,
     pub refused_cold: usize,
     pub held_in_vain: usize,
-    /// Times at which each target that started again got requests, while it was cold.
+    /// Times of the requests that each restarted target got while it was cold.
     arrivals: BTreeMap<usize, Vec<u64>>,
 }
 
 impl ColdReport {
-    /// The most requests that a cold target got in any second.
+    /// Maximum number of requests that a cold target got in any second.
     pub fn most(&self) -> usize {
         let most = |times: &Vec<u64>| {
             let within = |from: &u64| times.iter().filter(|at| **at >= *from && **at < from + 1_000).count();
@@ -103,7 +104,7 @@
         self.arrivals.values().map(most).max().unwrap_or_default()
     }
 
-    /// Part of the rate that cold targets got in their last two seconds.
+    /// Fraction of the rate that cold targets got in their last two seconds.
     pub fn used(&self) -> f64 {
         let late = |times: &Vec<u64>| times.iter().filter(|at| **at >= START + COLD - 2_000).count() as f64;
         let all: f64 = self.arrivals.values().map(late).sum();
@@ -120,7 +121,7 @@
 struct ColdFleet {
     settings: ColdSettings,
     entries: Vec<PlayedEntry>,
-    /// The targets before the start.
+    /// The targets before the restart.
     records: Vec<TargetRecord>,
     service: ServiceName,
     events: BinaryHeap<Reverse<(u64, u64, ColdEvent)>>,
@@ -129,7 +130,7 @@
     report: ColdReport,
 }
 
-/// Plays a fleet from before its targets start again until they are warm.
+/// Simulates from before the targets restart until they are warm.
 pub fn play(settings: &ColdSettings) -> ColdReport {
     let mut fleet = ColdFleet::new(settings.clone());
     while let Some(Reverse((at, _sequence, event))) = fleet.events.pop() {
@@ -198,7 +199,7 @@
         PlayedEntry { desk, clock_ahead, life }
     }
 
-    /// Tells an entry what rows say at a moment.
+    /// Updates an entry with the rows at a time.
     fn tell_rows(&mut self, entry: usize, at: u64) {
         let now = self.clock(entry, at);
         let mut records = self.records.clone();
@@ -303,7 +304,7 @@
     fn send(&mut self, entry: usize, chosen: &ChosenTarget, at: u64) {
         let target = self.place(&chosen.record.life());
         let starts = target < self.settings.cold;
-        // What runs when a target ends is lost, as is what reaches the life that has ended.
+        // Requests that run when a target ends are lost, as are those sent to the life that has ended.
         let newest = chosen.record.born == StartMillis(u64::from(starts && self.settings.rows));
         let ends = if at < START { at + RUN_MILLIS >= START } else { !newest };
         let lost = starts && ends;
--- a/crates/porthoist-policy/tests/policy/domains.rs
+++ b/crates/porthoist-policy/tests/policy/domains.rs
@@ -1,4 +1,4 @@
-//! Groups judged as one: which group a request goes to when one of several is slow, silent or broken.
+//! Choice of a group when one of several is slow, silent or broken.
 
 use porthoist_core::{ServiceName, StartMillis, UnixMillis};
 use porthoist_policy::proxy::balancer::{BalancerSettings, LoadBalancer, RequestWork, SendOutcome};
@@ -11,7 +11,7 @@
 const GROUPS: usize = 3;
 const RANKS: usize = 8;
 const RANK_LIMIT: u32 = 10;
-/// A usual pass in milliseconds.
+/// A typical pass time.
 const USUAL: GroupPass = GroupPass::Millis(50);
 
 fn service() -> ServiceName {
@@ -40,7 +40,7 @@
     GroupLoads { revision: LoadRevision(1), pass, ranks: ranks.collect() }
 }
 
-/// A board that heard of all groups at moment 0.
+/// A balancer with reports from all groups at time 0.
 fn board(seed: u64, passes: [GroupPass; GROUPS]) -> LoadBalancer {
     let mut book = TargetRegistry::default();
     let places = (0..GROUPS).flat_map(|group| (0..RANKS).map(move |rank| (group, rank)));
@@ -59,7 +59,7 @@
     board
 }
 
-/// Places one request and ends it at once; returns its group.
+/// Sends one request and ends it at once; returns its group.
 fn place(board: &mut LoadBalancer, now: u64) -> usize {
     let chosen = board.choose(&service(), true, RequestWork::default(), &[], UnixMillis(now));
     let record = chosen.expect("there is room").record;
@@ -68,7 +68,7 @@
     group.parse().expect("a number")
 }
 
-/// Requests of 20 processes by group, 30 of each.
+/// Number of requests by group: 30 from each of 20 processes.
 fn placed(passes: [GroupPass; GROUPS], now: u64) -> [usize; GROUPS] {
     let mut counts = [0; GROUPS];
     for seed in 0..20 {
@@ -98,13 +98,14 @@
     assert!(counts[1] > 0 && counts[1] < counts[0], "{counts:?}");
 }
 
-/// A rank that is slow by 12 makes the passes of a group with few requests some 270 ms: all its streams are late.
+/// A rank that is slower by a factor of 12 stretches the passes of a lightly loaded group to some 270
+/// ms, which makes all its streams late.
 #[test]
 fn a_group_that_makes_its_streams_late_gets_nothing_while_others_have_room() {
     assert_eq!(placed([USUAL, GroupPass::Millis(270), USUAL], 10)[1], 0);
 }
 
-/// All are in time, and the measure errs.
+/// Both pass times are in time, and their measurement has errors.
 #[test]
 fn groups_with_good_passes_are_not_told_apart() {
     let counts = placed([USUAL, GroupPass::Millis(75), USUAL], 10);
@@ -122,7 +123,7 @@
     assert!(counts.iter().all(|count| *count > 100), "{counts:?}");
 }
 
-/// Of the groups 1 and 2 nothing is heard: their link is cut, or they stand.
+/// Nothing is heard from groups 1 and 2: their link is cut, or they have stalled.
 #[test]
 fn a_group_that_nothing_is_heard_of_gets_nothing() {
     for seed in 0..20 {
@@ -147,7 +148,7 @@
     assert!(groups.iter().filter(|group| **group == 0).count() < 20, "only the rank that moved: {groups:?}");
 }
 
-/// An event of one target speaks for its group, also where the process that reports has gone.
+/// An event from one target describes its group, even if the reporting process has gone.
 #[test]
 fn events_show_that_a_group_without_reports_goes_on() {
     let mut board = board(1, [USUAL; GROUPS]);
@@ -159,7 +160,7 @@
     assert!(groups.contains(&2), "{groups:?}");
 }
 
-/// Reports of one group may never come back: the process that made them has gone.
+/// The reports of a group may never resume, because the process that made them has gone.
 #[test]
 fn one_request_now_and_then_tries_a_group_that_nothing_is_heard_of() {
     let mut board = board(1, [USUAL; GROUPS]);
--- a/crates/porthoist-policy/tests/policy/forecast.rs
+++ b/crates/porthoist-policy/tests/policy/forecast.rs
@@ -1,11 +1,11 @@
-//! Who waits, who is refused, and when refused callers come back.
+//! Waiting, refusal and retry delays.
 
 use porthoist_core::{UnixDeadline, UnixMillis};
 use porthoist_policy::proxy::forecast::{CallerRetryDetector, PlaceAsk, PlaceForecast, ServiceForecast};
 use porthoist_policy::proxy::waiting::QueueClass::{self, CallerRetry, First, Resent};
 use test_case::test_case;
 
-/// Ten places that are taken for 1.5 s each, first events after 200 ms, heard at 1,000.
+/// Ten slots that are occupied for 1.5 s each, first events after 200 ms, the last one at 1,000 ms.
 fn busy() -> ServiceForecast {
     let mut forecast = ServiceForecast::default();
     for _request in 0..11 {
@@ -74,7 +74,7 @@
         told.push(forecast.return_millis(deadline, 0.0, 0.0, UnixMillis(began + 100)));
         forecast.heard(UnixMillis(began + 1_000));
     }
-    // Nothing was seen at first; then spells of a second.
+    // No episode was observed at first; then episodes of a second.
     assert_eq!(told, [2_500, 900, 900]);
     forecast.may_send(UnixMillis(32_000));
     assert_eq!(
@@ -101,7 +101,7 @@
     let came_back = [Some(8_000), Some(7_900), Some(5_400), None].map(|left| book.is_retry("r", left));
     assert_eq!(came_back, [false, false, true, false]);
     assert!(!book.is_retry("other", Some(1_500)));
-    // What is remembered is bounded, whatever routes come and go.
+    // Memory is bounded, whatever routes come and go.
     for route in 0..5_000 {
         book.is_retry(&format!("r{route}"), Some(8_000));
     }
--- a/crates/porthoist-policy/tests/policy/loads.rs
+++ b/crates/porthoist-policy/tests/policy/loads.rs
@@ -1,4 +1,4 @@
-//! Placement by the loads that a group's engines report.
+//! Load balancing by the loads that a group's engines report.
 
 use porthoist_core::{ServiceName, StartMillis, TargetName, UnixMillis};
 use porthoist_policy::proxy::balancer::{
@@ -60,7 +60,7 @@
     GroupLoads { revision: LoadRevision(1), ranks: ranks.collect(), ..GroupLoads::default() }
 }
 
-/// Places one request; returns the rank.
+/// Sends one request; returns its rank.
 fn place(board: &mut LoadBalancer, now: u64) -> Option<usize> {
     let chosen = board.choose(&service(), true, RequestWork::default(), &[], UnixMillis(now))?;
     chosen.record.id.as_str().trim_start_matches('t').parse().ok()
@@ -105,7 +105,8 @@
     assert!(place(&mut board, REPORT_VALIDITY_MILLIS).is_some(), "it goes by its own requests again");
 }
 
-/// Forty processes see the same report and place two requests each: every rank must end near the common level.
+/// Guards against processes that all choose the least loaded rank: forty processes see the same report
+/// and send two requests each, and every rank must end near the common level.
 #[test]
 fn processes_that_see_the_same_report_do_not_choose_the_same_rank() {
     let ranks = 63;
@@ -119,7 +120,8 @@
         }
     }
     let most = after.iter().max().copied().unwrap_or_default();
-    // The common level is six to seven; forty processes that took the least loaded rank would make it forty.
+    // The common level is six to seven. If all forty processes chose the least loaded rank, it would
+    // reach forty.
     assert!(most <= 10, "{after:?}");
     assert!(after[0] > before[0], "the empty rank gets some");
 }
@@ -159,7 +161,8 @@
     assert_eq!(place(&mut board, 110), Some(0));
 }
 
-/// A group that is not formed any more is told with the loads that were known last: they count no longer than before.
+/// Guards against counting the last loads of a broken group as new: its reports repeat the last known
+/// loads.
 #[test]
 fn the_end_of_a_group_makes_its_last_loads_no_fresher() {
     let mut board = board(1, 1);
@@ -170,7 +173,7 @@
     assert_eq!(place(&mut board, 30), None, "the own request is not in the loads that are told");
 }
 
-/// One process of six, whose group stands still: it sends no more than its part until reports come again.
+/// One of six processes, whose group has stalled: it sends no more than its share until reports resume.
 #[test]
 fn without_reports_a_process_keeps_to_its_usual_part() {
     let mut board = board(2, 1);
@@ -186,7 +189,7 @@
     assert_eq!(place(&mut board, gone.0), Some(0));
 }
 
-/// A step takes as long as five requests more: what a slow rank is shown as bearing.
+/// The load of a slow rank, where an empty step takes as long as five requests.
 #[test_case(4, 1_000, 4; "healthy")]
 #[test_case(0, 1_600, 3; "somewhat slow")]
 #[test_case(4, 1_600, 9; "somewhat slow and busy")]
--- a/crates/porthoist-policy/tests/policy/moving.rs
+++ b/crates/porthoist-policy/tests/policy/moving.rs
@@ -1,4 +1,4 @@
-//! When a request leaves the target that has it.
+//! Moves of requests from one target to another.
 
 use porthoist_core::{UnixDeadline, UnixMillis};
 use porthoist_policy::proxy::forecast::StreamTimes;
@@ -17,7 +17,7 @@
     KnownWays { here: pace(here), elsewhere_millis: elsewhere, taken: 0.4, host_silent: false, streams }
 }
 
-/// Sent at moment 0, to be on time within 500 ms and answered within 8 s.
+/// Sent at time 0, to be on time within 500 ms and answered within 8 s.
 fn send(events: u64) -> PendingSend {
     PendingSend {
         since: UnixMillis(0),
@@ -55,14 +55,16 @@
     move_cause(&send(5), &KnownWays { here, ..usual }, UnixMillis(600))
 }
 
-/// Requests lay at hosts that stood still, in a group that was busy, until their callers left after two seconds.
+/// Guards against requests that stay at stalled hosts of a busy group until their callers leave after
+/// two seconds.
 #[test_case(200.0, 300 => None; "a usual wait in a busy group")]
 #[test_case(200.0, 400 => Some(MoveCause::TargetSilent); "far longer")]
 fn leaves_a_host_that_is_not_heard(here: f64, now: u64) -> Option<MoveCause> {
     move_cause(&send(0), &KnownWays { host_silent: true, ..ways(here, OTHER) }, UnixMillis(now))
 }
 
-/// Two of three groups are held, and all their streams would go on at the third.
+/// Guards against overfilling the third group when two of three groups stall and all their streams would
+/// move there.
 #[test_case(0, 200, 0.7 => Some(MoveCause::GroupStalled); "a request that can be in time")]
 #[test_case(0, 200, 0.9 => None; "a request that can be in time, and no room")]
 #[test_case(5, 1_000, 0.5 => Some(MoveCause::GroupStalled); "a stream")]
@@ -71,7 +73,7 @@
     move_cause(&send(events), &KnownWays { taken, ..ways(450.0, OTHER) }, UnixMillis(now))
 }
 
-/// An answer of 40 events in a group whose passes take 270 ms, with 8 s from its arrival on.
+/// An answer of 40 events in a group whose passes take 270 ms, with a deadline 8 s after arrival.
 #[test_case(5_000 => None; "time for a usual rest")]
 #[test_case(5_600 => Some(MoveCause::GroupSlow); "the last time for a long rest elsewhere")]
 fn leaves_a_slow_group_while_a_long_answer_can_end_elsewhere(now: u64) -> Option<MoveCause> {
--- a/crates/porthoist-policy/tests/policy/needs.rs
+++ b/crates/porthoist-policy/tests/policy/needs.rs
@@ -1,4 +1,4 @@
-//! What targets say of themselves: limits over all entries, how they end, and what is left for callers.
+//! Backpressure from targets: limits across all entries, how they end, and what callers get.
 
 use crate::needy_fleet::{EntryCount, FleetReport, FleetSettings, PlayedNeed, play};
 use porthoist_core::{RequestRate, ServiceName, StartMillis, UnixDeadline, UnixMillis};
@@ -18,7 +18,7 @@
 
 const TARGETS: usize = 9;
 
-/// One and a half times what a limit allows in 4 s, and five.
+/// One and a half times what a limit permits in 4 s, plus five.
 fn allowed(limit: f64) -> usize {
     (6.0 * limit + 5.0).floor() as usize
 }
@@ -41,7 +41,7 @@
     (0..TARGETS).map(|target| report.rate(target, from, until)).sum()
 }
 
-/// Entries and zones of deployments now, and in two years.
+/// Numbers of entries and zones in current deployments, and expected in two years.
 #[test_case(3, 1; "three entries")]
 #[test_case(7, 3; "seven entries in unequal zones")]
 #[test_case(42, 3; "42 entries")]
@@ -75,7 +75,7 @@
     }
 }
 
-/// The check sees entries that keep a limit each for itself.
+/// The check detects entries that each use the whole limit.
 #[test]
 fn a_limit_kept_by_each_alone_does_not_hold() {
     let limited = needs(TARGETS, 1.0, 2_000, 40_000);
@@ -84,9 +84,11 @@
     assert!(most(&play(&settings), &limited) > 2 * allowed(1.0));
 }
 
-/// Where some targets are in need, the others take what callers send, and those in need are asked now and then. Half of its fair
-/// share is back within so many milliseconds after a target has dropped its limit; it was 7,000, 30,000 and over 98,000 with
-/// entries that found out one by one, three seeds each, and is 9,000, 10,000 and 11,000 where they tell each other.
+/// While some targets announce limits, the others take the load, and the limited ones get an occasional
+/// request.
+/// Half of a target's fair share must be back within `back_by` milliseconds after it withdrew its limit.
+/// With notes between entries this takes 9,000, 10,000 and 11,000 ms, without them 7,000, 30,000 and
+/// over 98,000 ms (three seeds each).
 #[test_case(7, 3, 12_000; "seven entries")]
 #[test_case(42, 3, 12_000; "42 entries")]
 #[test_case(570, 9, 24_000; "570 entries")]
@@ -139,7 +141,7 @@
     TargetNote { life: record(1).life(), limit: limit.map(RequestRate), as_of: UnixMillis(as_of) }
 }
 
-/// What others tell, after the target named a limit of 1 at 10 s, and the limit that is kept.
+/// Notes that arrive after the target announced a limit of 1 at 10 s, and the limit that is kept.
 #[test_case((Some(2.0), 10_100), Some(2.0); "another limit")]
 #[test_case((Some(2.0), 9_900), Some(1.0); "a limit from before")]
 #[test_case((None, 11_500), None; "its end")]
@@ -208,7 +210,7 @@
     board
 }
 
-/// Whether the only target gets a request outside of this process's turns.
+/// Whether the only target gets a request without a rate limit.
 fn gets_one(board: &mut LoadBalancer, now: u64) -> bool {
     let work = RequestWork::default();
     let chosen = board.choose(&"s".parse().unwrap(), true, work, &[], UnixMillis(now));
@@ -338,7 +340,8 @@
     }
 }
 
-/// Ranks of a group that all rest say nothing of the group: it is not down, and callers come back when the first rest ends.
+/// Guards against taking a group for down when all its ranks have asked for a rest period: callers
+/// return when the first one ends.
 #[test]
 fn where_all_rest_callers_are_told_when_the_first_rest_ends() {
     let mut book = TargetRegistry::default();
