--- a/crates/porthoist-policy/tests/policy/needy_fleet.rs
+++ b/crates/porthoist-policy/tests/policy/needy_fleet.rs
@@ -1,4 +1,5 @@
-//! Entries before targets that ask for less, in virtual time: each entry decides by itself, with the code that is in use.
+//! Simulation in virtual time of entries whose targets announce limits. Each entry runs the production
+//! scheduler.
 
 use porthoist_core::{RequestRate, ServiceName, StartMillis, UnixDeadline, UnixMillis, ZoneName};
 use porthoist_policy::proxy::backpressure::{BackpressureChange, BackpressureSignals, SignalValue};
@@ -14,38 +15,38 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 
-/// How long a target takes for a request, in milliseconds.
+/// Duration of a request at a target in milliseconds.
 const RUN_MILLIS: u64 = 30;
-/// Requests that a target runs at once.
+/// Requests that a target runs concurrently.
 const SLOTS: u32 = 6;
-/// Time in milliseconds between two questions of an entry to the process that follows the tables for its zone.
+/// Interval in milliseconds at which an entry queries the process that follows the tables for its zone.
 const ROUND_MILLIS: u64 = 1_000;
-/// Moment at which the fleet begins, in milliseconds.
+/// Unix time in milliseconds at which the simulation starts.
 const BEGIN: u64 = 1_700_000_000_000;
-/// Time in milliseconds that callers have.
+/// Time in milliseconds until callers leave.
 const PATIENCE: u64 = 8_000;
 /// Time in milliseconds within which answers are on time.
 const LATENCY: u64 = 500;
 
-/// What one target says, and when.
+/// A limit that one target announces for some time.
 #[derive(Debug, Clone, Copy)]
 pub struct PlayedNeed {
     pub target: usize,
     /// Requests a second.
     pub limit: f64,
-    /// In milliseconds from the start.
+    /// Milliseconds since the start.
     pub from: u64,
     pub until: u64,
 }
 
-/// What entries believe of their number.
+/// What entries assume about their number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EntryCount {
-    /// What it is.
+    /// The actual number.
     Known,
-    /// Nothing.
+    /// Unknown.
     Unknown,
-    /// Each that it is the only one.
+    /// Each assumes to be the only one.
     Alone,
 }
 
@@ -60,16 +61,16 @@
     pub millis: u64,
     #[builder(default = EntryCount::Known)]
     pub count: EntryCount,
-    /// Whether the entries of a zone tell each other what targets said.
+    /// Whether the entries of a zone exchange notes.
     #[builder(default = true)]
     pub shared: bool,
-    /// Entries that stand still from 8 to 12 s.
+    /// Number of entries that stall from 8 to 12 s.
     #[builder(default)]
     pub frozen: usize,
-    /// Entries that begin anew every 3 s, one after the other, and know nothing then.
+    /// Whether entries restart without state, one every 3 s.
     #[builder(default)]
     pub restarts: bool,
-    /// By how much entries' clocks differ at most, in milliseconds.
+    /// Maximum difference between the clocks of entries in milliseconds.
     #[builder(default)]
     pub clocks_apart: u64,
     #[builder(default = 1)]
@@ -91,7 +92,7 @@
     Restart {
         entry: usize,
     },
-    /// An entry asks the process that follows the tables for its zone.
+    /// An entry queries the process that follows the tables for its zone.
     Round {
         entry: usize,
     },
@@ -101,11 +102,11 @@
 #[derive(Debug, Clone, Copy)]
 struct Arrival {
     at: u64,
-    /// Whether its entry had been told of the target's limit half a second before.
+    /// Whether the target had announced its limit to the entry at least half a second before.
     told: bool,
 }
 
-/// What became of all requests.
+/// Totals of a simulation.
 #[derive(Debug, Default, Clone)]
 pub struct FleetReport {
     pub served: usize,
@@ -116,7 +117,8 @@
 }
 
 impl FleetReport {
-    /// The most requests that a target got in any 4 s, from entries that it had told, while it named a limit for 3 s.
+    /// Maximum number of requests that a target got in any 4 s, starting 3 s after it announced its
+    /// limit, from entries that had heard the limit from it.
     pub fn most(&self, need: PlayedNeed) -> usize {
         let counted = self.arrivals[need.target].iter().filter(|arrival| arrival.told);
         let times: Vec<u64> = counted.map(|arrival| arrival.at).collect();
@@ -125,7 +127,7 @@
         begins.map(within).max().unwrap_or_default()
     }
 
-    /// Requests a second that a target got between two moments.
+    /// Requests a second at a target between two times.
     pub fn rate(&self, target: usize, from: u64, until: u64) -> f64 {
         let within = self.arrivals[target].iter().filter(|arrival| arrival.at >= from && arrival.at < until);
         within.count() as f64 * 1_000.0 / (until - from) as f64
@@ -136,9 +138,9 @@
     desk: RequestScheduler<u64>,
     clock_ahead: u64,
     frozen_until: u64,
-    /// What it tells the others of its zone.
+    /// Notes to pass on to the other entries of its zone.
     notes: NoteStore,
-    /// When each target first told it of its limit.
+    /// When each target first announced its limit to it.
     told: HashMap<usize, u64>,
     life: u64,
 }
@@ -149,7 +151,7 @@
     book: TargetRegistry,
     targets: BTreeMap<TargetLife, usize>,
     service: ServiceName,
-    /// What each zone's entries have told.
+    /// Notes that the entries of each zone have passed on.
     zones: Vec<NoteStore>,
     events: BinaryHeap<Reverse<(u64, u64, FleetEvent)>>,
     sequence: u64,
@@ -161,7 +163,7 @@
     format!("z{index}").parse().unwrap()
 }
 
-/// Plays the fleet.
+/// Runs a simulation.
 pub fn play(settings: &FleetSettings) -> FleetReport {
     let mut fleet = Fleet::new(settings.clone());
     fleet.at(0, FleetEvent::Caller);
@@ -263,7 +265,7 @@
         }
     }
 
-    /// Tells what it has heard of targets, and hears what the others of its zone have. The process has a clock of its own.
+    /// Exchanges notes with the other entries of the zone through a process with its own clock.
     fn round(&mut self, entry: usize, at: u64) {
         self.at(at + ROUND_MILLIS, FleetEvent::Round { entry });
         if (8_000..self.entries[entry].frozen_until).contains(&at) {
@@ -282,7 +284,7 @@
     fn caller(&mut self, at: u64) {
         let entry = self.random.random_range(0..self.settings.entries);
         let pause = -(1_000.0 / self.settings.rate) * (1.0 - self.random.random::<f64>()).ln();
-        // Several callers may come in one millisecond.
+        // Several callers may arrive in the same millisecond.
         let next = (at as f64 + pause + self.random.random::<f64>()) as u64;
         self.at(next, FleetEvent::Caller);
         let frozen = (8_000..self.entries[entry].frozen_until).contains(&at);
--- a/crates/porthoist-policy/tests/policy/pass_time.rs
+++ b/crates/porthoist-policy/tests/policy/pass_time.rs
@@ -1,4 +1,4 @@
-//! Pass times measured from the numbers of passes begun.
+//! Pass times derived from the pass counter.
 
 use porthoist_core::UnixMillis;
 use porthoist_policy::proxy::pass_time::{GroupPass, GroupSample, PassTimer};
@@ -9,7 +9,7 @@
     GroupSample { epoch: GroupEpoch(epoch), step: StepNumber(step), busy: working, slowest: RankPace::USUAL }
 }
 
-/// Shows a timer the steps of one formation, each at its moment.
+/// A timer that has observed these steps of one formation, each at its time.
 fn timer(readings: &[(u32, u64)]) -> PassTimer {
     let mut timer = PassTimer::default();
     for (step, at) in readings {
@@ -58,7 +58,8 @@
     assert_eq!(timer.pass(UnixMillis(4_010)), GroupPass::Millis(50));
 }
 
-/// All requests left it while it was held: it must not count as standing until it has some again.
+/// Guards against a group that lost all its requests while it stalled and then counts as stalled until
+/// it gets some again.
 #[test]
 fn a_group_that_was_held_and_left_is_as_good_as_usual() {
     let mut timer = timer(&[(10, 0), (11, 50), (12, 100), (13, 4_100)]);
@@ -67,7 +68,7 @@
     assert!(millis < 120, "{millis}");
 }
 
-/// Whoever sends it requests again would find it as slow as before.
+/// New requests would find it as slow as before.
 #[test]
 fn an_idle_group_with_a_slow_rank_counts_as_slow() {
     let mut timer = timer(&[(10, 0), (11, 50), (12, 100)]);
--- a/crates/porthoist-policy/tests/policy/proxy.rs
+++ b/crates/porthoist-policy/tests/policy/proxy.rs
@@ -1,4 +1,4 @@
-//! Decisions for requests that are passed on as they are.
+//! Decisions for proxied requests.
 
 use porthoist_core::{ServiceName, StartMillis, TargetName, UnixDeadline, UnixMillis};
 use porthoist_policy::proxy::balancer::{BalancerSettings, LoadBalancer, RequestWork, SendOutcome};
@@ -86,7 +86,7 @@
     assert_eq!(proof.age(UnixMillis(5_000)), None);
     proof.record_answer(answer(1_000, 1_004, 50));
     assert_eq!(proof.age(UnixMillis(1_004)), Some(4));
-    // Asked at 1,010, answered by the service at 1,850 of its clock.
+    // Sent at 1,010, answered at 1,850 of the service's clock.
     proof.record_answer(answer(1_010, 2_804, 1_850));
     assert_eq!(proof.age(UnixMillis(2_804)), Some(4));
 }
@@ -95,7 +95,7 @@
 fn an_answer_that_was_long_on_its_way_proves_no_more_than_it_may() {
     let mut proof = FreshnessProof::default();
     proof.record_answer(answer(1_000, 1_004, 50));
-    // The process slept between the service's answer and its reading.
+    // The process was suspended between the service's answer and reading it.
     proof.record_answer(answer(1_010, 9_000, 60));
     assert_eq!(proof.age(UnixMillis(9_000)), Some(7_990));
 }
@@ -116,7 +116,7 @@
     }
     let taken = (0..10).filter(|_repeat| share.take(UnixMillis(20))).count();
     assert_eq!(taken, 3);
-    // What was sent a window ago no longer counts, on either side.
+    // Sends and retries that are older than the window no longer count.
     assert!(share.take(UnixMillis(1_500)));
     assert!(!share.take(UnixMillis(1_501)));
 }
@@ -146,10 +146,11 @@
     assert_eq!(ids(&book), ["newer", "t2"]);
     book.apply_changes(vec![TargetChange::Put(row("newest"))], None);
     assert_eq!(ids(&book), ["newest", "t2"]);
-    // The older row's end says nothing of the newer one.
+    // The end of the older row does not affect the newer one.
     book.apply_changes(vec![TargetChange::Gone(name("newer"))], None);
     assert_eq!(ids(&book), ["newest", "t2"]);
-    // A row that lapses while the table service is away has no grace where another life has its address.
+    // A row that expires while the table service is unavailable gets no grace if a newer life uses its
+    // address.
     book.apply_listing(vec![row("last")], Some(UnixDeadline(UnixMillis(100))));
     assert_eq!(ids(&book), ["last", "t2"]);
 }
@@ -194,7 +195,7 @@
     book.apply_listing(vec![record("t1", TargetState::Ready)], grace);
     book.apply_changes(vec![TargetChange::Gone(name("t1"))], grace);
     assert_eq!(ids(&book), ["t1", "t2", "t3"]);
-    // A second listing does not extend it, and a row that is back needs none.
+    // A second listing does not extend the grace, and a row that is back needs none.
     book.apply_listing(vec![record("t2", TargetState::Ready)], Some(UnixDeadline(UnixMillis(900))));
     assert_eq!(book.expire(UnixMillis(99)), Vec::<TargetName>::new());
     let mut expired = book.expire(UnixMillis(100));
@@ -203,8 +204,8 @@
     assert_eq!(ids(&book), ["t2"]);
 }
 
-/// The service returned at 10 s, and the last question without an answer was sent at 9.5 s. A target that left at 10.2 s
-/// must get nothing new after 12.2 s, whenever its row's removal is read.
+/// The service returned at 10 s, and the last unanswered request was sent at 9.5 s. A target that left
+/// at 10.2 s must get nothing new after 12.2 s, whenever the removal of its row is read.
 #[test_case(10_000 => Some(11_700); "missing in the first listing")]
 #[test_case(10_800 => Some(11_700); "removed just after the return")]
 #[test_case(11_699 => Some(11_700); "removed at its end")]
@@ -214,8 +215,8 @@
     gap.grace(StalenessBound::default(), UnixMillis(now)).map(|end| end.0.0)
 }
 
-/// A question sent at 6 s had no answer until 10 s: its connection may have been silent since 6 s. A target that left at
-/// 9 s must get nothing new after 11 s, of which a new connection may take 0.4 s.
+/// A request sent at 6 s was not answered until 10 s, so the connection may have been silent since 6 s.
+/// A target that left at 9 s must get nothing new after 11 s, of which a new connection may take 0.4 s.
 #[test_case(10_000 => Some(10_400); "missing in the first listing")]
 #[test_case(10_400 => None; "removed later")]
 fn grace_ends_when_a_belief_from_before_the_gap_would_be_too_old(now: u64) -> Option<u64> {
@@ -278,7 +279,7 @@
     };
     assert_eq!([fail(&mut board, 0), fail(&mut board, 0), fail(&mut board, 0)], [false, false, true]);
     assert_eq!(choose(&mut board, 799), None);
-    // One request at a time is the trial; its failure doubles the rest.
+    // One request at a time is the probe; its failure doubles the ejection time.
     assert!(fail(&mut board, 800));
     assert_eq!(choose(&mut board, 2_399), None);
     assert!(choose(&mut board, 2_400).is_some());
@@ -291,7 +292,7 @@
     TargetRecord { born: StartMillis(born), ..record(id, TargetState::Ready) }
 }
 
-/// Nothing of an earlier life counts: neither its time out, nor its load, nor its times, nor that it was gone.
+/// A new life inherits nothing: neither ejection nor load, answer times or a lost address.
 #[test_case(SendOutcome::Failed; "after failures")]
 #[test_case(SendOutcome::Gone; "after another target was found at its address")]
 #[test_case(SendOutcome::Answered(9_000.0); "after slow answers")]
@@ -302,14 +303,14 @@
     let mut board = LoadBalancer::new(settings);
     board.sync(&book);
     let old = born("t1", 100).life();
-    // As often as it is still chosen.
+    // Until it is no longer chosen.
     for _send in 0..3 {
         if choose(&mut board, 0).is_none() {
             break;
         }
         board.ended(&old, RequestWork::default(), outcome, UnixMillis(0));
     }
-    // One more is still under way there.
+    // One more request is still in flight there.
     let open = choose(&mut board, 0).is_some();
     book.apply_changes([TargetChange::Put(born("t1", 200))].into(), None);
     board.sync(&book);
@@ -321,7 +322,8 @@
     assert_eq!(board.in_flight(&new), 2, "the end of the earlier life's request frees nothing");
 }
 
-/// Once services are known, a row of none of them ends nobody, and a worker's own row does.
+/// Once services are known, a row of an unknown service ends no target, while a row of a known service
+/// does.
 #[test]
 fn a_row_of_an_unknown_service_ends_nobody() {
     let foreign =
@@ -336,7 +338,7 @@
         None,
     );
     assert_eq!(ids(&book), ["t9"]);
-    // Before services are known, it may have ended a target: then all are to be listed anew.
+    // Before services are known, the row may have ended a target, so all rows have to be listed again.
     let mut early = TargetRegistry::default();
     early.apply_listing([record("t1", TargetState::Ready), foreign], None);
     assert!(early.set_services([name("s")]));
--- a/crates/porthoist-policy/tests/policy/quarantine.rs
+++ b/crates/porthoist-policy/tests/policy/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are kept from targets: single cases, and several hosts in random order.
+//! Quarantine of requests: single cases, and several hosts in random order.
 
 use porthoist_core::{MarkedHead, RequestMark, UnixMillis};
 use porthoist_policy::proxy::quarantine::{
@@ -159,14 +159,15 @@
     }
 }
 
-/// Several hosts, targets that die of one request or of nothing, and a table that hosts hear of late.
+/// Several hosts, targets that die of one request or at random, and a table whose changes reach the
+/// hosts late.
 struct Fleet {
     random: Pcg64Mcg,
     books: Vec<QuarantineTracker>,
-    /// When each host hears of the table again, at most [`HEAR_MILLIS`] after a change.
+    /// When each host reads the table again, at most [`HEAR_MILLIS`] after a change.
     hears: Vec<u64>,
     rows: CrashRows,
-    /// When the target at each place is back, and its life.
+    /// When the target at each index is back, and the number of its life.
     targets: Vec<(u64, u32)>,
     now: u64,
     killed: Vec<u64>,
@@ -174,13 +175,13 @@
     accused: HashSet<String>,
 }
 
-/// Hosts, targets and the time in milliseconds within which a host hears of a row.
+/// Numbers of hosts and targets, and the longest time in milliseconds until a host reads a row.
 const HOSTS: usize = 4;
 const TARGETS: usize = 6;
 const HEAR_MILLIS: u64 = 1_000;
-/// Time of one play, in milliseconds; shorter than a quarantine.
+/// Simulated time in milliseconds; shorter than a quarantine.
 const PLAY_MILLIS: u64 = 400_000;
-/// Deaths by the request that kills in any play.
+/// Maximum number of deaths that the request that kills may cause in one simulation.
 const MOST_KILLED: usize = 5;
 
 impl Fleet {
@@ -213,7 +214,7 @@
         }
     }
 
-    /// Who of these may be sent by a host, and whether it was suspected.
+    /// Whether a host may send a request, and whether the request is suspected.
     fn leave(&mut self, host: usize, body: &str) -> Option<bool> {
         match self.books[host].begin(&mark(body), at(self.now)) {
             Ok(leave) => Some(leave == SendPermit::Suspected),
@@ -226,7 +227,7 @@
         }
     }
 
-    /// A target takes some requests at once, and dies if one of them kills or for a reason of its own.
+    /// Sends some requests to a target. It dies if one of them kills it, or at random.
     fn round(&mut self) {
         self.tell();
         let place = self.random.random_range(0..TARGETS);
@@ -276,7 +277,7 @@
             let (back, life) = &mut self.targets[place];
             (*back, *life) = (self.now + 3_000, *life + 1);
         }
-        // A host may begin anew, and knows what the table says.
+        // A host may restart; it then knows only what the table contains.
         if self.random.random_range(0..400) == 0 {
             let host = self.random.random_range(0..HOSTS);
             self.books[host] = QuarantineTracker::default();
@@ -293,7 +294,7 @@
     }
 }
 
-/// What many plays with some rules lead to.
+/// Totals of many simulations with the same rules.
 #[derive(Debug, Default, PartialEq, Eq)]
 struct Outcome {
     deaths: usize,
@@ -318,11 +319,11 @@
 fn hosts_agree_in_any_order_and_accuse_no_bystander() {
     let usual = outcome(QuarantineRules::default());
     assert_eq!((usual.sent_late, usual.hot_accused, usual.others_accused), (0, 0, 0), "{usual:?}");
-    // Others may send it once more before they hear of a death.
+    // Other hosts may send it once more before they learn of a death.
     assert!(usual.deaths <= MOST_KILLED, "{usual:?}");
 }
 
-/// Each rule has its worth: without it, the same plays show what it is for.
+/// The same simulations detect each relaxed rule.
 #[test_case(QuarantineRules { certain_deaths: 9, hold_millis: 0, trust: true }, |without| without.deaths > MOST_KILLED; "one that is lenient lets more die")]
 #[test_case(QuarantineRules { trust: false, certain_deaths: 2, ..QuarantineRules::default() }, |without| without.hot_accused > 0; "one that forgets answers accuses a hot request")]
 #[test_case(QuarantineRules { certain_deaths: 2, hold_millis: 0, ..QuarantineRules::default() }, |without| without.others_accused > 0; "one that is certain too early accuses bystanders")]
