--- a/crates/porthoist-policy/src/proxy/backpressure.rs
+++ b/crates/porthoist-policy/src/proxy/backpressure.rs
@@ -5,7 +5,7 @@
 //! unreadable value changes nothing: read as absent it would lift a limit, read as 0 it would close a
 //! healthy target.
 
-use super::cold::{ColdRule, ColdStatus, TargetCold};
+use super::cold::{ColdRule, ColdState, ColdStatus};
 use super::notes::TargetNote;
 use super::targets::TargetLife;
 use super::turns::{RateSource, TargetRate};
@@ -14,23 +14,23 @@
 
 /// Time in milliseconds by which a note from another process may be older than its age says: the time
 /// that it takes to arrive.
-const NOTE_WAY_MILLIS: u64 = 1_000;
+const NOTE_TRANSIT_MILLIS: u64 = 1_000;
 /// Minimum time in milliseconds between two log lines about one target, which may change its limit with
 /// every second answer.
 const LOG_MILLIS: u64 = 1_000;
 
 /// Time in milliseconds without a conclusive answer after which a target gets a request although others
 /// have room. Only an answer can tell that it accepts more again.
-const UNHEARD_MILLIS: u64 = 4_000;
+const RECHECK_MILLIS: u64 = 4_000;
 /// Fraction by which the end of a rest period varies between processes, so that they don't return
 /// together.
-const REST_SPREAD: f64 = 0.1;
+const REST_JITTER: f64 = 0.1;
 /// Time in milliseconds over which load returns to a target that accepts more again; many processes may
 /// learn of it at once.
 const RETURN_MILLIS: u64 = 3_000;
 
 /// Maximum number of lives whose backpressure is stored after their rows have disappeared.
-const MAX_VANISHED: usize = 1_024;
+const MAX_DEPARTED: usize = 1_024;
 
 /// A value that an answer may contain.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
@@ -102,67 +102,67 @@
 
 /// A limit that a target announced.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct HeardLimit {
+pub struct AnnouncedLimit {
     /// The limit.
     pub rate: RequestRate,
     /// When it was first announced.
     pub since: UnixMillis,
     /// When it was last announced, to this process or to one that passed it on.
-    named: UnixMillis,
+    announced: UnixMillis,
 }
 
 /// Backpressure of one life of a target, as one process knows it.
 #[derive(Debug, Clone, Default)]
-pub struct TargetNeed {
-    limit: Option<HeardLimit>,
+pub struct TargetBackpressure {
+    limit: Option<AnnouncedLimit>,
     /// When its last conclusive answer arrived.
-    heard: UnixMillis,
+    last_answer: UnixMillis,
     /// Until when it wants no requests from this process.
     rest_until: Option<UnixDeadline>,
     /// Whether it is cold.
-    cold: TargetCold,
+    cold: ColdState,
     /// Whether this life is shutting down. A row that says it is ready is older, and the target may
     /// never write another.
     leaving: bool,
     /// When it began to accept requests again.
     returned: Option<UnixMillis>,
     unreadable: bool,
-    log_due: UnixDeadline,
+    next_log: UnixDeadline,
 }
 
-impl TargetNeed {
-    /// Applies the signals in an answer to a request that was sent at `sent`. `spread`, from 0 to 1,
+impl TargetBackpressure {
+    /// Applies the signals in an answer to a request that was sent at `sent`. `jitter`, from 0 to 1,
     /// varies the end of a rest period between processes.
-    pub fn take(
+    pub fn apply_signals(
         &mut self,
-        word: &BackpressureSignals,
+        signals: &BackpressureSignals,
         sent: UnixMillis,
-        spread: f64,
+        jitter: f64,
         now: UnixMillis,
     ) -> Vec<ObservedChange> {
-        self.cold.take_answer(word.cold_millis, now);
-        if word.matches_request {
-            self.heard = now;
-            self.cold.answered(now);
+        self.cold.apply_answer(signals.cold_millis, now);
+        if signals.matches_request {
+            self.last_answer = now;
+            self.cold.record_answer(now);
         }
         let changes = [
-            self.take_limit(word, sent, now),
-            self.take_rest(word, spread, now),
-            self.take_leaving(word),
-            self.take_readable(word),
+            self.apply_limit(signals, sent, now),
+            self.apply_rest(signals, jitter, now),
+            self.apply_leaving(signals),
+            self.check_readable(signals),
         ];
-        changes.into_iter().flatten().map(|change| self.noted(change, now)).collect()
+        changes.into_iter().flatten().map(|change| self.observed(change, now)).collect()
     }
 
     /// Applies a limit that another process heard from the target.
-    pub fn take_note(&mut self, note: &TargetNote, now: UnixMillis) -> Option<ObservedChange> {
+    pub fn apply_note(&mut self, note: &TargetNote, now: UnixMillis) -> Option<ObservedChange> {
         let change = match note.limit {
-            Some(rate) if note.as_of > self.heard => self.limited(rate, note.as_of),
+            Some(rate) if note.as_of > self.last_answer => self.limited(rate, note.as_of),
             Some(_older) => None,
-            None => self.lifted(note.as_of, NOTE_WAY_MILLIS, now),
+            None => self.lifted(note.as_of, NOTE_TRANSIT_MILLIS, now),
         };
-        self.heard = self.heard.max(note.as_of);
-        change.map(|change| self.noted(change, now))
+        self.last_answer = self.last_answer.max(note.as_of);
+        change.map(|change| self.observed(change, now))
     }
 
     /// The end of the current rest period, if any.
@@ -176,13 +176,13 @@
     }
 
     /// Whether it is shutting down.
-    pub fn leaves(&self) -> bool {
+    pub fn is_leaving(&self) -> bool {
         self.leaving
     }
 
     /// Whether there is any state to keep in case its row comes back.
-    pub(super) fn is_any(&self) -> bool {
-        self.leaving || self.limit.is_some() || self.rest_until.is_some() || self.cold.is_any()
+    pub(super) fn has_state(&self) -> bool {
+        self.leaving || self.limit.is_some() || self.rest_until.is_some() || self.cold.has_state()
     }
 
     /// Sets its service's limit for cold targets.
@@ -191,19 +191,19 @@
     }
 
     /// Applies its row. A target that is seen for the first time may have just started.
-    pub(super) fn take_row(&mut self, word: ColdStatus, first_seen: bool) {
-        self.cold.take_row(word, first_seen);
+    pub(super) fn apply_row(&mut self, status: ColdStatus, first_seen: bool) {
+        self.cold.apply_row(status, first_seen);
     }
 
     /// Records that it may have restarted.
-    pub(super) fn suspect_start(&mut self) {
-        self.cold.suspect();
+    pub(super) fn suspect_restart(&mut self) {
+        self.cold.suspect_restart();
     }
 
     /// Records that its zone gets requests again. It may have become cold meanwhile, and all entries
     /// return to it together.
     pub(super) fn restored(&mut self, now: UnixMillis) {
-        self.cold.start(now);
+        self.cold.record_start(now);
         self.returned = Some(now);
     }
 
@@ -218,13 +218,13 @@
     }
 
     /// The limit that it announces.
-    pub fn limit(&self) -> Option<HeardLimit> {
+    pub fn limit(&self) -> Option<AnnouncedLimit> {
         self.limit
     }
 
     /// Whether the last conclusive answer is too old.
-    pub fn unheard(&self, now: UnixMillis) -> bool {
-        now.since(self.heard) >= UNHEARD_MILLIS
+    pub fn needs_recheck(&self, now: UnixMillis) -> bool {
+        now.since(self.last_answer) >= RECHECK_MILLIS
     }
 
     /// Fraction of the return time that is left: 1 right after the end of a limit or a rest period, 0
@@ -236,22 +236,22 @@
         left as f64 / RETURN_MILLIS as f64
     }
 
-    fn take_limit(
+    fn apply_limit(
         &mut self,
-        word: &BackpressureSignals,
+        signals: &BackpressureSignals,
         sent: UnixMillis,
         now: UnixMillis,
     ) -> Option<BackpressureChange> {
-        match word.limit {
+        match signals.limit {
             SignalValue::Present(rate) => self.limited(rate, now),
-            SignalValue::Absent if word.matches_request => self.lifted(sent, 0, now),
+            SignalValue::Absent if signals.matches_request => self.lifted(sent, 0, now),
             SignalValue::Absent | SignalValue::Unreadable => None,
         }
     }
 
-    fn limited(&mut self, rate: RequestRate, named: UnixMillis) -> Option<BackpressureChange> {
-        let since = self.limit.map_or(named, |limit| limit.since);
-        let known = self.limit.replace(HeardLimit { rate, since, named });
+    fn limited(&mut self, rate: RequestRate, announced: UnixMillis) -> Option<BackpressureChange> {
+        let since = self.limit.map_or(announced, |limit| limit.since);
+        let known = self.limit.replace(AnnouncedLimit { rate, since, announced });
         (known.map(|limit| limit.rate) != Some(rate)).then_some(BackpressureChange::Limited(rate))
     }
 
@@ -264,49 +264,49 @@
         margin_millis: u64,
         now: UnixMillis,
     ) -> Option<BackpressureChange> {
-        let known = self.limit.filter(|limit| sent >= limit.named.plus(margin_millis))?;
+        let known = self.limit.filter(|limit| sent >= limit.announced.plus(margin_millis))?;
         self.limit = None;
         self.returned = Some(now);
         Some(BackpressureChange::Lifted(now.since(known.since)))
     }
 
-    fn take_rest(
+    fn apply_rest(
         &mut self,
-        word: &BackpressureSignals,
-        spread: f64,
+        signals: &BackpressureSignals,
+        jitter: f64,
         now: UnixMillis,
     ) -> Option<BackpressureChange> {
         let known = self.rest(now);
-        let SignalValue::Present(millis) = word.rest_millis else {
-            let over = self.rest_until.is_some() && known.is_none() && word.matches_request;
+        let SignalValue::Present(millis) = signals.rest_millis else {
+            let over = self.rest_until.is_some() && known.is_none() && signals.matches_request;
             let ended = over.then(|| self.rest_until.take()).flatten()?;
             self.returned = self.returned.max(Some(ended.0));
             return Some(BackpressureChange::Rested);
         };
-        let spread_millis = millis as f64 * REST_SPREAD * spread;
-        let until = UnixDeadline::after(now, millis.saturating_add(spread_millis as u64));
+        let jitter_millis = millis as f64 * REST_JITTER * jitter;
+        let until = UnixDeadline::after(now, millis.saturating_add(jitter_millis as u64));
         self.rest_until = self.rest_until.max(Some(until));
         (millis > 0 && known.is_none()).then_some(BackpressureChange::Resting(millis))
     }
 
-    fn take_leaving(&mut self, word: &BackpressureSignals) -> Option<BackpressureChange> {
-        let news = word.leaving && !self.leaving;
-        self.leaving |= word.leaving;
-        news.then_some(BackpressureChange::Leaving)
+    fn apply_leaving(&mut self, signals: &BackpressureSignals) -> Option<BackpressureChange> {
+        let changed = signals.leaving && !self.leaving;
+        self.leaving |= signals.leaving;
+        changed.then_some(BackpressureChange::Leaving)
     }
 
-    fn take_readable(&mut self, word: &BackpressureSignals) -> Option<BackpressureChange> {
-        let unreadable = word.limit == SignalValue::Unreadable
-            || word.rest_millis == SignalValue::Unreadable
-            || word.cold_millis == SignalValue::Unreadable;
+    fn check_readable(&mut self, signals: &BackpressureSignals) -> Option<BackpressureChange> {
+        let unreadable = signals.limit == SignalValue::Unreadable
+            || signals.rest_millis == SignalValue::Unreadable
+            || signals.cold_millis == SignalValue::Unreadable;
         let before = std::mem::replace(&mut self.unreadable, unreadable);
         (unreadable && !before).then_some(BackpressureChange::Unreadable)
     }
 
-    fn noted(&mut self, change: BackpressureChange, now: UnixMillis) -> ObservedChange {
-        let logged = self.log_due.passed(now);
+    fn observed(&mut self, change: BackpressureChange, now: UnixMillis) -> ObservedChange {
+        let logged = self.next_log.passed(now);
         if logged {
-            self.log_due = UnixDeadline::after(now, LOG_MILLIS);
+            self.next_log = UnixDeadline::after(now, LOG_MILLIS);
         }
         ObservedChange { change, logged }
     }
@@ -315,25 +315,28 @@
 /// Backpressure of targets whose rows have disappeared. Rows expire during an outage of the table
 /// service and come back, and the same life still needs the same treatment.
 #[derive(Debug, Clone, Default)]
-pub struct VanishedNeeds {
-    needs: VecDeque<(TargetLife, TargetNeed)>,
+pub struct DepartedBackpressure {
+    lives: VecDeque<(TargetLife, TargetBackpressure)>,
 }
 
-impl VanishedNeeds {
+impl DepartedBackpressure {
     /// Stores the state of a target, if it has any; replaces the oldest if necessary.
-    pub(super) fn keep(&mut self, life: TargetLife, need: TargetNeed) {
-        if !need.is_any() {
+    pub(super) fn keep(&mut self, life: TargetLife, backpressure: TargetBackpressure) {
+        if !backpressure.has_state() {
             return;
         }
-        if self.needs.len() == MAX_VANISHED {
-            self.needs.pop_front();
+        if self.lives.len() == MAX_DEPARTED {
+            self.lives.pop_front();
         }
-        self.needs.push_back((life, need));
+        self.lives.push_back((life, backpressure));
     }
 
     /// Removes and returns the state of a life.
-    pub(super) fn take(&mut self, life: &TargetLife) -> TargetNeed {
-        let known = self.needs.iter().position(|(known, _need)| known == life);
-        known.and_then(|place| self.needs.remove(place)).map(|(_life, need)| need).unwrap_or_default()
+    pub(super) fn take(&mut self, life: &TargetLife) -> TargetBackpressure {
+        let known = self.lives.iter().position(|(known, _backpressure)| known == life);
+        known
+            .and_then(|index| self.lives.remove(index))
+            .map(|(_life, backpressure)| backpressure)
+            .unwrap_or_default()
     }
 }
--- a/crates/porthoist-policy/src/proxy/balancer.rs
+++ b/crates/porthoist-policy/src/proxy/balancer.rs
@@ -3,12 +3,12 @@
 //! The load balancer counts the requests that this process has in flight. Targets with several failures
 //! in a row are ejected for a growing time and then get a single request as a probe.
 
-use super::backpressure::VanishedNeeds;
+use super::backpressure::DepartedBackpressure;
 use super::cold::ColdRule;
-use super::groups::{DomainBook, GroupIndex};
+use super::groups::{GroupIndex, GroupTracker};
 use super::loads::{GroupLoads, RankLoad};
 use super::pass_time::GroupPass;
-use super::service_groups::{GroupSnapshot, ServicePaces};
+use super::service_groups::{GroupSnapshot, ServiceGroups};
 use super::spread::choose_by_level;
 use super::target_load::{GroupView, TargetLoad};
 use super::targets::{TargetLife, TargetRecord, TargetRegistry, TargetState};
@@ -19,14 +19,14 @@
 use std::net::{IpAddr, Ipv4Addr};
 use std::sync::Arc;
 
-mod asked;
+mod limits;
 mod tiers;
 
-pub use asked::LimitedSupply;
+pub use limits::LimitedSupply;
 use tiers::preferred;
 
 /// Weight of a new report in this process's share of all requests; some ten reports arrive each second.
-const SHARE_WEIGHT: f64 = 0.05;
+const REPORT_WEIGHT: f64 = 0.05;
 
 /// Work that a request causes at a target.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -108,9 +108,9 @@
     /// Ordered, so that the same seed gives the same choices.
     loads: BTreeMap<TargetLife, TargetLoad>,
     /// Backpressure of targets whose rows have disappeared.
-    vanished: VanishedNeeds,
+    departed: DepartedBackpressure,
     /// State of the groups that the targets belong to.
-    domains: DomainBook,
+    groups: GroupTracker,
     /// This process's share of the requests in a service's groups, from reports.
     shares: HashMap<ServiceName, f64>,
     /// Rate limits of cold targets, by service.
@@ -118,7 +118,7 @@
     /// Zones whose targets get no new requests.
     emptied: EmptiedZones,
     /// This process's position among the entries of its zone, once known.
-    place: Option<EntryPosition>,
+    entry_position: Option<EntryPosition>,
     /// Its position among all senders, derived from the zones of all targets.
     sender: SenderPosition,
     turn: u64,
@@ -130,11 +130,11 @@
         let sender = SenderPosition::new(None, &settings.zone, &[], settings.uncounted(0));
         Self {
             settings,
-            place: None,
+            entry_position: None,
             sender,
             loads: BTreeMap::new(),
-            vanished: VanishedNeeds::default(),
-            domains: DomainBook::default(),
+            departed: DepartedBackpressure::default(),
+            groups: GroupTracker::default(),
             shares: HashMap::new(),
             cold_rules: HashMap::new(),
             emptied: EmptiedZones::default(),
@@ -144,16 +144,16 @@
 
     /// Replaces the set of known targets. Targets that are gone, and earlier lives of targets, stay
     /// while requests are in flight there.
-    pub fn sync(&mut self, book: &TargetRegistry) {
+    pub fn sync(&mut self, registry: &TargetRegistry) {
         let known: HashMap<TargetLife, &Arc<TargetRecord>> =
-            book.records().map(|record| (record.life(), record)).collect();
+            registry.records().map(|record| (record.life(), record)).collect();
         let kept = |life: &TargetLife, load: &TargetLoad| known.contains_key(life) || load.in_flight > 0;
         for (life, load) in self.loads.extract_if(.., |life, load| !kept(life, load)) {
-            self.vanished.keep(life, load.need);
+            self.departed.keep(life, load.backpressure);
         }
         for (life, load) in &mut self.loads {
             if let Some(record) = known.get(life) {
-                load.take_row(record, self.cold_rules.get(&record.service).copied(), false);
+                load.apply_row(record, self.cold_rules.get(&record.service).copied(), false);
                 continue;
             }
             let record = TargetRecord { state: TargetState::Draining, ..(*load.record).clone() };
@@ -161,9 +161,9 @@
         }
         for (life, record) in known {
             if !self.loads.contains_key(&life) {
-                let need = self.vanished.take(&life);
-                let mut load = TargetLoad::new(Arc::clone(record), need);
-                load.take_row(record, self.cold_rules.get(&record.service).copied(), true);
+                let backpressure = self.departed.take(&life);
+                let mut load = TargetLoad::new(Arc::clone(record), backpressure);
+                load.apply_row(record, self.cold_rules.get(&record.service).copied(), true);
                 load.set_emptied(self.emptied.contains(&record.zone), UnixMillis::default());
                 self.loads.insert(life, load);
             }
@@ -184,39 +184,41 @@
         let group = GroupView {
             ranked,
             own_limit: self.own_limit(service),
-            assumed: if ranked { self.mean_others(service, now) } else { None },
+            assumed: if ranked { self.mean_other_requests(service, now) } else { None },
         };
         let reported = group.assumed.is_some();
-        let usual = self.usual_millis(service);
-        let paces = self.paces(service, now);
+        let usual = self.median_answer_millis(service);
+        let groups = self.service_groups(service, now);
         self.turn = self.turn.wrapping_add(1);
         let mut candidates: Vec<&mut TargetLoad> = {
             let (settings, sender) = (&self.settings, self.sender);
             let loads = self.loads.values_mut();
             let fits = |load: &&mut TargetLoad| load.fits(settings, service, group, tried, now);
-            let open = loads.filter(fits).filter(|load| paces.open(load.group));
+            let open = loads.filter(fits).filter(|load| groups.is_open(load.group));
             preferred(open, sender, tried.is_empty(), now)
         };
-        let costs: Vec<f64> =
-            candidates.iter().map(|load| load.cost(&self.settings.zone, usual, group, &paces, now)).collect();
+        let costs: Vec<f64> = candidates
+            .iter()
+            .map(|load| load.cost(&self.settings.zone, usual, group, &groups, now))
+            .collect();
         let best = if reported {
             choose_by_level(&costs, random_point(self.settings.seed, self.turn))?
         } else {
             let turn = self.turn;
             (0..costs.len()).min_by(|left, right| {
                 let order = costs[*left].total_cmp(&costs[*right]);
-                let place = |index: usize| spread(&candidates[index].record.id, turn);
-                order.then_with(|| place(*left).cmp(&place(*right)))
+                let tie = |index: usize| tie_break(&candidates[index].record.id, turn);
+                order.then_with(|| tie(*left).cmp(&tie(*right)))
             })?
         };
         let best = candidates.swap_remove(best);
         let (in_flight, report) = (best.in_flight, best.report(now));
         let rate = best.rate(now);
-        best.take(work, now);
-        let group = best.group.and_then(|index| Some(GroupSnapshot { index, status: paces.pace(index)? }));
+        best.count_send(work, now);
+        let group = best.group.and_then(|index| Some(GroupSnapshot { index, status: groups.status(index)? }));
         let record = Arc::clone(&best.record);
         if let Some(GroupSnapshot { index, .. }) = group.filter(|group| group.status.probe_due) {
-            self.domains.probed(index, now);
+            self.groups.record_probe(index, now);
         }
         Some(ChosenTarget { record, in_flight, report, group, rate })
     }
@@ -248,25 +250,25 @@
     }
 
     /// State of a service's groups.
-    pub fn paces(&self, service: &ServiceName, now: UnixMillis) -> ServicePaces {
+    pub fn service_groups(&self, service: &ServiceName, now: UnixMillis) -> ServiceGroups {
         let loads = || self.loads.values().filter(|load| load.record.service == *service);
-        let mut running: Vec<Option<u32>> = vec![None; self.domains.len()];
+        let mut running: Vec<Option<u32>> = vec![None; self.groups.len()];
         for load in loads() {
             let Some(group) = load.group else { continue };
             *running[group.place()].get_or_insert(0) += load.in_flight;
         }
-        let pace = |(place, running): (usize, &Option<u32>)| {
-            running.map(|running| self.domains.pace(GroupIndex::at(place), running, now))
+        let status = |(index, running): (usize, &Option<u32>)| {
+            running.map(|running| self.groups.status(GroupIndex::at(index), running, now))
         };
-        let paces = ServicePaces::new(running.iter().enumerate().map(pace).collect());
-        let (mut taken, mut slots) = (0, 0);
+        let groups = ServiceGroups::new(running.iter().enumerate().map(status).collect());
+        let (mut occupied, mut slots) = (0, 0);
         // Targets that apply backpressure can't absorb requests that leave other groups.
         let usable = loads().filter(|load| load.rate(now).is_none() && !load.closed(now));
-        for load in usable.filter(|load| load.group.is_some_and(|group| paces.goes_on(group))) {
-            taken += load.requests(None, now).count;
+        for load in usable.filter(|load| load.group.is_some_and(|group| groups.is_working(group))) {
+            occupied += load.requests(None, now).count;
             slots += self.settings.rank_limit.min(load.record.slots);
         }
-        paces.with_taken(if slots == 0 { 1.0 } else { f64::from(taken) / f64::from(slots) })
+        groups.with_occupancy(if slots == 0 { 1.0 } else { f64::from(occupied) / f64::from(slots) })
     }
 
     /// Services with known groups.
@@ -276,12 +278,12 @@
 
     /// The groups that stalled or recovered since the last call.
     pub fn group_changes(&mut self, service: &ServiceName, now: UnixMillis) -> Vec<GroupSnapshot> {
-        let paces = self.paces(service, now);
-        let known = (0..self.domains.len()).map(GroupIndex::at);
+        let groups = self.service_groups(service, now);
+        let known = (0..self.groups.len()).map(GroupIndex::at);
         let known: Vec<GroupSnapshot> =
-            known.filter_map(|index| Some(GroupSnapshot { index, status: paces.pace(index)? })).collect();
+            known.filter_map(|index| Some(GroupSnapshot { index, status: groups.status(index)? })).collect();
         let changed =
-            known.into_iter().filter(|group| self.domains.take_standing(group.index, group.status.stalled));
+            known.into_iter().filter(|group| self.groups.update_stalled(group.index, group.status.stalled));
         changed.collect()
     }
 
@@ -296,15 +298,15 @@
     }
 
     /// Records an event from a target.
-    pub fn heard(&mut self, record: &TargetRecord, now: UnixMillis) {
+    pub fn event_received(&mut self, record: &TargetRecord, now: UnixMillis) {
         if let IpAddr::V4(host) = record.address.ip() {
-            self.domains.heard(host, now);
+            self.groups.event_received(host, now);
         }
     }
 
     /// Applies the loads that the engines of a group reported.
-    pub fn take_loads(&mut self, loads: &GroupLoads, now: UnixMillis) {
-        let group = self.domains.take_report(loads, now);
+    pub fn update_loads(&mut self, loads: &GroupLoads, now: UnixMillis) {
+        let group = self.groups.apply_report(loads, now);
         let by_host: HashMap<Ipv4Addr, &RankLoad> =
             loads.ranks.iter().map(|rank| (rank.host, rank)).collect();
         let (mut own, mut all, mut service) = (0, 0, None);
@@ -314,12 +316,12 @@
                 load.group = Some(group);
                 if loads.pass == GroupPass::Broken {
                     // Some rank of the group may restart.
-                    load.need.suspect_start();
+                    load.backpressure.suspect_restart();
                     // These loads are old. Applied again, they would hide what this process has sent
                     // since.
                     continue;
                 }
-                load.take_report(rank, now);
+                load.apply_report(rank, now);
                 own += load.in_flight;
                 all += rank.requests;
                 service = Some(load.record.service.clone());
@@ -331,12 +333,12 @@
         {
             let part = f64::from(own) / f64::from(own.max(all));
             let share = self.shares.entry(service).or_insert(part);
-            *share += SHARE_WEIGHT * (part - *share);
+            *share += REPORT_WEIGHT * (part - *share);
         }
     }
 
     /// Mean of other processes' requests at the targets with a valid report, or `None` without one.
-    fn mean_others(&self, service: &ServiceName, now: UnixMillis) -> Option<u32> {
+    fn mean_other_requests(&self, service: &ServiceName, now: UnixMillis) -> Option<u32> {
         let loads = self.loads.values().filter(|load| load.record.service == *service);
         let known: Vec<u32> = loads.filter_map(|load| load.others(now)).collect();
         let ranks = u32::try_from(known.len()).ok().filter(|ranks| *ranks > 0)?;
@@ -358,7 +360,7 @@
     }
 
     /// Median of the targets' mean answer times.
-    fn usual_millis(&self, service: &ServiceName) -> Option<f64> {
+    fn median_answer_millis(&self, service: &ServiceName) -> Option<f64> {
         let of_service = self.loads.values().filter(|load| load.record.service == *service);
         let mut means: Vec<f64> = of_service.filter_map(|load| load.mean_millis).collect();
         if means.is_empty() {
@@ -376,6 +378,6 @@
 }
 
 /// Orders equal targets differently for each choice.
-fn spread(id: &TargetName, turn: u64) -> u64 {
+fn tie_break(id: &TargetName, turn: u64) -> u64 {
     xxhash_rust::xxh3::xxh3_64_with_seed(id.as_str().as_bytes(), turn)
 }
--- a/crates/porthoist-policy/src/proxy/balancer/asked.rs
+++ b/crates/porthoist-policy/src/proxy/balancer/limits.rs
@@ -24,8 +24,8 @@
 
 impl LoadBalancer {
     /// Sets this process's position among the entries of its zone.
-    pub fn set_place(&mut self, place: Option<EntryPosition>) {
-        self.place = place;
+    pub fn set_entry_position(&mut self, position: Option<EntryPosition>) {
+        self.entry_position = position;
         self.sync_sender();
     }
 
@@ -34,34 +34,36 @@
         zones.sort_unstable();
         zones.dedup();
         let uncounted = self.settings.uncounted(self.loads.len());
-        self.sender = SenderPosition::new(self.place, &self.settings.zone, &zones, uncounted);
+        self.sender = SenderPosition::new(self.entry_position, &self.settings.zone, &zones, uncounted);
     }
 
     /// Applies the backpressure signals in an answer to a request that was sent at `sent`.
-    pub fn told(
+    pub fn apply_signals(
         &mut self,
         life: &TargetLife,
-        word: &BackpressureSignals,
+        signals: &BackpressureSignals,
         sent: UnixMillis,
         now: UnixMillis,
     ) -> Vec<ObservedChange> {
-        let spread = random_point(self.settings.seed, self.turn);
-        self.loads.get_mut(life).map_or_else(Vec::new, |load| load.need.take(word, sent, spread, now))
+        let jitter = random_point(self.settings.seed, self.turn);
+        self.loads
+            .get_mut(life)
+            .map_or_else(Vec::new, |load| load.backpressure.apply_signals(signals, sent, jitter, now))
     }
 
     /// Applies a limit that another entry heard from a target.
-    pub fn told_by_other(&mut self, note: &TargetNote, now: UnixMillis) -> Option<ObservedChange> {
-        self.loads.get_mut(&note.life)?.need.take_note(note, now)
+    pub fn apply_note(&mut self, note: &TargetNote, now: UnixMillis) -> Option<ObservedChange> {
+        self.loads.get_mut(&note.life)?.backpressure.apply_note(note, now)
     }
 
     /// Whether a request that was assigned a slot at a target may still be sent there.
-    pub fn stands(&self, life: &TargetLife, rate: Option<TargetRate>, now: UnixMillis) -> bool {
-        self.loads.get(life).is_some_and(|load| load.stands(rate, now))
+    pub fn is_still_valid(&self, life: &TargetLife, rate: Option<TargetRate>, now: UnixMillis) -> bool {
+        self.loads.get(life).is_some_and(|load| load.is_still_valid(rate, now))
     }
 
     /// Whether a target has announced that it is shutting down.
-    pub fn leaves(&self, life: &TargetLife) -> bool {
-        self.loads.get(life).is_some_and(|load| load.need.leaves())
+    pub fn is_leaving(&self, life: &TargetLife) -> bool {
+        self.loads.get(life).is_some_and(|load| load.backpressure.is_leaving())
     }
 
     /// When the first rest period ends, if only rest periods keep a service's requests from its targets.
@@ -74,7 +76,7 @@
     /// Sets the services' limits for cold targets.
     pub fn set_cold_rules(&mut self, rules: HashMap<ServiceName, ColdRule>) {
         for load in self.loads.values_mut() {
-            load.need.set_cold_rule(rules.get(&load.record.service).copied());
+            load.backpressure.set_cold_rule(rules.get(&load.record.service).copied());
         }
         self.cold_rules = rules;
     }
@@ -97,7 +99,7 @@
     }
 
     /// Number of targets that count as cold.
-    pub fn cold(&self, now: UnixMillis) -> usize {
+    pub fn cold_targets(&self, now: UnixMillis) -> usize {
         let cold = |rate: TargetRate| rate.source == RateSource::Cold;
         self.loads.values().filter(|load| load.rate(now).is_some_and(cold)).count()
     }
--- a/crates/porthoist-policy/src/proxy/cold.rs
+++ b/crates/porthoist-policy/src/proxy/cold.rs
@@ -44,7 +44,7 @@
 
 /// Whether one life of a target is cold.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct TargetCold {
+pub struct ColdState {
     /// The rule of its service; `None` if its targets are never cold.
     rule: Option<ColdRule>,
     until: Option<UnixDeadline>,
@@ -52,7 +52,7 @@
     suspected: bool,
 }
 
-impl TargetCold {
+impl ColdState {
     /// Sets the rule of its service.
     pub fn set_rule(&mut self, rule: Option<ColdRule>) {
         self.rule = rule;
@@ -60,8 +60,8 @@
 
     /// Applies its row. A life that is seen for the first time, or whose row had disappeared, may have
     /// just started.
-    pub fn take_row(&mut self, word: ColdStatus, first_seen: bool) {
-        match word {
+    pub fn apply_row(&mut self, status: ColdStatus, first_seen: bool) {
+        match status {
             ColdStatus::Until(until) => self.until = self.until.max(Some(until)),
             ColdStatus::Unknown if first_seen => self.suspected = true,
             ColdStatus::Unknown | ColdStatus::Warm => {}
@@ -69,7 +69,7 @@
     }
 
     /// Applies the remaining cold time that an answer contains.
-    pub fn take_answer(&mut self, remaining: SignalValue<u64>, now: UnixMillis) {
+    pub fn apply_answer(&mut self, remaining: SignalValue<u64>, now: UnixMillis) {
         match remaining {
             SignalValue::Present(0) | SignalValue::Absent => {}
             SignalValue::Present(millis) => {
@@ -81,20 +81,20 @@
     }
 
     /// Records that it may have restarted: its connection broke, or it or its group was unreachable.
-    pub fn suspect(&mut self) {
+    pub fn suspect_restart(&mut self) {
         self.suspected = true;
     }
 
     /// Records an answer. If the target was suspected of a restart, it is now cold for the time of a
     /// full start.
-    pub fn answered(&mut self, now: UnixMillis) {
+    pub fn record_answer(&mut self, now: UnixMillis) {
         if std::mem::take(&mut self.suspected) {
-            self.start(now);
+            self.record_start(now);
         }
     }
 
     /// Records that it may have started at `now`.
-    pub fn start(&mut self, now: UnixMillis) {
+    pub fn record_start(&mut self, now: UnixMillis) {
         let Some(rule) = self.rule else { return };
         let until = UnixDeadline::after(now, rule.millis.min(MAX_COLD_MILLIS));
         self.until = self.until.max(Some(until));
@@ -107,7 +107,7 @@
     }
 
     /// Whether there is any state to keep in case its row comes back.
-    pub(super) fn is_any(&self) -> bool {
+    pub(super) fn has_state(&self) -> bool {
         self.rule.is_some() && (self.suspected || self.until.is_some())
     }
 }
--- a/crates/porthoist-policy/src/proxy/entries.rs
+++ b/crates/porthoist-policy/src/proxy/entries.rs
@@ -11,12 +11,12 @@
 
 /// Time in milliseconds for which an entry counts after its last query. An entry that stalls may resume
 /// within this time; queries arrive every second.
-const COUNTED_MILLIS: u64 = 10_000;
+const ENTRY_TIMEOUT_MILLIS: u64 = 10_000;
 /// Time in milliseconds between the first query and the first answer with a count. By then all entries
 /// have asked twice, including those that started at the same time.
 const SETTLE_MILLIS: u64 = 2_000;
 /// Time in milliseconds for which a higher number of entries is kept.
-const KEPT_MILLIS: u64 = 30_000;
+const HIGHER_COUNT_HOLD_MILLIS: u64 = 30_000;
 
 /// Identifies an entry process's host, also across restarts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -36,37 +36,37 @@
         if self.counted.is_empty() {
             self.first_asked = now;
         }
-        self.counted.insert(entry, UnixDeadline::after(now, COUNTED_MILLIS));
+        self.counted.insert(entry, UnixDeadline::after(now, ENTRY_TIMEOUT_MILLIS));
         let settled = now.since(self.first_asked) >= SETTLE_MILLIS;
-        let place = EntryPosition {
+        let position = EntryPosition {
             index: self.counted.range(..entry).count() as u32,
             entries: self.counted.len() as u32,
         };
-        settled.then_some(place)
+        settled.then_some(position)
     }
 }
 
 /// The position that an entry uses for itself.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PositionTracker {
-    place: Option<EntryPosition>,
-    kept_until: UnixDeadline,
+    position: Option<EntryPosition>,
+    higher_count_until: UnixDeadline,
 }
 
 impl PositionTracker {
     /// Applies the position from an answer. Returns whether the position changed.
-    pub fn update(&mut self, told: Option<EntryPosition>, now: UnixMillis) -> bool {
-        let Some(told) = told else { return false };
-        let fewer = self.place.is_some_and(|place| told.entries < place.entries);
-        if fewer && !self.kept_until.passed(now) {
+    pub fn update(&mut self, answer: Option<EntryPosition>, now: UnixMillis) -> bool {
+        let Some(answer) = answer else { return false };
+        let fewer = self.position.is_some_and(|position| answer.entries < position.entries);
+        if fewer && !self.higher_count_until.passed(now) {
             return false;
         }
-        self.kept_until = UnixDeadline::after(now, KEPT_MILLIS);
-        self.place.replace(told) != Some(told)
+        self.higher_count_until = UnixDeadline::after(now, HIGHER_COUNT_HOLD_MILLIS);
+        self.position.replace(answer) != Some(answer)
     }
 
     /// The position, or `None` until one is known.
     pub fn place(&self) -> Option<EntryPosition> {
-        self.place
+        self.position
     }
 }
--- a/crates/porthoist-policy/src/proxy/forecast.rs
+++ b/crates/porthoist-policy/src/proxy/forecast.rs
@@ -6,24 +6,24 @@
 //! handles a group of ranks near its capacity, whose streams slow each other down, and a group that is
 //! down for seconds.
 
-use super::groups::{GroupStatus, STANDING_MILLIS};
+use super::groups::{GroupStatus, STALLED_PASS_MILLIS};
 use super::waiting::QueueClass;
 use porthoist_core::{UnixDeadline, UnixMillis};
 use std::collections::{HashMap, VecDeque};
 
 /// Weight of a new observation in a mean, which covers about ten of them.
-const NEW_SHARE: f64 = 0.1;
+const OBSERVATION_WEIGHT: f64 = 0.1;
 /// Number of mean deviations after the mean within which a first event is expected; about 19 of 20
 /// arrive earlier.
 const FIRST_DEVIATIONS: f64 = 2.0;
 /// Number of stored episodes.
-const KEPT_SPELLS: usize = 8;
+const MAX_EPISODES: usize = 8;
 /// Expected length in milliseconds of an episode before one has been observed. A crashed rank is back
 /// after some 2 s, and a caller that retries too early has done so in vain.
-const FIRST_SPELL_MILLIS: f64 = 2_500.0;
+const INITIAL_EPISODE_MILLIS: f64 = 2_500.0;
 /// Time in milliseconds without a refusal after which the next one begins a new overload episode; demand
 /// shifts are seconds apart.
-const JAM_GAP_MILLIS: u64 = 500;
+const OVERLOAD_GAP_MILLIS: u64 = 500;
 /// Time in milliseconds without stream events after which a group counts as down. The slowest passes,
 /// right after a demand shift, take 350 ms.
 const SILENT_MILLIS: u64 = 600;
@@ -35,24 +35,24 @@
 const SILENT_PROBE_MILLIS: u64 = 500;
 /// Longest wait in milliseconds of a request that is to be resent or resumed. Its caller has already
 /// waited, and leaves after some 2 s without an event.
-const REPEATED_WAIT_MILLIS: u64 = 1_000;
+const RESENT_WAIT_MILLIS: u64 = 1_000;
 /// Fraction of its possible wait within which a request must expect its slot, because slots become free
 /// irregularly.
-const WAIT_PART: f64 = 0.6;
+const WAIT_FRACTION: f64 = 0.6;
 /// Divisor of a caller's remaining time that gives its longest retry delay; the rest must suffice to
 /// serve it.
-const AWAY_PART: u64 = 3;
+const RETRY_DELAY_DIVISOR: u64 = 3;
 /// Tolerance in milliseconds for the remaining time of first attempts on a route.
-const FIRST_TRY_MILLIS: u64 = 200;
+const FIRST_ATTEMPT_TOLERANCE_MILLIS: u64 = 200;
 /// Maximum number of routes with a stored timeout. The largest configurations have some 1,000; more
 /// belong to removed routes.
 const MAX_ROUTES: usize = 4_096;
 /// Fraction by which retry delays vary, so that callers don't return together.
-const SPREAD_PART: f64 = 0.3;
+const RETRY_DELAY_JITTER: f64 = 0.3;
 
 /// A request without a free slot.
 #[derive(Debug, Clone, Copy)]
-pub struct PlaceAsk {
+pub struct WaitQuery {
     /// Number of waiting requests before it.
     pub ahead: usize,
     /// When it arrived.
@@ -62,14 +62,14 @@
     /// When its caller stops waiting.
     pub deadline: UnixDeadline,
     /// Its class in the wait queue.
-    pub turn: QueueClass,
+    pub class: QueueClass,
     /// Mean time in milliseconds between two sends of this process if all targets have rate limits.
-    pub limited_millis: Option<f64>,
+    pub rate_limited_millis: Option<f64>,
 }
 
 /// What to do with a request without a free slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PlaceForecast {
+pub enum WaitDecision {
     /// Let it wait until then at most; it is expected to be answered in time.
     Wait(UnixDeadline),
     /// Refuse it: it would not be answered in time.
@@ -94,19 +94,19 @@
             return false;
         };
         *longest = (*longest).max(remaining);
-        remaining + FIRST_TRY_MILLIS < *longest
+        remaining + FIRST_ATTEMPT_TOLERANCE_MILLIS < *longest
     }
 }
 
 /// Lengths of episodes in which a service refused requests.
 #[derive(Debug, Clone, Default)]
-struct SpellTimes {
+struct EpisodeLengths {
     lengths: VecDeque<f64>,
     began: Option<UnixMillis>,
     last: UnixMillis,
 }
 
-impl SpellTimes {
+impl EpisodeLengths {
     fn begin(&mut self, now: UnixMillis) {
         self.began.get_or_insert(now);
         self.last = now;
@@ -114,7 +114,7 @@
 
     fn end(&mut self, end: UnixMillis) {
         let Some(began) = self.began.take() else { return };
-        if self.lengths.len() == KEPT_SPELLS {
+        if self.lengths.len() == MAX_EPISODES {
             self.lengths.pop_front();
         }
         self.lengths.push_back(end.since(began) as f64);
@@ -122,10 +122,10 @@
 
     /// Expected remaining milliseconds of the current episode: the mean remainder of the stored episodes
     /// that lasted longer. An episode longer than all of them is expected to double.
-    fn expected_rest(&self, now: UnixMillis) -> f64 {
+    fn expected_remainder(&self, now: UnixMillis) -> f64 {
         let age = self.began.map_or(0.0, |began| now.since(began) as f64);
         if self.lengths.is_empty() {
-            return FIRST_SPELL_MILLIS.max(age);
+            return INITIAL_EPISODE_MILLIS.max(age);
         }
         let rests: Vec<f64> =
             self.lengths.iter().filter(|length| **length > age).map(|length| length - age).collect();
@@ -138,7 +138,7 @@
 
 /// Statistics of a service's streams, as one process sees them.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct StreamTimes {
+pub struct StreamStats {
     /// Mean milliseconds until the first event.
     pub first_millis: f64,
     /// Mean deviation from that.
@@ -151,70 +151,70 @@
 #[derive(Debug, Clone, Default)]
 pub struct ServiceForecast {
     in_flight: u32,
-    hold_millis: Option<f64>,
+    slot_millis: Option<f64>,
     first_millis: Option<f64>,
     /// Mean deviation of first events from their mean.
     first_deviation: f64,
     /// Mean number of events in an answer.
     answer_events: Option<f64>,
-    heard: Option<UnixMillis>,
+    last_event: Option<UnixMillis>,
     /// When the next request may probe a group that is down.
     next_probe: UnixDeadline,
-    jam: SpellTimes,
-    outage: SpellTimes,
+    overload: EpisodeLengths,
+    outage: EpisodeLengths,
 }
 
 impl ServiceForecast {
     /// Records that a request got a slot.
-    pub fn placed(&mut self, now: UnixMillis) {
+    pub fn request_started(&mut self, now: UnixMillis) {
         if self.in_flight == 0 {
             // Silence counts only while an answer is expected.
-            self.heard = Some(self.heard.map_or(now, |heard| heard.max(now)));
+            self.last_event = Some(self.last_event.map_or(now, |last| last.max(now)));
         }
         self.in_flight += 1;
     }
 
     /// Records that a slot is free again, and for how many milliseconds an answer had occupied it.
-    pub fn freed(&mut self, answered_millis: Option<f64>) {
+    pub fn request_ended(&mut self, answered_millis: Option<f64>) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if let Some(millis) = answered_millis {
-            self.hold_millis = Some(smoothed(self.hold_millis, millis));
+            self.slot_millis = Some(smoothed(self.slot_millis, millis));
         }
     }
 
     /// Records the first event of a stream, or a whole answer, and its delay after the request was sent.
-    pub fn began(&mut self, millis: f64, now: UnixMillis) {
+    pub fn first_event_received(&mut self, millis: f64, now: UnixMillis) {
         let deviation = self.first_millis.map_or(0.0, |first| (millis - first).abs());
         self.first_deviation = smoothed(Some(self.first_deviation), deviation);
         self.first_millis = Some(smoothed(self.first_millis, millis));
-        self.heard(now);
+        self.event_received(now);
     }
 
     /// Records the end of a stream and its number of events.
-    pub fn streamed(&mut self, events: u64) {
+    pub fn stream_ended(&mut self, events: u64) {
         self.answer_events = Some(smoothed(self.answer_events, events as f64));
     }
 
     /// Statistics of the service's streams, or `None` before one has ended.
-    pub fn streams(&self) -> Option<StreamTimes> {
+    pub fn stream_stats(&self) -> Option<StreamStats> {
         let (first_millis, answer_events) = (self.first_millis?, self.answer_events?);
-        Some(StreamTimes { first_millis, first_deviation: self.first_deviation, answer_events })
+        Some(StreamStats { first_millis, first_deviation: self.first_deviation, answer_events })
     }
 
     /// Records that the service works.
-    pub fn heard(&mut self, now: UnixMillis) {
-        self.heard = Some(now);
+    pub fn event_received(&mut self, now: UnixMillis) {
+        self.last_event = Some(now);
         self.outage.end(now);
     }
 
     /// Whether the service counts as down.
-    pub fn down(&self) -> bool {
+    pub fn is_down(&self) -> bool {
         self.outage.began.is_some()
     }
 
     /// Records that the service refused or failed a request.
     pub fn refused(&mut self, now: UnixMillis) {
-        if self.silent(now) {
+        if self.is_silent(now) {
             self.outage.begin(now);
         }
         self.next_probe = self.next_probe.min(UnixDeadline::after(now, PROBE_MILLIS));
@@ -223,10 +223,10 @@
     /// Whether a request may be sent to a group whose streams show whether it works. A group that is
     /// down only gets probes.
     pub fn may_send(&mut self, now: UnixMillis) -> bool {
-        if self.in_flight > 0 && self.silent(now) {
+        if self.in_flight > 0 && self.is_silent(now) {
             self.outage.begin(now);
         }
-        if !self.down() {
+        if !self.is_down() {
             return true;
         }
         let due = self.next_probe.passed(now);
@@ -238,73 +238,73 @@
 
     /// State of the service as a single group, where its groups are unknown: the time without events
     /// counts as a pass.
-    pub fn pace(&self, now: UnixMillis) -> GroupStatus {
-        let silence = self.heard.map_or(u64::MAX, |heard| now.since(heard));
+    pub fn group_status(&self, now: UnixMillis) -> GroupStatus {
+        let silence = self.last_event.map_or(u64::MAX, |last| now.since(last));
         GroupStatus {
             millis: silence as f64,
-            stalled: silence >= STANDING_MILLIS,
+            stalled: silence >= STALLED_PASS_MILLIS,
             slow_for_millis: 0,
             probe_due: false,
         }
     }
 
-    fn silent(&self, now: UnixMillis) -> bool {
-        self.heard.is_none_or(|heard| now.since(heard) > SILENT_MILLIS)
+    fn is_silent(&self, now: UnixMillis) -> bool {
+        self.last_event.is_none_or(|last| now.since(last) > SILENT_MILLIS)
     }
 
     /// Decides whether a request without a free slot should wait.
-    pub fn ask(&self, ask: PlaceAsk, now: UnixMillis) -> PlaceForecast {
-        if self.down() {
-            return PlaceForecast::Refuse;
+    pub fn decide(&self, query: WaitQuery, now: UnixMillis) -> WaitDecision {
+        if self.is_down() {
+            return WaitDecision::Refuse;
         }
         let first = self.first_millis.unwrap_or_default() + FIRST_DEVIATIONS * self.first_deviation;
-        let on_time = ask.latency_millis.saturating_sub(first as u64);
-        let wait = match ask.turn {
+        let on_time = query.latency_millis.saturating_sub(first as u64);
+        let wait = match query.class {
             QueueClass::First => on_time,
-            QueueClass::Resent => on_time.max(REPEATED_WAIT_MILLIS),
+            QueueClass::Resent => on_time.max(RESENT_WAIT_MILLIS),
             // First attempts would overtake it again and again.
-            QueueClass::CallerRetry => return PlaceForecast::Refuse,
+            QueueClass::CallerRetry => return WaitDecision::Refuse,
         };
-        let until = UnixDeadline::after(ask.arrival, wait).min(ask.deadline);
-        let expected = match ask.limited_millis {
-            Some(millis) => millis * (ask.ahead + 1) as f64,
-            None => self.expected_wait(ask.ahead),
+        let until = UnixDeadline::after(query.arrival, wait).min(query.deadline);
+        let expected = match query.rate_limited_millis {
+            Some(millis) => millis * (query.ahead + 1) as f64,
+            None => self.expected_wait(query.ahead),
         };
-        if expected < WAIT_PART * until.0.since(now) as f64 {
-            PlaceForecast::Wait(until)
+        if expected < WAIT_FRACTION * until.0.since(now) as f64 {
+            WaitDecision::Wait(until)
         } else {
-            PlaceForecast::Refuse
+            WaitDecision::Refuse
         }
     }
 
     /// Expected milliseconds until a request with `ahead` others before it gets a slot, at the observed
     /// rate.
     fn expected_wait(&self, ahead: usize) -> f64 {
-        let hold = self.hold_millis.unwrap_or_default();
+        let hold = self.slot_millis.unwrap_or_default();
         hold * (ahead + 1) as f64 / f64::from(self.in_flight.max(1))
     }
 
     /// Records a refusal and returns the caller's retry delay in milliseconds: at least `least_millis`
     /// as far as its deadline permits. `point` is random between 0 and 1.
-    pub fn return_millis(
+    pub fn retry_after_millis(
         &mut self,
         deadline: UnixDeadline,
         least_millis: f64,
         point: f64,
         now: UnixMillis,
     ) -> u64 {
-        if now.since(self.jam.last) > JAM_GAP_MILLIS {
-            let last = self.jam.last;
-            self.jam.end(last);
+        if now.since(self.overload.last) > OVERLOAD_GAP_MILLIS {
+            let last = self.overload.last;
+            self.overload.end(last);
         }
-        self.jam.begin(now);
-        let spell = if self.down() { &self.outage } else { &self.jam };
-        let rest = spell.expected_rest(now).max(least_millis) * (1.0 + SPREAD_PART * point);
-        let left = deadline.0.since(now) / AWAY_PART;
+        self.overload.begin(now);
+        let episode = if self.is_down() { &self.outage } else { &self.overload };
+        let rest = episode.expected_remainder(now).max(least_millis) * (1.0 + RETRY_DELAY_JITTER * point);
+        let left = deadline.0.since(now) / RETRY_DELAY_DIVISOR;
         (rest as u64).min(left).max(1)
     }
 }
 
 fn smoothed(known: Option<f64>, new: f64) -> f64 {
-    known.map_or(new, |known| known + NEW_SHARE * (new - known))
+    known.map_or(new, |known| known + OBSERVATION_WEIGHT * (new - known))
 }
--- a/crates/porthoist-policy/src/proxy/groups.rs
+++ b/crates/porthoist-policy/src/proxy/groups.rs
@@ -13,17 +13,17 @@
 use std::net::Ipv4Addr;
 
 /// Time in milliseconds without reports that is ignored while this process has fewer than
-/// [`SURE_STREAMS`] streams in a group. Reports arrive every 80 to 350 ms.
+/// [`MIN_CONCLUSIVE_STREAMS`] streams in a group. Reports arrive every 80 to 350 ms.
 const REPORT_GRACE_MILLIS: u64 = 400;
 /// Time in milliseconds without events that is ignored while this process has streams in a group: three
 /// passes of a busy group.
 const EVENT_GRACE_MILLIS: u64 = 200;
 /// Number of this process's streams in a group from which on a lack of events counts. A single stream
 /// may have just been sent.
-const SURE_STREAMS: u32 = 2;
+const MIN_CONCLUSIVE_STREAMS: u32 = 2;
 /// Pass time in milliseconds from which a group counts as stalled. An answer of 20 events would take 8
 /// s, after which its caller leaves.
-pub const STANDING_MILLIS: u64 = 400;
+pub const STALLED_PASS_MILLIS: u64 = 400;
 /// Pass time in milliseconds above which streams are late: their pauses exceed what most routes allow
 /// (120 to 200 ms).
 pub const LATE_PASS_MILLIS: f64 = 160.0;
@@ -53,16 +53,16 @@
 
 /// Observed state of one group.
 #[derive(Debug, Clone)]
-struct GroupEvidence {
+struct GroupState {
     pass: GroupPass,
     reported: UnixMillis,
     /// When an event from any of its targets arrived at this process.
-    heard: UnixMillis,
+    last_event: UnixMillis,
     next_probe: UnixDeadline,
     /// Since when reports have shown passes that make streams late.
     slow_since: Option<UnixMillis>,
     /// Whether it was last reported as stalled.
-    said_standing: bool,
+    reported_stalled: bool,
 }
 
 /// State of a group.
@@ -80,30 +80,30 @@
 
 impl GroupStatus {
     /// Pass time relative to that of the best group, at least 1.
-    pub fn factor(&self, best_millis: f64) -> f64 {
+    pub fn slowness(&self, best_millis: f64) -> f64 {
         (self.millis / best_millis.max(GOOD_PASS_MILLIS)).max(1.0)
     }
 }
 
 /// State of all groups, as one process knows it.
 #[derive(Debug, Clone, Default)]
-pub struct DomainBook {
-    groups: Vec<GroupEvidence>,
+pub struct GroupTracker {
+    groups: Vec<GroupState>,
     by_host: HashMap<Ipv4Addr, GroupIndex>,
 }
 
-impl DomainBook {
+impl GroupTracker {
     /// Applies a report; returns its group.
-    pub fn take_report(&mut self, loads: &GroupLoads, now: UnixMillis) -> GroupIndex {
+    pub fn apply_report(&mut self, loads: &GroupLoads, now: UnixMillis) -> GroupIndex {
         let index = self.known_group(loads).unwrap_or(GroupIndex(self.groups.len()));
         if index.0 == self.groups.len() {
-            self.groups.push(GroupEvidence {
+            self.groups.push(GroupState {
                 pass: GroupPass::Unknown,
                 reported: now,
-                heard: now,
+                last_event: now,
                 next_probe: UnixDeadline::default(),
                 slow_since: None,
-                said_standing: false,
+                reported_stalled: false,
             });
         }
         for rank in &loads.ranks {
@@ -127,10 +127,10 @@
     }
 
     /// Records an event from a target.
-    pub fn heard(&mut self, host: Ipv4Addr, now: UnixMillis) {
+    pub fn event_received(&mut self, host: Ipv4Addr, now: UnixMillis) {
         let Some(index) = self.by_host.get(&host) else { return };
         let group = &mut self.groups[index.0];
-        group.heard = now;
+        group.last_event = now;
         if group.pass == GroupPass::Broken {
             // It runs again, and its next report is on its way.
             group.pass = GroupPass::Unknown;
@@ -138,13 +138,13 @@
     }
 
     /// Records that a request probes a stalled group.
-    pub fn probed(&mut self, index: GroupIndex, now: UnixMillis) {
+    pub fn record_probe(&mut self, index: GroupIndex, now: UnixMillis) {
         self.groups[index.0].next_probe = UnixDeadline::after(now, PROBE_MILLIS);
     }
 
     /// Records whether a group is stalled; returns whether that changed.
-    pub fn take_standing(&mut self, index: GroupIndex, standing: bool) -> bool {
-        std::mem::replace(&mut self.groups[index.0].said_standing, standing) != standing
+    pub fn update_stalled(&mut self, index: GroupIndex, stalled: bool) -> bool {
+        std::mem::replace(&mut self.groups[index.0].reported_stalled, stalled) != stalled
     }
 
     /// Number of known groups.
@@ -158,20 +158,20 @@
     }
 
     /// State of a group in which this process has `running` requests.
-    pub fn pace(&self, index: GroupIndex, running: u32, now: UnixMillis) -> GroupStatus {
+    pub fn status(&self, index: GroupIndex, running: u32, now: UnixMillis) -> GroupStatus {
         let group = &self.groups[index.0];
-        let heard = group.reported.max(group.heard);
-        let silence = now.since(heard);
-        let grace = if running >= SURE_STREAMS { EVENT_GRACE_MILLIS } else { REPORT_GRACE_MILLIS };
+        let last_heard = group.reported.max(group.last_event);
+        let silence = now.since(last_heard);
+        let grace = if running >= MIN_CONCLUSIVE_STREAMS { EVENT_GRACE_MILLIS } else { REPORT_GRACE_MILLIS };
         let pass = u64::from(group.pass.millis().unwrap_or(0));
         let millis = if silence > grace { pass.max(silence) } else { pass };
-        let standing = group.pass == GroupPass::Broken || millis >= STANDING_MILLIS;
+        let stalled = group.pass == GroupPass::Broken || millis >= STALLED_PASS_MILLIS;
         let unheard = silence > PROBE_MILLIS / 2;
         GroupStatus {
             millis: millis as f64,
-            stalled: standing,
+            stalled,
             slow_for_millis: group.slow_since.map_or(0, |since| now.since(since)),
-            probe_due: standing && unheard && group.next_probe.passed(now),
+            probe_due: stalled && unheard && group.next_probe.passed(now),
         }
     }
 }
--- a/crates/porthoist-policy/src/proxy/loads.rs
+++ b/crates/porthoist-policy/src/proxy/loads.rs
@@ -33,8 +33,8 @@
 /// whole step by `pace`. Entry processes that balance by this number give a slow rank what it can
 /// handle, and nothing to one that is 12 times slower, since all ranks wait for it.
 pub fn equivalent_requests(requests: u32, step_requests: f64, pace: RankPace) -> u32 {
-    let weighed = (f64::from(requests) + step_requests) * pace.factor() - step_requests;
-    (weighed.round() as u32).max(requests)
+    let equivalent = (f64::from(requests) + step_requests) * pace.factor() - step_requests;
+    (equivalent.round() as u32).max(requests)
 }
 
 /// Loads of all ranks of one group.
--- a/crates/porthoist-policy/src/proxy/moving.rs
+++ b/crates/porthoist-policy/src/proxy/moving.rs
@@ -4,13 +4,13 @@
 //! stalls while its group goes on. A move wastes the work that the target has done, and the number of
 //! resends is limited. It is worthwhile only if the caller gains an answer in time, or one at all.
 
-use super::forecast::StreamTimes;
+use super::forecast::StreamStats;
 use super::groups::{GOOD_PASS_MILLIS, GroupStatus};
 use porthoist_core::{UnixDeadline, UnixMillis};
 
 /// Minimum time in milliseconds that a request waits for its first event before its target alone is
 /// suspected.
-const LEAST_FIRST_MILLIS: f64 = 250.0;
+const MIN_FIRST_WAIT_MILLIS: f64 = 250.0;
 /// Number of mean deviations after which a late first event is considered lost. Usually 99 of 100 arrive
 /// within 263 ms, and the mean is 175 ms.
 const FIRST_DEVIATIONS: f64 = 5.0;
@@ -23,23 +23,23 @@
 /// Minimum time in milliseconds since a request was sent, or since its last event, before it leaves a
 /// target. Also the time after which it leaves a stalled group if it can still be in time elsewhere;
 /// switching expert maps blocks a group for less.
-pub const LEAST_WAIT_MILLIS: u64 = 150;
+pub const MIN_WAIT_MILLIS: u64 = 150;
 /// Factor by which passes must take longer than elsewhere before a request leaves a group that still
 /// works.
 const SLOW_FACTOR: f64 = 3.0;
 /// Number of events in the longest answers, as a multiple of the mean: 48.5 to 19.4 on the users'
 /// routes. In a group slowed by a factor of 12, 14 of 6,900 requests reached their deadline with half of
 /// their events.
-const LONGEST_ANSWER: f64 = 2.5;
+const LONGEST_ANSWER_FACTOR: f64 = 2.5;
 /// Time in milliseconds for which a group must be slow before requests leave it for that reason; even a
 /// long switch of expert maps is over by then.
-const LASTING_MILLIS: u64 = 400;
+const MIN_SLOW_MILLIS: u64 = 400;
 
 /// Fractions of occupied slots in other groups up to which streams, and requests that can still be in
 /// time, move there. Above these, moves only make others late: the 250 streams of two stalled groups
 /// filled the third one, whose ranks then refused 190 new requests in a second.
-const ROOM_FOR_STREAMS: f64 = 0.7;
-const ROOM_FOR_FIRST: f64 = 0.8;
+const MAX_OCCUPANCY_FOR_STREAMS: f64 = 0.7;
+const MAX_OCCUPANCY_FOR_ON_TIME: f64 = 0.8;
 /// Upper bound in milliseconds of the random delay of a move, so that the moves of all processes are not
 /// simultaneous.
 pub const MAX_MOVE_JITTER_MILLIS: u64 = 400;
@@ -61,17 +61,17 @@
 
 /// State of its own group and of the alternatives.
 #[derive(Debug, Clone, Copy)]
-pub struct KnownWays {
+pub struct MoveOptions {
     /// State of its own group.
     pub here: GroupStatus,
     /// Pass time in milliseconds of the best other working group; `None` without one.
     pub elsewhere_millis: Option<f64>,
     /// Fraction of slots that are occupied in working groups.
-    pub taken: f64,
+    pub occupancy: f64,
     /// Whether the process on the target's host is unreachable as well.
     pub host_silent: bool,
     /// Statistics of the service's streams.
-    pub streams: StreamTimes,
+    pub streams: StreamStats,
 }
 
 /// Why a request leaves a target.
@@ -97,51 +97,51 @@
 }
 
 /// Whether a request should leave its target now, and why.
-pub fn move_cause(send: &PendingSend, ways: &KnownWays, now: UnixMillis) -> Option<MoveCause> {
+pub fn move_cause(send: &PendingSend, options: &MoveOptions, now: UnixMillis) -> Option<MoveCause> {
     let waited = now.since(send.since);
-    let target_silent = !ways.here.stalled && is_silent(send, ways, waited);
+    let target_silent = !options.here.stalled && is_silent(send, options, waited);
     // Another rank of the same group can serve it as well.
-    let elsewhere = ways.elsewhere_millis.or_else(|| target_silent.then_some(ways.here.millis))?;
+    let elsewhere = options.elsewhere_millis.or_else(|| target_silent.then_some(options.here.millis))?;
     let left = send.deadline.0.since(now) as f64;
-    if ways.streams.first_millis > left {
+    if options.streams.first_millis > left {
         return None;
     }
     if target_silent {
         return Some(MoveCause::TargetSilent);
     }
-    let first = ways.streams.first_millis as u64;
+    let first = options.streams.first_millis as u64;
     let on_time_elsewhere = send.events == 0 && now.plus(first) <= send.on_time_until.0;
-    if ways.here.stalled && on_time_elsewhere && waited >= LEAST_WAIT_MILLIS {
-        return (ways.taken < ROOM_FOR_FIRST).then_some(MoveCause::GroupStalled);
+    if options.here.stalled && on_time_elsewhere && waited >= MIN_WAIT_MILLIS {
+        return (options.occupancy < MAX_OCCUPANCY_FOR_ON_TIME).then_some(MoveCause::GroupStalled);
     }
-    if ways.taken >= ROOM_FOR_STREAMS {
+    if options.occupancy >= MAX_OCCUPANCY_FOR_STREAMS {
         return None;
     }
-    if ways.here.stalled && waited >= PAUSE_MILLIS + send.jitter_millis {
+    if options.here.stalled && waited >= PAUSE_MILLIS + send.jitter_millis {
         return Some(MoveCause::GroupStalled);
     }
-    let rest = (ways.streams.answer_events - send.events as f64).max(ways.streams.answer_events / 2.0);
-    let lasting = ways.here.slow_for_millis >= LASTING_MILLIS + send.jitter_millis
-        && ways.here.millis > SLOW_FACTOR * elsewhere;
+    let rest = (options.streams.answer_events - send.events as f64).max(options.streams.answer_events / 2.0);
+    let lasting = options.here.slow_for_millis >= MIN_SLOW_MILLIS + send.jitter_millis
+        && options.here.millis > SLOW_FACTOR * elsewhere;
     // The length of the answer is unknown, so the request leaves while even the longest can still finish
     // elsewhere.
-    let longest = LONGEST_ANSWER * ways.streams.answer_events;
-    let last_chance = ways.streams.first_millis + longest * elsewhere;
-    let too_slow = lasting && (rest * ways.here.millis > left || left < last_chance);
-    let ends_elsewhere = ways.streams.first_millis + rest * elsewhere < left;
+    let longest = LONGEST_ANSWER_FACTOR * options.streams.answer_events;
+    let last_chance = options.streams.first_millis + longest * elsewhere;
+    let too_slow = lasting && (rest * options.here.millis > left || left < last_chance);
+    let ends_elsewhere = options.streams.first_millis + rest * elsewhere < left;
     (too_slow && ends_elsewhere).then_some(MoveCause::GroupSlow)
 }
 
 /// Whether a target does not respond although its group works.
-fn is_silent(send: &PendingSend, ways: &KnownWays, waited: u64) -> bool {
-    let streams = ways.streams;
-    let patience = match (send.events, ways.host_silent) {
+fn is_silent(send: &PendingSend, options: &MoveOptions, waited: u64) -> bool {
+    let streams = options.streams;
+    let patience = match (send.events, options.host_silent) {
         (0, true) => HOST_SILENT_MILLIS as f64,
         (0, false) => {
-            (streams.first_millis + FIRST_DEVIATIONS * streams.first_deviation).max(LEAST_FIRST_MILLIS)
+            (streams.first_millis + FIRST_DEVIATIONS * streams.first_deviation).max(MIN_FIRST_WAIT_MILLIS)
         }
         (_begun, _silent) => PAUSE_MILLIS as f64,
     };
     // Where passes are slow, many first events are late and none is lost; moves would only add load.
-    (ways.host_silent || ways.here.millis <= GOOD_PASS_MILLIS) && waited as f64 > patience
+    (options.host_silent || options.here.millis <= GOOD_PASS_MILLIS) && waited as f64 > patience
 }
--- a/crates/porthoist-policy/src/proxy/notes.rs
+++ b/crates/porthoist-policy/src/proxy/notes.rs
@@ -11,9 +11,9 @@
 use std::collections::BTreeMap;
 
 /// Time in milliseconds for which a note is passed on: several queries, one a second.
-const TOLD_MILLIS: u64 = 8_000;
+const NOTE_LIFETIME_MILLIS: u64 = 8_000;
 /// Maximum number of notes in an answer; the newest ones are sent.
-const MAX_TOLD: usize = 64;
+const MAX_NOTES: usize = 64;
 
 /// Limit of one life of a target, as an entry heard it.
 #[derive(Debug, Clone, PartialEq)]
@@ -68,10 +68,10 @@
 
     /// The notes to pass on now.
     pub fn current(&mut self, now: UnixMillis) -> Vec<TargetNote> {
-        self.notes.retain(|_life, note| now.since(note.as_of) < TOLD_MILLIS);
+        self.notes.retain(|_life, note| now.since(note.as_of) < NOTE_LIFETIME_MILLIS);
         let mut notes: Vec<TargetNote> = self.notes.values().cloned().collect();
         notes.sort_by_key(|note| std::cmp::Reverse(note.as_of));
-        notes.truncate(MAX_TOLD);
+        notes.truncate(MAX_NOTES);
         notes
     }
 }
--- a/crates/porthoist-policy/src/proxy/pass_time.rs
+++ b/crates/porthoist-policy/src/proxy/pass_time.rs
@@ -34,10 +34,10 @@
 }
 
 /// Weight of a new pass in the typical time, which must not follow the demand shifts, seconds apart.
-const USUAL_WEIGHT: f64 = 0.05;
+const TYPICAL_WEIGHT: f64 = 0.05;
 /// Upper bound in milliseconds of one pass in the means. A pass that was blocked for seconds is
 /// forgotten after five more passes.
-const MOST_PASS_MILLIS: f64 = 1_000.0;
+const MAX_PASS_MILLIS: f64 = 1_000.0;
 
 /// Observed state of a group.
 #[derive(Debug, Clone, Copy)]
@@ -54,7 +54,7 @@
 
 /// The last observed pass.
 #[derive(Debug, Clone, Copy)]
-struct SeenPass {
+struct ObservedPass {
     epoch: GroupEpoch,
     step: StepNumber,
     since: UnixMillis,
@@ -63,10 +63,10 @@
 /// Measures the passes of one group.
 #[derive(Debug, Clone, Default)]
 pub struct PassTimer {
-    last: Option<SeenPass>,
+    last: Option<ObservedPass>,
     mean_millis: Option<f64>,
     /// Mean while no rank is slow.
-    usual_millis: Option<f64>,
+    typical_millis: Option<f64>,
     slowest: RankPace,
 }
 
@@ -82,7 +82,7 @@
             self.mean_millis = None;
             return;
         }
-        let seen = SeenPass { epoch, step, since: now };
+        let seen = ObservedPass { epoch, step, since: now };
         let Some(last) = self.last.filter(|last| last.epoch == epoch && last.step <= step) else {
             self.last = Some(seen);
             return;
@@ -91,21 +91,21 @@
             return;
         }
         let passes = f64::from(step.0 - last.step.0);
-        self.measured((now.since(last.since) as f64 / passes).min(MOST_PASS_MILLIS));
+        self.add_measurement((now.since(last.since) as f64 / passes).min(MAX_PASS_MILLIS));
         self.last = Some(seen);
     }
 
-    fn measured(&mut self, millis: f64) {
+    fn add_measurement(&mut self, millis: f64) {
         self.mean_millis = Some(smoothed(self.mean_millis, millis, PASS_WEIGHT));
         if self.slowest <= RankPace::USUAL {
-            self.usual_millis = Some(smoothed(self.usual_millis, millis, USUAL_WEIGHT));
+            self.typical_millis = Some(smoothed(self.typical_millis, millis, TYPICAL_WEIGHT));
         }
     }
 
     /// Current pass time; the running pass counts once it takes longer than the mean. For a group
     /// without work, the typical time scaled by the pace of its slowest rank.
     pub fn pass(&self, now: UnixMillis) -> GroupPass {
-        let expected = self.usual_millis.map(|usual| usual * self.slowest.factor());
+        let expected = self.typical_millis.map(|typical| typical * self.slowest.factor());
         let Some(mean) = self.mean_millis.or(expected) else { return GroupPass::Unknown };
         let under_way = self.last.map(|last| now.since(last.since) as f64);
         let millis = under_way.map_or(mean, |age| age.max(mean));
--- a/crates/porthoist-policy/src/proxy/quarantine.rs
+++ b/crates/porthoist-policy/src/proxy/quarantine.rs
@@ -44,10 +44,10 @@
 /// Maximum number of tracked requests. Each takes some 200 bytes.
 pub const MAX_MARKS: usize = 1_024;
 /// Maximum number of deaths stored for one request.
-pub const MOST_DEATHS: usize = 16;
+pub const MAX_DEATHS: usize = 16;
 /// Additional time in milliseconds after which other processes remove a row that its writer has not
 /// removed.
-const OTHERS_MILLIS: u64 = 30_000;
+const FOREIGN_ROW_DELAY_MILLIS: u64 = 30_000;
 
 /// Minimum delay before a process rewrites a lost row of a death that another process noted, in milliseconds. Jitter adds up
 /// to the same amount.
@@ -124,16 +124,16 @@
     report: CrashReport,
     /// Whether the table has contained it since its last restore. A death that then disappears from the
     /// table has been cleared.
-    told: bool,
+    in_table: bool,
     /// Whether removal of its row was requested.
-    leaving: bool,
+    removal_requested: bool,
     /// When to rewrite its row, if a restore of the table lost it.
     rewrite_at: Option<UnixDeadline>,
 }
 
 impl KnownDeath {
-    fn new(report: CrashReport, told: bool) -> Self {
-        Self { report, told, leaving: false, rewrite_at: None }
+    fn new(report: CrashReport, in_table: bool) -> Self {
+        Self { report, in_table, removal_requested: false, rewrite_at: None }
     }
 }
 
@@ -264,7 +264,7 @@
     /// Requests that were on the same target are held for different times. Otherwise a popular request
     /// that was retried at the same moment as the one that kills had its third death 60 s after the
     /// second, in 1 of 60 random simulations.
-    fn kept_millis(&self, mark: &RequestMark, level: SuspicionLevel, deaths: usize) -> u64 {
+    fn hold_time_millis(&self, mark: &RequestMark, level: SuspicionLevel, deaths: usize) -> u64 {
         let hold = self.rules.hold_millis;
         match level {
             SuspicionLevel::Watched => 0,
@@ -278,20 +278,20 @@
 
     /// When the deaths of a request expire: after twice the hold, so that they still count if it kills
     /// again when the hold ends.
-    fn forgotten_at(&self, mark: &RequestMark, record: &SuspectRecord) -> UnixDeadline {
-        let kept = self.kept_millis(mark, self.level(record), record.deaths.len());
+    fn expires_at(&self, mark: &RequestMark, record: &SuspectRecord) -> UnixDeadline {
+        let kept = self.hold_time_millis(mark, self.level(record), record.deaths.len());
         UnixDeadline::after(record.last_death(), 2 * kept.max(self.rules.hold_millis))
     }
 
     /// How strongly a request is suspected and until when it is held, or `None` if it is not suspected.
     pub fn status(&self, mark: &RequestMark, now: UnixMillis) -> Option<RequestBlock> {
         let record = self.records.get(mark)?;
-        if self.forgotten_at(mark, record).passed(now) {
+        if self.expires_at(mark, record).passed(now) {
             return None;
         }
         let level = self.level(record);
         let deaths = record.deaths.len();
-        let until = UnixDeadline::after(record.last_death(), self.kept_millis(mark, level, deaths));
+        let until = UnixDeadline::after(record.last_death(), self.hold_time_millis(mark, level, deaths));
         Some(RequestBlock { level, deaths, until })
     }
 
@@ -302,7 +302,7 @@
         if !kept.until.passed(now) {
             return Err(kept);
         }
-        let record = self.records.get_mut(mark).expect("what has a standing is in the book");
+        let record = self.records.get_mut(mark).expect("a request with a status is tracked");
         if record.running > 0 {
             return Err(RequestBlock { until: UnixDeadline::after(now, ALONE_RETRY_MILLIS), ..kept });
         }
@@ -323,7 +323,7 @@
             return DeathOutcome::Trusted;
         }
         let record = self.records.entry(key.mark).or_default();
-        if record.deaths.contains_key(&key.target) || record.deaths.len() >= MOST_DEATHS {
+        if record.deaths.contains_key(&key.target) || record.deaths.len() >= MAX_DEATHS {
             return DeathOutcome::Known;
         }
         record.deaths.insert(key.target.clone(), KnownDeath::new(report, false));
@@ -352,11 +352,11 @@
             }
             let record = self.records.entry(key.mark).or_default();
             if let Some(death) = record.deaths.get_mut(&key.target) {
-                death.told = true;
+                death.in_table = true;
                 death.rewrite_at = None;
                 continue;
             }
-            if record.deaths.len() >= MOST_DEATHS {
+            if record.deaths.len() >= MAX_DEATHS {
                 continue;
             }
             let died = if first { report.died.min(now) } else { now };
@@ -384,11 +384,11 @@
             for (target, death) in &mut record.deaths {
                 let key = CrashKey { mark: *mark, target: target.clone() };
                 let noted_here = &*death.report.by == own;
-                if death.leaving || rows.contains_key(&key) {
+                if death.removal_requested || rows.contains_key(&key) {
                     continue;
                 }
                 let delay = if noted_here { 0 } else { later };
-                death.told = false;
+                death.in_table = false;
                 death.rewrite_at = Some(UnixDeadline::after(now, delay));
             }
         }
@@ -412,7 +412,7 @@
     fn drop_removed(&mut self, rows: &CrashRows, changes: &mut QuarantineChanges) {
         self.records.retain(|mark, record| {
             record.deaths.retain(|target, death| {
-                !death.told || rows.contains_key(&CrashKey { mark: *mark, target: target.clone() })
+                !death.in_table || rows.contains_key(&CrashKey { mark: *mark, target: target.clone() })
             });
             let lifted = record.deaths.is_empty();
             if lifted {
@@ -449,19 +449,19 @@
     /// remove the same rows.
     pub fn take_expired(&mut self, own: &str, jitter: f64, now: UnixMillis) -> Vec<CrashKey> {
         let ends: Vec<(RequestMark, UnixDeadline)> =
-            self.records.iter().map(|(mark, record)| (*mark, self.forgotten_at(mark, record))).collect();
-        let later = OTHERS_MILLIS + (OTHERS_MILLIS as f64 * jitter) as u64;
+            self.records.iter().map(|(mark, record)| (*mark, self.expires_at(mark, record))).collect();
+        let later = FOREIGN_ROW_DELAY_MILLIS + (FOREIGN_ROW_DELAY_MILLIS as f64 * jitter) as u64;
         let mut rows = Vec::new();
         for (mark, end) in ends {
             let Some(record) = self.records.get_mut(&mark) else { continue };
             if !end.passed(now) || record.running > 0 {
                 continue;
             }
-            record.deaths.retain(|_target, death| death.told);
+            record.deaths.retain(|_target, death| death.in_table);
             for (target, death) in &mut record.deaths {
                 let due = if &*death.report.by == own { end } else { UnixDeadline::after(end.0, later) };
-                if due.passed(now) && !death.leaving {
-                    death.leaving = true;
+                if due.passed(now) && !death.removal_requested {
+                    death.removal_requested = true;
                     rows.push(CrashKey { mark, target: target.clone() });
                 }
             }
--- a/crates/porthoist-policy/src/proxy/retry_share.rs
+++ b/crates/porthoist-policy/src/proxy/retry_share.rs
@@ -9,7 +9,7 @@
 /// Fraction of the share for retries of requests that would succeed without them. A crash of one of
 /// three groups causes retries for a third of the running requests: some 20 of a process's 70 requests
 /// in a window of 10 s, of which the share permits 14.
-const SPARE_PART: f64 = 0.6;
+const OPTIONAL_FRACTION: f64 = 0.6;
 
 /// Settings of a retry share.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -27,13 +27,13 @@
 pub struct RetryShare {
     settings: RetryShareSettings,
     firsts: VecDeque<UnixMillis>,
-    repeats: VecDeque<UnixMillis>,
+    retries: VecDeque<UnixMillis>,
 }
 
 impl RetryShare {
     /// Creates a share without sends.
     pub fn new(settings: RetryShareSettings) -> Self {
-        Self { settings, firsts: VecDeque::new(), repeats: VecDeque::new() }
+        Self { settings, firsts: VecDeque::new(), retries: VecDeque::new() }
     }
 
     /// Changes the slack, for example because more processes share it.
@@ -43,34 +43,34 @@
 
     /// Records the first send of a request.
     pub fn first(&mut self, now: UnixMillis) {
-        self.forget(now);
+        self.drop_expired(now);
         self.firsts.push_back(now);
     }
 
     /// Takes one retry from the share; `false` if it is used up.
     pub fn take(&mut self, now: UnixMillis) -> bool {
-        self.take_part(1.0, now)
+        self.take_fraction(1.0, now)
     }
 
     /// Takes one retry for a request that would succeed without it; `false` if only the reserve for
     /// failed requests is left.
     pub fn take_optional(&mut self, now: UnixMillis) -> bool {
-        self.take_part(SPARE_PART, now)
+        self.take_fraction(OPTIONAL_FRACTION, now)
     }
 
-    fn take_part(&mut self, part: f64, now: UnixMillis) -> bool {
-        self.forget(now);
-        let allowed = part * (self.settings.ratio * self.firsts.len() as f64 + self.settings.slack);
-        if self.repeats.len() as f64 + 1.0 > allowed {
+    fn take_fraction(&mut self, fraction: f64, now: UnixMillis) -> bool {
+        self.drop_expired(now);
+        let allowed = fraction * (self.settings.ratio * self.firsts.len() as f64 + self.settings.slack);
+        if self.retries.len() as f64 + 1.0 > allowed {
             return false;
         }
-        self.repeats.push_back(now);
+        self.retries.push_back(now);
         true
     }
 
-    fn forget(&mut self, now: UnixMillis) {
+    fn drop_expired(&mut self, now: UnixMillis) {
         let window = self.settings.window_millis;
-        for times in [&mut self.firsts, &mut self.repeats] {
+        for times in [&mut self.firsts, &mut self.retries] {
             while times.front().is_some_and(|time| now.since(*time) > window) {
                 times.pop_front();
             }
--- a/crates/porthoist-policy/src/proxy/scheduler.rs
+++ b/crates/porthoist-policy/src/proxy/scheduler.rs
@@ -6,14 +6,14 @@
 use super::backpressure::{BackpressureSignals, ObservedChange};
 use super::balancer::{BalancerSettings, ChosenTarget, LoadBalancer, RequestWork, SendOutcome};
 use super::cold::ColdRule;
-use super::forecast::{PlaceAsk, PlaceForecast, ServiceForecast};
+use super::forecast::{ServiceForecast, WaitDecision, WaitQuery};
 use super::loads::GroupLoads;
-use super::moving::{KnownWays, LEAST_WAIT_MILLIS, MoveCause, PendingSend, move_cause};
+use super::moving::{MIN_WAIT_MILLIS, MoveCause, MoveOptions, PendingSend, move_cause};
 use super::notes::TargetNote;
 use super::service_groups::GroupSnapshot;
 use super::targets::{TargetLife, TargetRecord, TargetRegistry};
 use super::turns::{EntryPosition, RateSource, TargetRate};
-use super::waiting::{QueueClass, WaitList};
+use super::waiting::{QueueClass, WaitQueue};
 use super::zones::EmptiedZones;
 use porthoist_core::{ServiceName, TargetName, UnixDeadline, UnixMillis};
 use std::collections::HashMap;
@@ -95,91 +95,91 @@
 
 #[derive(Debug)]
 struct WaitingRequest<W> {
-    demand: SlotRequest,
+    request: SlotRequest,
     waiter: W,
 }
 
 /// The scheduler of one process; `W` is what its caller needs to resume a waiting request.
 #[derive(Debug)]
 pub struct RequestScheduler<W> {
-    board: LoadBalancer,
-    waiting: HashMap<ServiceName, WaitList<WaitingRequest<W>>>,
+    balancer: LoadBalancer,
+    waiting: HashMap<ServiceName, WaitQueue<WaitingRequest<W>>>,
     forecasts: HashMap<ServiceName, ServiceForecast>,
 }
 
 impl<W> RequestScheduler<W> {
     /// Creates a scheduler without targets.
     pub fn new(settings: BalancerSettings) -> Self {
-        Self { board: LoadBalancer::new(settings), waiting: HashMap::new(), forecasts: HashMap::new() }
+        Self { balancer: LoadBalancer::new(settings), waiting: HashMap::new(), forecasts: HashMap::new() }
     }
 
     /// Replaces the set of known targets.
-    pub fn sync(&mut self, book: &TargetRegistry) {
-        self.board.sync(book);
+    pub fn sync(&mut self, registry: &TargetRegistry) {
+        self.balancer.sync(registry);
     }
 
     /// Applies the loads that the engines of a group reported.
     pub fn update_loads(&mut self, loads: &GroupLoads, now: UnixMillis) {
-        self.board.take_loads(loads, now);
+        self.balancer.update_loads(loads, now);
     }
 
     /// The groups of a service that stalled or recovered since the last call.
     pub fn group_changes(&mut self, service: &ServiceName, now: UnixMillis) -> Vec<GroupSnapshot> {
-        self.board.group_changes(service, now)
+        self.balancer.group_changes(service, now)
     }
 
     /// Services with known groups.
     pub fn grouped_services(&self) -> Vec<ServiceName> {
-        self.board.grouped_services()
+        self.balancer.grouped_services()
     }
 
     /// Decides what to do with a request. If it has to wait, pass it to [`Self::enqueue`].
-    pub fn decide(&mut self, demand: &SlotRequest, now: UnixMillis) -> SlotDecision {
-        let service = &demand.service;
-        if let Some(error) = self.closed(service, now) {
+    pub fn decide(&mut self, request: &SlotRequest, now: UnixMillis) -> SlotDecision {
+        let service = &request.service;
+        if let Some(error) = self.closed_reason(service, now) {
             return SlotDecision::Refuse(error);
         }
-        if demand.ranked && !self.forecast(service).may_send(now) {
+        if request.ranked && !self.forecast(service).may_send(now) {
             return SlotDecision::Refuse(SlotError::Down);
         }
-        let list = self.waiting.get(service);
+        let queue = self.waiting.get(service);
         let (waiting, ahead) =
-            list.map_or((0, 0), |list| (list.len(), list.ahead(demand.priority, demand.class)));
+            queue.map_or((0, 0), |queue| (queue.len(), queue.ahead(request.priority, request.class)));
         if waiting == 0
-            && let Some(chosen) = self.choose(demand, now)
+            && let Some(chosen) = self.choose(request, now)
         {
             return SlotDecision::Assign(chosen);
         }
         if waiting >= MAX_WAITING {
             return SlotDecision::Refuse(SlotError::Full);
         }
-        if !self.board.serves(service, now) {
+        if !self.balancer.serves(service, now) {
             return SlotDecision::Refuse(SlotError::NoTarget);
         }
-        let SlotRequest { arrival, latency_millis, deadline, class: turn, .. } = *demand;
-        let supply = self.board.limited_supply(service, now);
-        let limited_millis = supply.map(|supply| supply.millis);
-        let ask = PlaceAsk { ahead, arrival, latency_millis, deadline, turn, limited_millis };
-        match self.forecast(service).ask(ask, now) {
-            PlaceForecast::Wait(until) => SlotDecision::Wait(until),
-            PlaceForecast::Refuse => {
+        let SlotRequest { arrival, latency_millis, deadline, class, .. } = *request;
+        let supply = self.balancer.limited_supply(service, now);
+        let rate_limited_millis = supply.map(|supply| supply.millis);
+        let query = WaitQuery { ahead, arrival, latency_millis, deadline, class, rate_limited_millis };
+        match self.forecast(service).decide(query, now) {
+            WaitDecision::Wait(until) => SlotDecision::Wait(until),
+            WaitDecision::Refuse => {
                 SlotDecision::Refuse(supply.map_or(SlotError::Busy, |supply| supply.source.into()))
             }
         }
     }
 
     /// Why no target may get a request of the service now, whatever room they have.
-    fn closed(&self, service: &ServiceName, now: UnixMillis) -> Option<SlotError> {
-        if self.board.rest_end(service, now).is_some() {
+    fn closed_reason(&self, service: &ServiceName, now: UnixMillis) -> Option<SlotError> {
+        if self.balancer.rest_end(service, now).is_some() {
             return Some(SlotError::Resting);
         }
-        self.board.emptied(service, now).then_some(SlotError::Emptied)
+        self.balancer.emptied(service, now).then_some(SlotError::Emptied)
     }
 
     /// Adds a request to the wait queue.
-    pub fn enqueue(&mut self, demand: SlotRequest, waiter: W) {
-        let list = self.waiting.entry(demand.service.clone()).or_default();
-        list.add(demand.priority, demand.class, WaitingRequest { demand, waiter });
+    pub fn enqueue(&mut self, request: SlotRequest, waiter: W) {
+        let queue = self.waiting.entry(request.service.clone()).or_default();
+        queue.add(request.priority, request.class, WaitingRequest { request, waiter });
     }
 
     /// The next waiting request that has a slot now. Requests for which `waits` is false are dropped.
@@ -195,21 +195,21 @@
                 self.waiting.get_mut(service)?.pop();
                 continue;
             }
-            let demand = first.demand.clone();
-            let chosen = self.choose(&demand, now)?;
+            let request = first.request.clone();
+            let chosen = self.choose(&request, now)?;
             let served = self.waiting.get_mut(service)?.pop()?;
-            return Some((served.waiter, chosen, demand.work));
+            return Some((served.waiter, chosen, request.work));
         }
     }
 
     /// Removes all waiting requests of a service that is down or whose targets accept nothing; the
     /// caller refuses them.
     pub fn take_unservable(&mut self, service: &ServiceName, now: UnixMillis) -> Vec<W> {
-        if !self.forecast(service).down() && self.closed(service, now).is_none() {
+        if !self.forecast(service).is_down() && self.closed_reason(service, now).is_none() {
             return Vec::new();
         }
-        let Some(mut list) = self.waiting.remove(service) else { return Vec::new() };
-        std::iter::from_fn(|| list.pop()).map(|waiting| waiting.waiter).collect()
+        let Some(mut queue) = self.waiting.remove(service) else { return Vec::new() };
+        std::iter::from_fn(|| queue.pop()).map(|waiting| waiting.waiter).collect()
     }
 
     /// Records the end of a send that occupied a slot for `held_millis`.
@@ -222,21 +222,21 @@
         held_millis: u64,
         now: UnixMillis,
     ) {
-        self.board.ended(target, work, outcome, now);
+        self.balancer.ended(target, work, outcome, now);
         let answered = matches!(outcome, SendOutcome::Answered(_millis));
-        self.forecast(service).freed(answered.then_some(held_millis as f64));
+        self.forecast(service).request_ended(answered.then_some(held_millis as f64));
     }
 
     /// Records the first event of a stream, or a whole answer, and its delay after the request got its
     /// slot.
     pub fn first_event_received(&mut self, target: &TargetRecord, millis: f64, now: UnixMillis) {
-        self.board.heard(target, now);
-        self.forecast(&target.service).began(millis, now);
+        self.balancer.event_received(target, now);
+        self.forecast(&target.service).first_event_received(millis, now);
     }
 
     /// Records the end of a stream and its number of events.
     pub fn stream_ended(&mut self, service: &ServiceName, events: u64) {
-        self.forecast(service).streamed(events);
+        self.forecast(service).stream_ended(events);
     }
 
     /// Whether a request should leave its target and continue at another one.
@@ -248,50 +248,50 @@
     ) -> Option<MoveCause> {
         // Active streams call this about 20 times a second; only a pause justifies looking at all
         // targets.
-        if now.since(send.since) < LEAST_WAIT_MILLIS {
+        if now.since(send.since) < MIN_WAIT_MILLIS {
             return None;
         }
         let forecast = self.forecasts.get(&target.service)?;
-        let streams = forecast.streams()?;
-        let paces = self.board.paces(&target.service, now);
-        let (here, elsewhere_millis) = match self.board.group_of(&target.life()) {
-            Some(group) => (paces.pace(group)?, paces.best_other(group)),
+        let streams = forecast.stream_stats()?;
+        let groups = self.balancer.service_groups(&target.service, now);
+        let (here, elsewhere_millis) = match self.balancer.group_of(&target.life()) {
+            Some(group) => (groups.status(group)?, groups.best_other_millis(group)),
             // All targets of the service count as one group.
-            None => (forecast.pace(now), None),
+            None => (forecast.group_status(now), None),
         };
-        let host_silent = self.board.silent(&target.life(), now);
+        let host_silent = self.balancer.silent(&target.life(), now);
         move_cause(
             send,
-            &KnownWays { here, elsewhere_millis, taken: paces.taken(), host_silent, streams },
+            &MoveOptions { here, elsewhere_millis, occupancy: groups.occupancy(), host_silent, streams },
             now,
         )
     }
 
     /// Records that a target's process has ended.
     pub fn died(&mut self, life: &TargetLife, now: UnixMillis) {
-        self.board.died(life, now);
+        self.balancer.died(life, now);
     }
 
     /// Applies the backpressure signals in an answer to a request that was sent at `sent`.
     pub fn apply_signals(
         &mut self,
         life: &TargetLife,
-        word: &BackpressureSignals,
+        signals: &BackpressureSignals,
         sent: UnixMillis,
         now: UnixMillis,
     ) -> Vec<ObservedChange> {
-        self.board.told(life, word, sent, now)
+        self.balancer.apply_signals(life, signals, sent, now)
     }
 
     /// Applies a limit that another entry heard from a target.
     pub fn apply_note(&mut self, note: &TargetNote, now: UnixMillis) -> Option<ObservedChange> {
-        self.board.told_by_other(note, now)
+        self.balancer.apply_note(note, now)
     }
 
     /// Records a stream event from a target.
     pub fn event_received(&mut self, target: &TargetRecord, now: UnixMillis) {
-        self.board.heard(target, now);
-        self.forecast(&target.service).heard(now);
+        self.balancer.event_received(target, now);
+        self.forecast(&target.service).event_received(now);
     }
 
     /// Records that a service refused or failed a request.
@@ -301,7 +301,7 @@
 
     /// Whether a target has announced that it is shutting down.
     pub fn is_leaving(&self, life: &TargetLife) -> bool {
-        self.board.leaves(life)
+        self.balancer.is_leaving(life)
     }
 
     /// Delay in milliseconds after which a refused caller should retry; `point` is random between 0 and
@@ -313,20 +313,20 @@
         point: f64,
         now: UnixMillis,
     ) -> u64 {
-        let supply = self.board.limited_supply(service, now);
-        let waiting = self.waiting.get(service).map_or(0, WaitList::len);
+        let supply = self.balancer.limited_supply(service, now);
+        let waiting = self.waiting.get(service).map_or(0, WaitQueue::len);
         let limited = supply.map_or(0.0, |supply| supply.millis * (waiting + 1) as f64);
-        let resting = self.board.rest_end(service, now).map_or(0, |end| end.0.since(now));
+        let resting = self.balancer.rest_end(service, now).map_or(0, |end| end.0.since(now));
         let least = limited.max(resting as f64);
-        self.forecast(service).return_millis(deadline, least, point, now)
+        self.forecast(service).retry_after_millis(deadline, least, point, now)
     }
 
     /// Why a request is refused that has waited without getting a slot.
     pub fn refusal(&self, service: &ServiceName, now: UnixMillis) -> SlotError {
-        if let Some(error) = self.closed(service, now) {
+        if let Some(error) = self.closed_reason(service, now) {
             return error;
         }
-        match (self.board.serves(service, now), self.board.limited_supply(service, now)) {
+        match (self.balancer.serves(service, now), self.balancer.limited_supply(service, now)) {
             (false, _) => SlotError::NoTarget,
             (true, Some(supply)) => supply.source.into(),
             (true, None) => SlotError::Busy,
@@ -335,54 +335,54 @@
 
     /// Whether a request that was assigned a slot at a target may still be sent there.
     pub fn is_still_valid(&self, life: &TargetLife, rate: Option<TargetRate>, now: UnixMillis) -> bool {
-        self.board.stands(life, rate, now)
+        self.balancer.is_still_valid(life, rate, now)
     }
 
     /// Sets the services' limits for cold targets.
     pub fn set_cold_rules(&mut self, rules: HashMap<ServiceName, ColdRule>) {
-        self.board.set_cold_rules(rules);
+        self.balancer.set_cold_rules(rules);
     }
 
     /// Sets the zones that operators have emptied.
     pub fn set_emptied(&mut self, zones: &EmptiedZones, now: UnixMillis) {
-        self.board.set_emptied(zones, now);
+        self.balancer.set_emptied(zones, now);
     }
 
     /// Number of targets that count as cold.
     pub fn cold_targets(&self, now: UnixMillis) -> usize {
-        self.board.cold(now)
+        self.balancer.cold_targets(now)
     }
 
     /// When the next waiting request of a service may be sent even if no slot is released.
     pub fn next_turn(&self, service: &ServiceName, now: UnixMillis) -> Option<UnixDeadline> {
-        self.board.limited_supply(service, now).map(|supply| supply.next)
+        self.balancer.limited_supply(service, now).map(|supply| supply.next)
     }
 
     /// Sets this process's position among the entries of its zone.
-    pub fn set_entry_position(&mut self, place: Option<EntryPosition>) {
-        self.board.set_place(place);
+    pub fn set_entry_position(&mut self, position: Option<EntryPosition>) {
+        self.balancer.set_entry_position(position);
     }
 
     /// Services with waiting requests.
     pub fn awaited_services(&self) -> Vec<ServiceName> {
-        let lists = self.waiting.iter().filter(|(_service, list)| !list.is_empty());
-        lists.map(|(service, _list)| service.clone()).collect()
+        let queues = self.waiting.iter().filter(|(_service, queue)| !queue.is_empty());
+        queues.map(|(service, _queue)| service.clone()).collect()
     }
 
     /// Number of waiting requests.
     pub fn waiting(&self) -> usize {
-        self.waiting.values().map(WaitList::len).sum()
+        self.waiting.values().map(WaitQueue::len).sum()
     }
 
     /// Number of this process's requests at a target.
     pub fn in_flight(&self, target: &TargetLife) -> u32 {
-        self.board.in_flight(target)
+        self.balancer.in_flight(target)
     }
 
-    fn choose(&mut self, demand: &SlotRequest, now: UnixMillis) -> Option<ChosenTarget> {
-        let SlotRequest { service, ranked, work, tried, .. } = demand;
-        let chosen = self.board.choose(service, *ranked, *work, tried, now)?;
-        self.forecast(service).placed(now);
+    fn choose(&mut self, request: &SlotRequest, now: UnixMillis) -> Option<ChosenTarget> {
+        let SlotRequest { service, ranked, work, tried, .. } = request;
+        let chosen = self.balancer.choose(service, *ranked, *work, tried, now)?;
+        self.forecast(service).request_started(now);
         Some(chosen)
     }
 
--- a/crates/porthoist-policy/src/proxy/spread.rs
+++ b/crates/porthoist-policy/src/proxy/spread.rs
@@ -6,11 +6,11 @@
 
 /// Requests per target that all processes are expected to send between two reports: 0.8 (160 ms) to 1.4
 /// (330 ms) in the users' deployments.
-const EXPECTED_A_TARGET: f64 = 1.0;
+const EXPECTED_PER_TARGET: f64 = 1.0;
 
 /// Chooses the index of a load; `point` is random between 0 and 1. Returns `None` without loads.
 pub(crate) fn choose_by_level(loads: &[f64], point: f64) -> Option<usize> {
-    let level = common_level(loads, EXPECTED_A_TARGET * loads.len() as f64);
+    let level = common_level(loads, EXPECTED_PER_TARGET * loads.len() as f64);
     let part = |load: &f64| (level - load).max(0.0);
     let total: f64 = loads.iter().map(part).sum();
     let mut left = point * total;
--- a/crates/porthoist-policy/src/proxy/target_load.rs
+++ b/crates/porthoist-policy/src/proxy/target_load.rs
@@ -1,12 +1,12 @@
 //! State of one target as one process knows it: its own requests there, the reported ones of others, and
 //! recent answers.
 
-use super::backpressure::TargetNeed;
+use super::backpressure::TargetBackpressure;
 use super::balancer::{BalancerSettings, ReportedRequests, RequestWork, SendOutcome};
 use super::cold::ColdRule;
 use super::groups::GroupIndex;
 use super::loads::{OthersLoad, RankLoad};
-use super::service_groups::ServicePaces;
+use super::service_groups::ServiceGroups;
 use super::targets::{TargetRecord, TargetState};
 use super::turns::{RateSource, SendTurns, SenderPosition, TargetRate, TurnRound};
 use porthoist_core::{ServiceName, TargetName, UnixDeadline, UnixMillis, ZoneName};
@@ -22,18 +22,18 @@
 /// Cost of a request to another availability zone, as a fraction of one request in flight.
 const ZONE_COST: f64 = 0.3;
 /// Prompt tokens that cost as much as one request in flight: the mean prompt of the users' streams.
-const TOKENS_OF_A_REQUEST: f64 = 835.0;
+const TOKENS_PER_REQUEST: f64 = 835.0;
 /// Requests added to the load of a rank whose process is unreachable. It gets none while others have
 /// room and some when they are full: its process alone may have ended while its engine still runs.
-const SILENT_REQUESTS: f64 = 4.0;
+const SILENT_PENALTY_REQUESTS: f64 = 4.0;
 /// Requests added to the load of a rank whose group is late while another group is not. It is used only
 /// when the others are full.
-const LATE_REQUESTS: f64 = 4.0;
+const LATE_PENALTY_REQUESTS: f64 = 4.0;
 /// Time in milliseconds for which a rank that refused a request as full gets nothing. The next report
 /// ends it earlier; the previous one makes the rank seem free.
 const FULL_MILLIS: u64 = 300;
 /// Requests added to the load of a target right after it withdrew its limit.
-const RETURN_REQUESTS: f64 = 4.0;
+const RETURN_PENALTY_REQUESTS: f64 = 4.0;
 /// Factor by which a target's answers must be slower than the service's median to count as slow.
 const SLOW_FACTOR: f64 = 2.5;
 /// Weight of a new answer in the mean answer time of a target.
@@ -43,7 +43,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum SendTier {
     /// It announces a limit and is due for a request that checks whether it still does.
-    Asked,
+    Recheck,
     /// It takes requests as far as it has room, or it is cold and this process has a turn. A cold target
     /// can take more than its usual share.
     Free,
@@ -62,14 +62,14 @@
     pub(super) group: Option<GroupIndex>,
     failures: u32,
     ejections: u32,
-    closed_until: Option<UnixDeadline>,
+    ejected_until: Option<UnixDeadline>,
     /// Until when it counts as full, after it refused a request.
     full_until: Option<UnixDeadline>,
     /// Whether another target was found at its address.
     gone: bool,
     pub(super) mean_millis: Option<f64>,
     /// Backpressure that it signalled.
-    pub(super) need: TargetNeed,
+    pub(super) backpressure: TargetBackpressure,
     /// Whether operators have emptied its zone.
     emptied: bool,
     /// When this process may send to it under a rate limit.
@@ -77,7 +77,7 @@
 }
 
 impl TargetLoad {
-    pub(super) fn new(record: Arc<TargetRecord>, need: TargetNeed) -> Self {
+    pub(super) fn new(record: Arc<TargetRecord>, backpressure: TargetBackpressure) -> Self {
         Self {
             record,
             in_flight: 0,
@@ -86,11 +86,11 @@
             group: None,
             failures: 0,
             ejections: 0,
-            closed_until: None,
+            ejected_until: None,
             full_until: None,
             gone: false,
             mean_millis: None,
-            need,
+            backpressure,
             emptied: false,
             turns: SendTurns::default(),
         }
@@ -125,7 +125,7 @@
         if self.record.state != TargetState::Ready || self.gone || self.closed(now) {
             return false;
         }
-        match self.closed_until {
+        match self.ejected_until {
             // After an ejection, a target gets one request at a time until one succeeds.
             Some(deadline) => deadline.passed(now) && self.in_flight == 0,
             None => true,
@@ -149,39 +149,42 @@
 
     /// Whether it must get nothing now, whatever its row says.
     pub(super) fn closed(&self, now: UnixMillis) -> bool {
-        self.emptied || self.need.closed(now)
+        self.emptied || self.backpressure.closed(now)
     }
 
     /// Whether only the emptying of its zone keeps requests from it.
     pub(super) fn only_emptied(&self, now: UnixMillis) -> bool {
-        self.emptied && self.record.state == TargetState::Ready && !self.gone && !self.need.closed(now)
+        self.emptied
+            && self.record.state == TargetState::Ready
+            && !self.gone
+            && !self.backpressure.closed(now)
     }
 
     /// Sets whether operators have emptied its zone.
     pub(super) fn set_emptied(&mut self, emptied: bool, now: UnixMillis) {
         let before = std::mem::replace(&mut self.emptied, emptied);
         if before && !emptied {
-            self.need.restored(now);
+            self.backpressure.restored(now);
         }
     }
 
     /// Applies its row and its service's limit for cold targets.
-    pub(super) fn take_row(&mut self, record: &Arc<TargetRecord>, rule: Option<ColdRule>, first_seen: bool) {
-        self.need.set_cold_rule(rule);
-        self.need.take_row(record.cold, first_seen);
+    pub(super) fn apply_row(&mut self, record: &Arc<TargetRecord>, rule: Option<ColdRule>, first_seen: bool) {
+        self.backpressure.set_cold_rule(rule);
+        self.backpressure.apply_row(record.cold, first_seen);
         self.record = Arc::clone(record);
     }
 
     /// The end of its rest period, if nothing else keeps requests from it.
     pub(super) fn rest(&self, now: UnixMillis) -> Option<UnixDeadline> {
         let ready = self.record.state == TargetState::Ready && !self.gone && !self.emptied;
-        let ready = ready && !self.need.leaves();
-        self.need.rest(now).filter(|_until| ready)
+        let ready = ready && !self.backpressure.is_leaving();
+        self.backpressure.rest(now).filter(|_until| ready)
     }
 
     /// Whether a request that was assigned a slot here may still be sent, after signals that arrived
     /// meanwhile.
-    pub(super) fn stands(&self, rate: Option<TargetRate>, now: UnixMillis) -> bool {
+    pub(super) fn is_still_valid(&self, rate: Option<TargetRate>, now: UnixMillis) -> bool {
         !self.closed(now) && (rate.is_some() || self.rate(now).is_none())
     }
 
@@ -192,7 +195,7 @@
         let tier = match source {
             RateSource::Cold => SendTier::Free,
             // A request that was already sent in vain is not used to check a limit.
-            RateSource::Announced if first_send && self.need.unheard(now) => SendTier::Asked,
+            RateSource::Announced if first_send && self.backpressure.needs_recheck(now) => SendTier::Recheck,
             RateSource::Announced => SendTier::Limited,
         };
         self.turns.free(now).then_some(tier)
@@ -212,7 +215,7 @@
 
     /// Its rate limit for all processes together, if it has one.
     pub(super) fn rate(&self, now: UnixMillis) -> Option<TargetRate> {
-        self.need.rate(now)
+        self.backpressure.rate(now)
     }
 
     fn has_room(&self, settings: &BalancerSettings, group: GroupView, now: UnixMillis) -> bool {
@@ -234,7 +237,7 @@
         own_zone: &ZoneName,
         usual: Option<f64>,
         group: GroupView,
-        paces: &ServicePaces,
+        groups: &ServiceGroups,
         now: UnixMillis,
     ) -> f64 {
         let zone = if self.record.zone == *own_zone { 0.0 } else { ZONE_COST };
@@ -242,11 +245,11 @@
             (Some(mean), Some(usual)) if mean > usual * SLOW_FACTOR => mean / usual,
             _ => 1.0,
         };
-        let tokens = self.tokens as f64 / TOKENS_OF_A_REQUEST;
-        let slowness = slowness * paces.factor(self.group);
-        let silence = if self.silent(now) { SILENT_REQUESTS } else { 0.0 };
-        let lateness = if paces.late(self.group) { LATE_REQUESTS } else { 0.0 };
-        let returning = RETURN_REQUESTS * self.need.returning(now);
+        let tokens = self.tokens as f64 / TOKENS_PER_REQUEST;
+        let slowness = slowness * groups.cost_factor(self.group);
+        let silence = if self.silent(now) { SILENT_PENALTY_REQUESTS } else { 0.0 };
+        let lateness = if groups.is_late(self.group) { LATE_PENALTY_REQUESTS } else { 0.0 };
+        let returning = RETURN_PENALTY_REQUESTS * self.backpressure.returning(now);
         let requests = f64::from(self.requests(group.assumed, now).count);
         (requests + tokens + silence + lateness + returning + 1.0) * slowness + zone
     }
@@ -262,7 +265,7 @@
             }
             SendOutcome::Failed => self.failed(now),
             SendOutcome::Lost => {
-                self.need.suspect_start();
+                self.backpressure.suspect_restart();
                 self.failed(now)
             }
             SendOutcome::Gone => !std::mem::replace(&mut self.gone, true),
@@ -277,12 +280,12 @@
     /// Records that the target's process has ended.
     pub(super) fn died(&mut self, now: UnixMillis) {
         self.failures = self.failures.max(FAILURES_TO_EJECT - 1);
-        self.need.suspect_start();
+        self.backpressure.suspect_restart();
         self.failed(now);
     }
 
     /// Counts a request that is sent now.
-    pub(super) fn take(&mut self, work: RequestWork, now: UnixMillis) {
+    pub(super) fn count_send(&mut self, work: RequestWork, now: UnixMillis) {
         self.in_flight += 1;
         self.tokens += work.prompt_tokens;
         if self.rate(now).is_some() {
@@ -291,10 +294,10 @@
     }
 
     /// Applies the reported load of the target.
-    pub(super) fn take_report(&mut self, rank: &RankLoad, now: UnixMillis) {
+    pub(super) fn apply_report(&mut self, rank: &RankLoad, now: UnixMillis) {
         self.others = Some(OthersLoad::reported(rank, self.in_flight, now));
         if rank.silent {
-            self.need.suspect_start();
+            self.backpressure.suspect_restart();
         }
         self.full_until = None;
     }
@@ -304,17 +307,17 @@
         self.mean_millis = Some(mean);
         self.failures = 0;
         self.ejections = 0;
-        self.closed_until = None;
+        self.ejected_until = None;
     }
 
     fn failed(&mut self, now: UnixMillis) -> bool {
         self.failures += 1;
-        let trial = self.closed_until.is_some();
-        if self.failures < FAILURES_TO_EJECT && !trial {
+        let probe = self.ejected_until.is_some();
+        if self.failures < FAILURES_TO_EJECT && !probe {
             return false;
         }
         let time_out = (EJECT_MILLIS << self.ejections.min(8)).min(MAX_EJECT_MILLIS);
-        self.closed_until = Some(UnixDeadline::after(now, time_out));
+        self.ejected_until = Some(UnixDeadline::after(now, time_out));
         self.ejections += 1;
         true
     }
--- a/crates/porthoist-policy/src/proxy/targets.rs
+++ b/crates/porthoist-policy/src/proxy/targets.rs
@@ -23,11 +23,11 @@
 /// Time in milliseconds for which a row may be missing after the table service was unavailable. Its
 /// documentation says that expired rows are back within two seconds, and a target that left must get
 /// nothing new after two seconds.
-const LAPSE_MILLIS: u64 = 1_700;
+const MISSING_ROW_GRACE_MILLIS: u64 = 1_700;
 
 /// Reserve in milliseconds that is subtracted from the permitted staleness: 400 for a new connection to
 /// the target, 200 for timers.
-const SEND_MILLIS: u64 = 600;
+const SEND_RESERVE_MILLIS: u64 = 600;
 
 /// Maximum number of departed lives that are remembered in case the table service is restored from an older backup.
 const MAX_DEPARTED_LIVES: usize = 4_096;
@@ -47,7 +47,7 @@
     /// Adds up what operators permit, in milliseconds: the time to notice a lost connection and the time
     /// until a target that is shutting down gets nothing new.
     pub fn new(notice_millis: u64, leaving_millis: u64) -> Self {
-        Self { millis: (notice_millis + leaving_millis).saturating_sub(SEND_MILLIS) }
+        Self { millis: (notice_millis + leaving_millis).saturating_sub(SEND_RESERVE_MILLIS) }
     }
 }
 
@@ -76,7 +76,7 @@
     /// permitted staleness. The gap may have been only a silent connection, during which a target has
     /// left.
     pub fn grace(&self, bound: StalenessBound, now: UnixMillis) -> Option<UnixDeadline> {
-        let back = UnixDeadline::after(self.returned, LAPSE_MILLIS);
+        let back = UnixDeadline::after(self.returned, MISSING_ROW_GRACE_MILLIS);
         let end = back.min(UnixDeadline::after(self.asked, bound.millis));
         (!end.passed(now)).then_some(end)
     }
@@ -169,7 +169,7 @@
     records: HashMap<TargetName, Arc<TargetRecord>>,
     missing: HashMap<TargetName, UnixDeadline>,
     /// Services that routes refer to; empty until routes are known.
-    named: HashSet<ServiceName>,
+    known_services: HashSet<ServiceName>,
     departed: DepartedLives,
     /// Lives that departed before the last restore, with the last row of each that was ignored. Rows are ignored until they
     /// change again or [`Self::ignored_until`] passes.
@@ -212,9 +212,9 @@
     /// of them: rows that such a target replaced may be valid after all.
     pub fn set_services(&mut self, services: impl IntoIterator<Item = ServiceName>) -> bool {
         let services: HashSet<ServiceName> = services.into_iter().collect();
-        let news = services != self.named;
-        self.named = services;
-        news && self.records.values().any(|record| !self.named.contains(&record.service))
+        let changed = services != self.known_services;
+        self.known_services = services;
+        changed && self.records.values().any(|record| !self.known_services.contains(&record.service))
     }
 
     /// Applies a complete listing, sorted from older to newer rows. Rows that it lacks are removed, or
@@ -299,7 +299,7 @@
             TargetState::Ready => self.departed.remove(&record.life()),
             TargetState::Draining => self.departed.insert(record.life()),
         }
-        if self.named.is_empty() || self.named.contains(&record.service) {
+        if self.known_services.is_empty() || self.known_services.contains(&record.service) {
             let ended = |known: &TargetRecord| known.address == record.address && known.id != record.id;
             let ids: Vec<TargetName> =
                 self.records.values().filter(|known| ended(known)).map(|known| known.id.clone()).collect();
--- a/crates/porthoist-policy/src/proxy/trusted.rs
+++ b/crates/porthoist-policy/src/proxy/trusted.rs
@@ -8,7 +8,7 @@
 /// the old one answered, so the time is not much longer than a retry takes to arrive.
 const TRUSTED_MILLIS: u64 = 20_000;
 /// Maximum number of stored requests, some 80 bytes each: 20 s at 200 answers a second.
-const MOST_TRUSTED: usize = 4_096;
+const MAX_TRUSTED: usize = 4_096;
 
 /// Requests by the end of their protection.
 #[derive(Debug, Default)]
@@ -24,7 +24,7 @@
         self.until.insert(mark, until);
         self.order.push_back((mark, until));
         while let Some((oldest, end)) = self.order.front().copied() {
-            if !end.passed(now) && self.order.len() <= MOST_TRUSTED {
+            if !end.passed(now) && self.order.len() <= MAX_TRUSTED {
                 break;
             }
             self.order.pop_front();
--- a/crates/porthoist-policy/src/proxy/turns.rs
+++ b/crates/porthoist-policy/src/proxy/turns.rs
@@ -11,25 +11,25 @@
 
 /// Fraction of a limit that is used. The rest absorbs processes that are not counted yet and clock
 /// differences.
-const GIVEN_PART: f64 = 0.75;
+const USED_FRACTION: f64 = 0.75;
 /// Minimum number of requests a second that all processes together may send, whatever limit the target
 /// announces. A target without requests could never announce a higher limit.
-const LEAST_RATE: f64 = 0.25;
+const MIN_RATE: f64 = 0.25;
 /// Time in milliseconds after which an unused turn at a target with an announced limit expires.
-const NAMED_LAPSE_MILLIS: u64 = 1_000;
+const ANNOUNCED_EXPIRY_MILLIS: u64 = 1_000;
 /// Time in milliseconds after which an unused turn at a cold target expires. Its limit is checked for
 /// each second, and saved turns would add to those of the next second.
-const COLD_LAPSE_MILLIS: u64 = 600;
+const COLD_EXPIRY_MILLIS: u64 = 600;
 /// Entries assumed per known target; deployments have about one. A far higher number would leave callers
 /// without cold targets in the first seconds after all have restarted. Up to twice as many entries as
 /// assumed stay within what cold targets survive.
-const ENTRIES_A_TARGET: u32 = 2;
+const ENTRIES_PER_TARGET: u32 = 2;
 /// Minimum number of assumed entries.
-const LEAST_ENTRIES: u32 = 100;
+const MIN_ENTRIES: u32 = 100;
 
 /// Number of entries to assume while nobody counts them and no setting gives it.
 pub fn assumed_entries(targets: usize) -> u32 {
-    LEAST_ENTRIES.max(ENTRIES_A_TARGET.saturating_mul(u32::try_from(targets).unwrap_or(u32::MAX)))
+    MIN_ENTRIES.max(ENTRIES_PER_TARGET.saturating_mul(u32::try_from(targets).unwrap_or(u32::MAX)))
 }
 
 /// A process's position among the entry processes of its availability zone, in an order that all agree
@@ -64,13 +64,13 @@
 impl SenderPosition {
     /// The position of an entry of `zone`, for targets in `zones`, which are sorted.
     pub fn new(
-        place: Option<EntryPosition>,
+        position: Option<EntryPosition>,
         zone: &ZoneName,
         zones: &[ZoneName],
         uncounted: UncountedEntry,
     ) -> Self {
         let Some(EntryPosition { index: before, entries }) =
-            place.filter(|place| place.index < place.entries)
+            position.filter(|position| position.index < position.entries)
         else {
             let UncountedEntry { entries, seed } = uncounted;
             let phase = unit(xxhash_rust::xxh3::xxh3_64(&seed.to_le_bytes()));
@@ -109,10 +109,10 @@
         }
     }
 
-    fn lapse_millis(self) -> u64 {
+    fn expiry_millis(self) -> u64 {
         match self {
-            Self::Announced => NAMED_LAPSE_MILLIS,
-            Self::Cold => COLD_LAPSE_MILLIS,
+            Self::Announced => ANNOUNCED_EXPIRY_MILLIS,
+            Self::Cold => COLD_EXPIRY_MILLIS,
         }
     }
 }
@@ -137,19 +137,19 @@
 pub struct TurnRound {
     millis: f64,
     phase: f64,
-    lapse_millis: u64,
+    expiry_millis: u64,
 }
 
 impl TurnRound {
     /// The rounds of a target with a rate limit. Rounds of different targets begin at different moments.
     pub fn new(rate: TargetRate, sender: SenderPosition, life: &TargetLife) -> Self {
         let TargetRate { rate: RequestRate(allowed), source } = rate;
-        let given = (GIVEN_PART * allowed).max(LEAST_RATE);
+        let used = (USED_FRACTION * allowed).max(MIN_RATE);
         let target = xxhash_rust::xxh3::xxh3_64_with_seed(life.id.as_str().as_bytes(), life.born.0);
         Self {
-            millis: 1_000.0 * sender.count / given,
+            millis: 1_000.0 * sender.count / used,
             phase: (sender.phase + unit(target)).fract(),
-            lapse_millis: source.lapse_millis(),
+            expiry_millis: source.expiry_millis(),
         }
     }
 
@@ -191,14 +191,14 @@
         let Some(round) = self.round else { return false };
         // Frequent changes of the rounds must not bring turns closer together.
         let apart = now.since(self.used_at) as f64 >= round.millis / 2.0;
-        let spaced = round.millis <= round.lapse_millis as f64 || apart;
-        spaced && round.begun(now) > self.lapsed(round, now)
+        let spaced = round.millis <= round.expiry_millis as f64 || apart;
+        spaced && round.begun(now) > self.expired(round, now)
     }
 
     /// Uses a turn for a request that is sent now.
     pub fn take(&mut self, now: UnixMillis) {
         let Some(round) = self.round else { return };
-        self.used = self.lapsed(round, now) + 1;
+        self.used = self.expired(round, now) + 1;
         self.used_at = now;
     }
 
@@ -213,8 +213,8 @@
     }
 
     /// Number of turns that were used or have expired.
-    fn lapsed(&self, round: TurnRound, now: UnixMillis) -> u64 {
-        let before = UnixMillis(now.0.saturating_sub(round.lapse_millis));
+    fn expired(&self, round: TurnRound, now: UnixMillis) -> u64 {
+        let before = UnixMillis(now.0.saturating_sub(round.expiry_millis));
         self.used.max(round.begun(before))
     }
 }
--- a/crates/porthoist-policy/src/proxy/waiting.rs
+++ b/crates/porthoist-policy/src/proxy/waiting.rs
@@ -18,46 +18,46 @@
 
 /// Position of a request in the wait queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct WaitRank {
+pub struct QueueKey {
     /// Priority class, 0 first.
     pub priority: u8,
     /// Class among requests of the same priority.
-    pub turn: QueueClass,
+    pub class: QueueClass,
     /// Order of arrival.
     pub arrival: u64,
 }
 
 /// Requests of one service that wait for a target.
 #[derive(Debug)]
-pub struct WaitList<T> {
-    waiting: BTreeMap<WaitRank, T>,
+pub struct WaitQueue<T> {
+    waiting: BTreeMap<QueueKey, T>,
     arrivals: u64,
 }
 
-impl<T> Default for WaitList<T> {
+impl<T> Default for WaitQueue<T> {
     fn default() -> Self {
         Self { waiting: BTreeMap::new(), arrivals: 0 }
     }
 }
 
-impl<T> WaitList<T> {
+impl<T> WaitQueue<T> {
     /// Adds a request; the returned key removes it.
-    pub fn add(&mut self, priority: u8, turn: QueueClass, item: T) -> WaitRank {
-        let rank = WaitRank { priority, turn, arrival: self.arrivals };
+    pub fn add(&mut self, priority: u8, class: QueueClass, item: T) -> QueueKey {
+        let key = QueueKey { priority, class, arrival: self.arrivals };
         self.arrivals += 1;
-        self.waiting.insert(rank, item);
-        rank
+        self.waiting.insert(key, item);
+        key
     }
 
     /// Number of requests that would be served before one that is added now.
-    pub fn ahead(&self, priority: u8, turn: QueueClass) -> usize {
-        let rank = WaitRank { priority, turn, arrival: self.arrivals };
-        self.waiting.range(..rank).count()
+    pub fn ahead(&self, priority: u8, class: QueueClass) -> usize {
+        let key = QueueKey { priority, class, arrival: self.arrivals };
+        self.waiting.range(..key).count()
     }
 
     /// Removes a request that gave up.
-    pub fn remove(&mut self, rank: WaitRank) -> Option<T> {
-        self.waiting.remove(&rank)
+    pub fn remove(&mut self, key: QueueKey) -> Option<T> {
+        self.waiting.remove(&key)
     }
 
     /// Removes and returns the first request.
--- a/crates/porthoist-policy/src/proxy/zones.rs
+++ b/crates/porthoist-policy/src/proxy/zones.rs
@@ -53,9 +53,9 @@
 
 impl EmptiedZones {
     /// Applies an update; returns the changes that took effect.
-    pub fn take(&mut self, news: ZoneUpdate, now: UnixMillis) -> Vec<ZoneChange> {
+    pub fn take(&mut self, update: ZoneUpdate, now: UnixMillis) -> Vec<ZoneChange> {
         let mut keep_unconfirmed = std::mem::take(&mut self.awaiting_backup_rows);
-        let changes = match news {
+        let changes = match update {
             ZoneUpdate::Changed(changes) => changes,
             ZoneUpdate::Listed(zones) => {
                 keep_unconfirmed = true;
--- a/crates/porthoist-policy/tests/policy/cold.rs
+++ b/crates/porthoist-policy/tests/policy/cold.rs
@@ -1,7 +1,7 @@
 //! Cold targets and emptied zones: the load on targets from all entries together, and the answers to
 //! callers.
 
-use crate::cold_fleet::{ALLOWED, ColdSettings, play};
+use crate::cold_fleet::{ALLOWED, ColdSettings, simulate};
 use porthoist_core::{RequestRate, ServiceName, StartMillis, UnixDeadline, UnixMillis, ZoneName};
 use porthoist_policy::proxy::backpressure::{BackpressureSignals, SignalValue};
 use porthoist_policy::proxy::balancer::{BalancerSettings, RequestWork, SendOutcome};
@@ -26,7 +26,7 @@
 #[test_case(42, 12; "all targets before 42 entries")]
 fn a_cold_target_gets_no_more_than_it_bears(entries: usize, cold: usize) {
     for seed in 1..4 {
-        let report = play(&ColdSettings::builder().entries(entries).cold(cold).seed(seed).build());
+        let report = simulate(&ColdSettings::builder().entries(entries).cold(cold).seed(seed).build());
         assert!(report.most() as f64 <= ALLOWED, "seed {seed}: {} in a second", report.most());
         assert!(report.used() >= 0.6, "seed {seed}: {} of the rate used", report.used());
     }
@@ -38,7 +38,7 @@
 fn it_holds_also_while(killed: usize, cut_off: usize, clocks_apart: u64) {
     for seed in 1..4 {
         let settings = ColdSettings::builder().entries(42).cold(4).seed(seed).killed(killed);
-        let report = play(&settings.cut_off(cut_off).clocks_apart(clocks_apart).build());
+        let report = simulate(&settings.cut_off(cut_off).clocks_apart(clocks_apart).build());
         assert!(report.most() as f64 <= ALLOWED, "seed {seed}: {} in a second", report.most());
         assert!(report.used() >= 0.4, "seed {seed}: {} of the rate used", report.used());
     }
@@ -47,7 +47,7 @@
 #[test]
 fn a_target_whose_connections_broke_counts_as_cold_before_its_row_says_so() {
     // Entries whose connections broke hold back; the others continue at 8 requests a second per target.
-    let report = play(&ColdSettings::builder().entries(42).cold(4).rate(2.3).rows(false).build());
+    let report = simulate(&ColdSettings::builder().entries(42).cold(4).rate(2.3).rows(false).build());
     assert!(report.most() as f64 <= ALLOWED, "{} in a second", report.most());
 }
 
@@ -74,31 +74,31 @@
 
 /// A process that is the only entry, with one target in each zone. A zone has the name of its target.
 struct Alone {
-    desk: RequestScheduler<()>,
-    book: TargetRegistry,
+    scheduler: RequestScheduler<()>,
+    registry: TargetRegistry,
     zones: EmptiedZones,
 }
 
 impl Alone {
     fn new(records: impl IntoIterator<Item = TargetRecord>) -> Self {
         let settings = BalancerSettings::builder().zone(zone("a")).per_rank(3).rank_limit(12).seed(1).build();
-        let mut book = TargetRegistry::default();
-        book.apply_listing(records, None);
-        let mut desk = RequestScheduler::new(settings);
+        let mut registry = TargetRegistry::default();
+        registry.apply_listing(records, None);
+        let mut scheduler = RequestScheduler::new(settings);
         let rule = ColdRule { rate: RequestRate(4.0), millis: 3_000 };
-        desk.set_cold_rules(HashMap::from([(service(), rule)]));
-        desk.set_entry_position(Some(EntryPosition { index: 0, entries: 1 }));
-        desk.sync(&book);
-        Self { desk, book, zones: EmptiedZones::default() }
+        scheduler.set_cold_rules(HashMap::from([(service(), rule)]));
+        scheduler.set_entry_position(Some(EntryPosition { index: 0, entries: 1 }));
+        scheduler.sync(&registry);
+        Self { scheduler, registry, zones: EmptiedZones::default() }
     }
 
-    fn zones(&mut self, news: ZoneUpdate, at: u64) {
-        self.zones.take(news, UnixMillis(at));
-        self.desk.set_emptied(&self.zones, UnixMillis(at));
+    fn zones(&mut self, update: ZoneUpdate, at: u64) {
+        self.zones.take(update, UnixMillis(at));
+        self.scheduler.set_emptied(&self.zones, UnixMillis(at));
     }
 
     fn ask(&mut self, at: u64) -> String {
-        let demand = SlotRequest {
+        let request = SlotRequest {
             service: service(),
             ranked: false,
             work: RequestWork::default(),
@@ -109,7 +109,7 @@
             deadline: UnixDeadline::after(UnixMillis(at), 8_000),
             class: QueueClass::First,
         };
-        match self.desk.decide(&demand, UnixMillis(at)) {
+        match self.scheduler.decide(&request, UnixMillis(at)) {
             SlotDecision::Assign(chosen) => chosen.record.id.to_string(),
             SlotDecision::Wait(_until) => "waits".to_owned(),
             SlotDecision::Refuse(error) => error.to_string(),
@@ -126,11 +126,11 @@
 fn a_zone_that_is_emptied_gets_nothing_and_comes_back_as_cold() {
     let mut alone = Alone::new([record("a", 0, ColdStatus::Warm), record("b", 0, ColdStatus::Warm)]);
     let chosen = alone.ask(1_000);
-    let place = alone.book.records().find(|record| record.id.as_str() == chosen).unwrap().life();
-    assert!(alone.desk.is_still_valid(&place, None, UnixMillis(1_000)));
+    let place = alone.registry.records().find(|record| record.id.as_str() == chosen).unwrap().life();
+    assert!(alone.scheduler.is_still_valid(&place, None, UnixMillis(1_000)));
     alone.zones(ZoneUpdate::Changed(vec![ZoneChange::Emptied(place.id.as_str().parse().unwrap())]), 1_100);
     assert!(
-        !alone.desk.is_still_valid(&place, None, UnixMillis(1_101)),
+        !alone.scheduler.is_still_valid(&place, None, UnixMillis(1_101)),
         "a place given before no longer stands"
     );
     assert_eq!(alone.count(&chosen, 1_200), 0);
@@ -139,8 +139,8 @@
     later.zones(ZoneUpdate::Changed(vec![ZoneChange::Restored(zone("a"))]), 20_000);
     let cold = later.count("a", 20_010);
     assert!((1..=4).contains(&cold), "{cold} requests in the first second after its return");
-    assert_eq!(later.desk.cold_targets(UnixMillis(22_000)), 1);
-    assert_eq!(later.desk.cold_targets(UnixMillis(23_500)), 0);
+    assert_eq!(later.scheduler.cold_targets(UnixMillis(22_000)), 1);
+    assert_eq!(later.scheduler.cold_targets(UnixMillis(23_500)), 0);
 }
 
 #[test]
@@ -149,7 +149,7 @@
     alone.zones(ZoneUpdate::Listed(vec![zone("a"), zone("b"), zone("unknown")]), 1_000);
     assert_eq!(alone.ask(1_001), "the targets' zones are emptied");
     assert_eq!(
-        alone.desk.refusal(&service(), UnixMillis(1_002)).to_string(),
+        alone.scheduler.refusal(&service(), UnixMillis(1_002)).to_string(),
         "the targets' zones are emptied"
     );
     alone.zones(ZoneUpdate::Listed(vec![zone("b")]), 2_000);
@@ -174,39 +174,47 @@
 fn only_time_makes_a_target_warm() {
     let until = |at| ColdStatus::Until(UnixDeadline(UnixMillis(at)));
     let mut alone = Alone::new([record("a", 1, until(2_000))]);
-    let cold = |alone: &Alone, at: u64| alone.desk.cold_targets(UnixMillis(at)) == 1;
+    let cold = |alone: &Alone, at: u64| alone.scheduler.cold_targets(UnixMillis(at)) == 1;
     assert_eq!([1_000, 1_999, 2_000].map(|at| cold(&alone, at)), [true, true, false]);
     // The row of the same life says that it became cold again, then that it is warm.
-    for (word, cold_until) in [(until(6_000), 6_000), (ColdStatus::Warm, 6_000), (ColdStatus::Unknown, 6_000)]
+    for (status, cold_until) in
+        [(until(6_000), 6_000), (ColdStatus::Warm, 6_000), (ColdStatus::Unknown, 6_000)]
     {
-        alone.book.apply_changes(vec![record("a", 1, word).into()], None);
-        alone.desk.sync(&alone.book);
-        assert_eq!([cold_until - 1, cold_until].map(|at| cold(&alone, at)), [true, false], "{word:?}");
+        alone.registry.apply_changes(vec![record("a", 1, status).into()], None);
+        alone.scheduler.sync(&alone.registry);
+        assert_eq!([cold_until - 1, cold_until].map(|at| cold(&alone, at)), [true, false], "{status:?}");
     }
     // Its own answer announces a cold time.
     let answer =
         BackpressureSignals { cold_millis: SignalValue::Present(500), ..BackpressureSignals::default() };
     let life = record("a", 1, ColdStatus::Warm).life();
-    alone.desk.apply_signals(&life, &answer, UnixMillis(7_000), UnixMillis(7_000));
+    alone.scheduler.apply_signals(&life, &answer, UnixMillis(7_000), UnixMillis(7_000));
     assert_eq!([7_499, 7_500].map(|at| cold(&alone, at)), [true, false]);
     // Its connection broke. It may have restarted at any time until it answers, and counts as cold for
     // the whole cold time after that.
-    alone.desk.ended(&service(), &life, RequestWork::default(), SendOutcome::Lost, 10, UnixMillis(8_000));
-    let certain = BackpressureSignals { matches_request: true, ..BackpressureSignals::default() };
+    alone.scheduler.ended(
+        &service(),
+        &life,
+        RequestWork::default(),
+        SendOutcome::Lost,
+        10,
+        UnixMillis(8_000),
+    );
+    let answered = BackpressureSignals { matches_request: true, ..BackpressureSignals::default() };
     assert!(cold(&alone, 60_000));
-    alone.desk.apply_signals(&life, &certain, UnixMillis(61_000), UnixMillis(61_000));
+    alone.scheduler.apply_signals(&life, &answered, UnixMillis(61_000), UnixMillis(61_000));
     assert_eq!([63_999, 64_000].map(|at| cold(&alone, at)), [true, false]);
     // Another life whose row says nothing about a cold start.
-    alone.book.apply_changes(vec![record("a", 2, ColdStatus::Unknown).into()], None);
-    alone.desk.sync(&alone.book);
+    alone.registry.apply_changes(vec![record("a", 2, ColdStatus::Unknown).into()], None);
+    alone.scheduler.sync(&alone.registry);
     assert!(cold(&alone, 70_000));
 }
 
 #[test]
 fn a_service_without_a_rule_is_never_cold() {
     let mut alone = Alone::new([record("a", 1, ColdStatus::Until(UnixDeadline(UnixMillis(9_000))))]);
-    alone.desk.set_cold_rules(HashMap::new());
-    assert_eq!(alone.desk.cold_targets(UnixMillis(1_000)), 0);
+    alone.scheduler.set_cold_rules(HashMap::new());
+    assert_eq!(alone.scheduler.cold_targets(UnixMillis(1_000)), 0);
     assert_eq!(alone.ask(1_000), "a");
 }
 
--- a/crates/porthoist-policy/tests/policy/cold_fleet.rs
+++ b/crates/porthoist-policy/tests/policy/cold_fleet.rs
@@ -112,15 +112,15 @@
     }
 }
 
-struct PlayedEntry {
-    desk: RequestScheduler<u64>,
+struct SimulatedEntry {
+    scheduler: RequestScheduler<u64>,
     clock_ahead: u64,
     life: u64,
 }
 
 struct ColdFleet {
     settings: ColdSettings,
-    entries: Vec<PlayedEntry>,
+    entries: Vec<SimulatedEntry>,
     /// The targets before the restart.
     records: Vec<TargetRecord>,
     service: ServiceName,
@@ -131,7 +131,7 @@
 }
 
 /// Simulates from before the targets restart until they are warm.
-pub fn play(settings: &ColdSettings) -> ColdReport {
+pub fn simulate(settings: &ColdSettings) -> ColdReport {
     let mut fleet = ColdFleet::new(settings.clone());
     while let Some(Reverse((at, _sequence, event))) = fleet.events.pop() {
         if at >= START + COLD {
@@ -189,14 +189,14 @@
         fleet
     }
 
-    fn entry(&mut self, index: usize, life: u64) -> PlayedEntry {
+    fn entry(&mut self, index: usize, life: u64) -> SimulatedEntry {
         let zone = zone_name(index % self.settings.zones);
         let settings = BalancerSettings::builder().zone(zone).per_rank(3).rank_limit(12);
-        let mut desk = RequestScheduler::new(settings.seed(index as u64).build());
+        let mut scheduler = RequestScheduler::new(settings.seed(index as u64).build());
         let rule = ColdRule { rate: RequestRate(RATE), millis: COLD };
-        desk.set_cold_rules(HashMap::from([(self.service.clone(), rule)]));
+        scheduler.set_cold_rules(HashMap::from([(self.service.clone(), rule)]));
         let clock_ahead = self.random.random_range(0..=self.settings.clocks_apart);
-        PlayedEntry { desk, clock_ahead, life }
+        SimulatedEntry { scheduler, clock_ahead, life }
     }
 
     /// Updates an entry with the rows at a time.
@@ -209,9 +209,9 @@
                 record.cold = ColdStatus::from_remaining((START + COLD).saturating_sub(at), now);
             }
         }
-        let mut book = TargetRegistry::default();
-        book.apply_listing(records, None);
-        self.entries[entry].desk.sync(&book);
+        let mut registry = TargetRegistry::default();
+        registry.apply_listing(records, None);
+        self.entries[entry].scheduler.sync(&registry);
     }
 
     fn at(&mut self, at: u64, event: ColdEvent) {
@@ -232,8 +232,8 @@
             ColdEvent::Place { entry } => {
                 let (zones, entries) = (self.settings.zones, self.settings.entries);
                 let in_zone = (entries - entry % zones).div_ceil(zones) as u32;
-                let place = EntryPosition { index: (entry / zones) as u32, entries: in_zone };
-                self.entries[entry].desk.set_entry_position(Some(place));
+                let position = EntryPosition { index: (entry / zones) as u32, entries: in_zone };
+                self.entries[entry].scheduler.set_entry_position(Some(position));
             }
             ColdEvent::Kill { entry } => {
                 let life = self.entries[entry].life + 1;
@@ -249,7 +249,7 @@
         let next = at as f64 + pause + self.random.random::<f64>();
         self.at(next as u64, ColdEvent::Caller { entry });
         let now = self.clock(entry, at);
-        let demand = SlotRequest {
+        let request = SlotRequest {
             service: self.service.clone(),
             ranked: false,
             work: RequestWork::default(),
@@ -260,11 +260,11 @@
             deadline: UnixDeadline::after(now, 8_000),
             class: QueueClass::First,
         };
-        let desk = &mut self.entries[entry].desk;
-        match desk.decide(&demand, now) {
+        let scheduler = &mut self.entries[entry].scheduler;
+        match scheduler.decide(&request, now) {
             SlotDecision::Assign(chosen) => self.send(entry, &chosen, at),
             SlotDecision::Wait(until) => {
-                desk.enqueue(demand, at + until.0.since(now));
+                scheduler.enqueue(request, at + until.0.since(now));
                 self.next_turn(entry, at);
             }
             SlotDecision::Refuse(error) => self.report.refused_cold += usize::from(error == SlotError::Cold),
@@ -278,7 +278,7 @@
 
     fn next_turn(&mut self, entry: usize, at: u64) {
         let now = self.clock(entry, at);
-        if let Some(turn) = self.entries[entry].desk.next_turn(&self.service, now) {
+        if let Some(turn) = self.entries[entry].scheduler.next_turn(&self.service, now) {
             self.at(at + turn.0.since(now), ColdEvent::Turn { entry });
         }
     }
@@ -291,12 +291,12 @@
             *until > at
         };
         while let Some((_until, chosen, _work)) =
-            self.entries[entry].desk.next_ready(&self.service, waits, now)
+            self.entries[entry].scheduler.next_ready(&self.service, waits, now)
         {
             self.send(entry, &chosen, at);
         }
         self.report.held_in_vain += vain.get();
-        if self.entries[entry].desk.waiting() > 0 {
+        if self.entries[entry].scheduler.waiting() > 0 {
             self.next_turn(entry, at);
         }
     }
@@ -324,9 +324,9 @@
         let outcome = if lost { SendOutcome::Lost } else { SendOutcome::Answered(RUN_MILLIS as f64) };
         let id = self.records[target].id.clone();
         let lives = [0, 1].map(|born| TargetLife { id: id.clone(), born: StartMillis(born) });
-        let desk = &mut self.entries[entry].desk;
-        if let Some(life) = lives.iter().find(|life| desk.in_flight(life) > 0) {
-            desk.ended(&self.service, life, RequestWork::default(), outcome, RUN_MILLIS, now);
+        let scheduler = &mut self.entries[entry].scheduler;
+        if let Some(life) = lives.iter().find(|life| scheduler.in_flight(life) > 0) {
+            scheduler.ended(&self.service, life, RequestWork::default(), outcome, RUN_MILLIS, now);
         }
         self.serve_waiting(entry, at);
     }
--- a/crates/porthoist-policy/tests/policy/domains.rs
+++ b/crates/porthoist-policy/tests/policy/domains.rs
@@ -41,29 +41,29 @@
 }
 
 /// A balancer with reports from all groups at time 0.
-fn board(seed: u64, passes: [GroupPass; GROUPS]) -> LoadBalancer {
-    let mut book = TargetRegistry::default();
+fn balancer(seed: u64, passes: [GroupPass; GROUPS]) -> LoadBalancer {
+    let mut registry = TargetRegistry::default();
     let places = (0..GROUPS).flat_map(|group| (0..RANKS).map(move |rank| (group, rank)));
-    book.apply_listing(places.map(|(group, rank)| record(group, rank)), None);
+    registry.apply_listing(places.map(|(group, rank)| record(group, rank)), None);
     let settings = BalancerSettings::builder()
         .zone("a".parse().expect("a name"))
         .per_rank(3)
         .rank_limit(RANK_LIMIT)
         .seed(seed)
         .build();
-    let mut board = LoadBalancer::new(settings);
-    board.sync(&book);
+    let mut balancer = LoadBalancer::new(settings);
+    balancer.sync(&registry);
     for (group, pass) in passes.into_iter().enumerate() {
-        board.take_loads(&loads(group, 4, pass), UnixMillis(0));
+        balancer.update_loads(&loads(group, 4, pass), UnixMillis(0));
     }
-    board
+    balancer
 }
 
 /// Sends one request and ends it at once; returns its group.
-fn place(board: &mut LoadBalancer, now: u64) -> usize {
-    let chosen = board.choose(&service(), true, RequestWork::default(), &[], UnixMillis(now));
+fn place(balancer: &mut LoadBalancer, now: u64) -> usize {
+    let chosen = balancer.choose(&service(), true, RequestWork::default(), &[], UnixMillis(now));
     let record = chosen.expect("there is room").record;
-    board.ended(&record.life(), RequestWork::default(), SendOutcome::Answered(10.0), UnixMillis(now));
+    balancer.ended(&record.life(), RequestWork::default(), SendOutcome::Answered(10.0), UnixMillis(now));
     let group = record.id.as_str().trim_start_matches('t').split('-').next().expect("a group");
     group.parse().expect("a number")
 }
@@ -72,9 +72,9 @@
 fn placed(passes: [GroupPass; GROUPS], now: u64) -> [usize; GROUPS] {
     let mut counts = [0; GROUPS];
     for seed in 0..20 {
-        let mut board = board(seed, passes);
+        let mut balancer = balancer(seed, passes);
         for _request in 0..30 {
-            counts[place(&mut board, now)] += 1;
+            counts[place(&mut balancer, now)] += 1;
         }
     }
     counts
@@ -127,23 +127,23 @@
 #[test]
 fn a_group_that_nothing_is_heard_of_gets_nothing() {
     for seed in 0..20 {
-        let mut board = board(seed, [USUAL; GROUPS]);
-        board.take_loads(&loads(0, 4, USUAL), UnixMillis(700));
-        let groups: Vec<usize> = (0..30).map(|_request| place(&mut board, 700)).collect();
+        let mut balancer = balancer(seed, [USUAL; GROUPS]);
+        balancer.update_loads(&loads(0, 4, USUAL), UnixMillis(700));
+        let groups: Vec<usize> = (0..30).map(|_request| place(&mut balancer, 700)).collect();
         assert_eq!(groups, [0; 30]);
     }
 }
 
 #[test]
 fn groups_stay_apart_when_a_rank_moves_from_one_to_another() {
-    let mut board = board(1, [USUAL; GROUPS]);
+    let mut balancer = balancer(1, [USUAL; GROUPS]);
     let mut grown = loads(1, 4, USUAL);
     grown.ranks.insert(0, RankLoad { host: host(0, 0), requests: 4, silent: false });
     let mut shrunk = loads(0, 4, GroupPass::Broken);
     shrunk.ranks.remove(0);
-    board.take_loads(&grown, UnixMillis(10));
-    board.take_loads(&shrunk, UnixMillis(10));
-    let groups: Vec<usize> = (0..60).map(|_request| place(&mut board, 20)).collect();
+    balancer.update_loads(&grown, UnixMillis(10));
+    balancer.update_loads(&shrunk, UnixMillis(10));
+    let groups: Vec<usize> = (0..60).map(|_request| place(&mut balancer, 20)).collect();
     assert!(groups.contains(&1) && groups.contains(&2), "{groups:?}");
     assert!(groups.iter().filter(|group| **group == 0).count() < 20, "only the rank that moved: {groups:?}");
 }
@@ -151,38 +151,38 @@
 /// An event from one target describes its group, even if the reporting process has gone.
 #[test]
 fn events_show_that_a_group_without_reports_goes_on() {
-    let mut board = board(1, [USUAL; GROUPS]);
+    let mut balancer = balancer(1, [USUAL; GROUPS]);
     for group in 0..2 {
-        board.take_loads(&loads(group, 4, USUAL), UnixMillis(700));
+        balancer.update_loads(&loads(group, 4, USUAL), UnixMillis(700));
     }
-    board.heard(&record(2, 5), UnixMillis(690));
-    let groups: Vec<usize> = (0..60).map(|_request| place(&mut board, 700)).collect();
+    balancer.event_received(&record(2, 5), UnixMillis(690));
+    let groups: Vec<usize> = (0..60).map(|_request| place(&mut balancer, 700)).collect();
     assert!(groups.contains(&2), "{groups:?}");
 }
 
 /// The reports of a group may never resume, because the process that made them has gone.
 #[test]
 fn one_request_now_and_then_tries_a_group_that_nothing_is_heard_of() {
-    let mut board = board(1, [USUAL; GROUPS]);
+    let mut balancer = balancer(1, [USUAL; GROUPS]);
     let mut tried = 0;
     for now in (2_000..8_000).step_by(50) {
         for group in 0..2 {
-            board.take_loads(&loads(group, 4, USUAL), UnixMillis(now));
+            balancer.update_loads(&loads(group, 4, USUAL), UnixMillis(now));
         }
-        tried += usize::from(place(&mut board, now) == 2);
+        tried += usize::from(place(&mut balancer, now) == 2);
     }
     assert!((1..=3).contains(&tried), "{tried} in 6 s");
 }
 
 #[test]
 fn a_change_of_a_group_is_told_once() {
-    let mut board = board(1, [USUAL; GROUPS]);
-    place(&mut board, 10);
-    board.choose(&service(), true, RequestWork::default(), &[], UnixMillis(10)).expect("there is room");
+    let mut balancer = balancer(1, [USUAL; GROUPS]);
+    place(&mut balancer, 10);
+    balancer.choose(&service(), true, RequestWork::default(), &[], UnixMillis(10)).expect("there is room");
     let mut changes = |pass, at| {
-        (0..GROUPS).for_each(|group| board.take_loads(&loads(group, 4, USUAL), UnixMillis(at)));
-        board.take_loads(&loads(1, 4, pass), UnixMillis(at));
-        let changes = board.group_changes(&service(), UnixMillis(at));
+        (0..GROUPS).for_each(|group| balancer.update_loads(&loads(group, 4, USUAL), UnixMillis(at)));
+        balancer.update_loads(&loads(1, 4, pass), UnixMillis(at));
+        let changes = balancer.group_changes(&service(), UnixMillis(at));
         changes.iter().map(|group| (group.index.place(), group.status.stalled)).collect::<Vec<_>>()
     };
     assert_eq!(changes(USUAL, 20), []);
--- a/crates/porthoist-policy/tests/policy/forecast.rs
+++ b/crates/porthoist-policy/tests/policy/forecast.rs
@@ -1,7 +1,7 @@
 //! Waiting, refusal and retry delays.
 
 use porthoist_core::{UnixDeadline, UnixMillis};
-use porthoist_policy::proxy::forecast::{CallerRetryDetector, PlaceAsk, PlaceForecast, ServiceForecast};
+use porthoist_policy::proxy::forecast::{CallerRetryDetector, ServiceForecast, WaitDecision, WaitQuery};
 use porthoist_policy::proxy::waiting::QueueClass::{self, CallerRetry, First, Resent};
 use test_case::test_case;
 
@@ -9,17 +9,17 @@
 fn busy() -> ServiceForecast {
     let mut forecast = ServiceForecast::default();
     for _request in 0..11 {
-        forecast.placed(UnixMillis(0));
+        forecast.request_started(UnixMillis(0));
     }
-    forecast.began(200.0, UnixMillis(1_000));
-    forecast.freed(Some(1_500.0));
+    forecast.first_event_received(200.0, UnixMillis(1_000));
+    forecast.request_ended(Some(1_500.0));
     forecast
 }
 
-fn ask(ahead: usize, arrival: u64, turn: QueueClass) -> PlaceAsk {
+fn ask(ahead: usize, arrival: u64, class: QueueClass) -> WaitQuery {
     let arrival = UnixMillis(arrival);
     let deadline = UnixDeadline::after(arrival, 8_000);
-    PlaceAsk { ahead, arrival, latency_millis: 500, deadline, turn, limited_millis: None }
+    WaitQuery { ahead, arrival, latency_millis: 500, deadline, class, rate_limited_millis: None }
 }
 
 #[test_case(0, First, Some(1_300); "a place every 150 ms, and 300 to spare")]
@@ -29,12 +29,12 @@
 #[test_case(0, CallerRetry, None; "a caller who came back takes a free place or none")]
 fn a_request_waits_only_while_it_can_be_served_in_time(
     ahead: usize,
-    turn: QueueClass,
+    class: QueueClass,
     expected: Option<u64>,
 ) {
     let expected =
-        expected.map_or(PlaceForecast::Refuse, |until| PlaceForecast::Wait(UnixDeadline(UnixMillis(until))));
-    assert_eq!(busy().ask(ask(ahead, 1_000, turn), UnixMillis(1_000)), expected);
+        expected.map_or(WaitDecision::Refuse, |until| WaitDecision::Wait(UnixDeadline(UnixMillis(until))));
+    assert_eq!(busy().decide(ask(ahead, 1_000, class), UnixMillis(1_000)), expected);
 }
 
 #[test]
@@ -45,9 +45,9 @@
     };
     assert_eq!(sent(&mut forecast, 1_000, 1_600), 30, "up to 600 ms are a slow pass");
     assert_eq!(sent(&mut forecast, 1_620, 3_620), 4, "two a second to one that answers nothing");
-    assert!(forecast.down());
-    assert_eq!(forecast.ask(ask(0, 3_700, Resent), UnixMillis(3_700)), PlaceForecast::Refuse);
-    forecast.heard(UnixMillis(4_000));
+    assert!(forecast.is_down());
+    assert_eq!(forecast.decide(ask(0, 3_700, Resent), UnixMillis(3_700)), WaitDecision::Refuse);
+    forecast.event_received(UnixMillis(4_000));
     assert_eq!(sent(&mut forecast, 4_000, 4_200), 10, "it goes on");
 }
 
@@ -71,14 +71,14 @@
     let mut told = Vec::new();
     for began in [2_000, 12_000, 22_000] {
         assert!(forecast.may_send(UnixMillis(began)), "one tries it");
-        told.push(forecast.return_millis(deadline, 0.0, 0.0, UnixMillis(began + 100)));
-        forecast.heard(UnixMillis(began + 1_000));
+        told.push(forecast.retry_after_millis(deadline, 0.0, 0.0, UnixMillis(began + 100)));
+        forecast.event_received(UnixMillis(began + 1_000));
     }
     // No episode was observed at first; then episodes of a second.
     assert_eq!(told, [2_500, 900, 900]);
     forecast.may_send(UnixMillis(32_000));
     assert_eq!(
-        forecast.return_millis(deadline, 0.0, 0.0, UnixMillis(37_000)),
+        forecast.retry_after_millis(deadline, 0.0, 0.0, UnixMillis(37_000)),
         5_000,
         "longer than all before"
     );
@@ -89,7 +89,7 @@
     let mut forecast = busy();
     forecast.may_send(UnixMillis(2_000));
     let mut told = |deadline: u64, point: f64| {
-        forecast.return_millis(UnixDeadline(UnixMillis(deadline)), 0.0, point, UnixMillis(2_000))
+        forecast.retry_after_millis(UnixDeadline(UnixMillis(deadline)), 0.0, point, UnixMillis(2_000))
     };
     assert_eq!([told(90_000, 0.0), told(90_000, 0.5), told(90_000, 1.0)], [2_500, 2_875, 3_250]);
     assert_eq!(told(5_000, 0.0), 1_000, "a third of what is left");
@@ -97,13 +97,13 @@
 
 #[test]
 fn callers_with_less_time_than_first_tries_came_back() {
-    let mut book = CallerRetryDetector::default();
-    let came_back = [Some(8_000), Some(7_900), Some(5_400), None].map(|left| book.is_retry("r", left));
+    let mut detector = CallerRetryDetector::default();
+    let came_back = [Some(8_000), Some(7_900), Some(5_400), None].map(|left| detector.is_retry("r", left));
     assert_eq!(came_back, [false, false, true, false]);
-    assert!(!book.is_retry("other", Some(1_500)));
+    assert!(!detector.is_retry("other", Some(1_500)));
     // Memory is bounded, whatever routes come and go.
     for route in 0..5_000 {
-        book.is_retry(&format!("r{route}"), Some(8_000));
+        detector.is_retry(&format!("r{route}"), Some(8_000));
     }
-    assert!(!book.is_retry("r", Some(5_400)), "forgotten");
+    assert!(!detector.is_retry("r", Some(5_400)), "forgotten");
 }
--- a/crates/porthoist-policy/tests/policy/moving.rs
+++ b/crates/porthoist-policy/tests/policy/moving.rs
@@ -1,20 +1,26 @@
 //! Moves of requests from one target to another.
 
 use porthoist_core::{UnixDeadline, UnixMillis};
-use porthoist_policy::proxy::forecast::StreamTimes;
+use porthoist_policy::proxy::forecast::StreamStats;
 use porthoist_policy::proxy::groups::GroupStatus;
-use porthoist_policy::proxy::moving::{KnownWays, MoveCause, PendingSend, move_cause};
+use porthoist_policy::proxy::moving::{MoveCause, MoveOptions, PendingSend, move_cause};
 use test_case::test_case;
 
 const USUAL_PASS: f64 = 50.0;
 
-fn pace(millis: f64) -> GroupStatus {
+fn status(millis: f64) -> GroupStatus {
     GroupStatus { millis, stalled: millis >= 400.0, slow_for_millis: 0, probe_due: false }
 }
 
-fn ways(here: f64, elsewhere: Option<f64>) -> KnownWays {
-    let streams = StreamTimes { first_millis: 175.0, first_deviation: 20.0, answer_events: 19.0 };
-    KnownWays { here: pace(here), elsewhere_millis: elsewhere, taken: 0.4, host_silent: false, streams }
+fn options(here: f64, elsewhere: Option<f64>) -> MoveOptions {
+    let streams = StreamStats { first_millis: 175.0, first_deviation: 20.0, answer_events: 19.0 };
+    MoveOptions {
+        here: status(here),
+        elsewhere_millis: elsewhere,
+        occupancy: 0.4,
+        host_silent: false,
+        streams,
+    }
 }
 
 /// Sent at time 0, to be on time within 500 ms and answered within 8 s.
@@ -43,16 +49,16 @@
 #[test_case(5, USUAL_PASS, OTHER, 600 => None; "a pause")]
 #[test_case(5, USUAL_PASS, OTHER, 801 => Some(MoveCause::TargetSilent); "a pause that callers don't bear")]
 fn leaves(events: u64, here: f64, elsewhere: Option<f64>, now: u64) -> Option<MoveCause> {
-    move_cause(&send(events), &ways(here, elsewhere), UnixMillis(now))
+    move_cause(&send(events), &options(here, elsewhere), UnixMillis(now))
 }
 
 #[test_case(300, 600.0 => None; "one long pass")]
 #[test_case(900, 600.0 => Some(MoveCause::GroupSlow); "an answer that would not end in time")]
 #[test_case(900, 410.0 => None; "an answer that ends in time")]
 fn leaves_a_group_that_is_slow_for(slow_for_millis: u64, here: f64) -> Option<MoveCause> {
-    let usual = ways(here, OTHER);
+    let usual = options(here, OTHER);
     let here = GroupStatus { slow_for_millis, ..usual.here };
-    move_cause(&send(5), &KnownWays { here, ..usual }, UnixMillis(600))
+    move_cause(&send(5), &MoveOptions { here, ..usual }, UnixMillis(600))
 }
 
 /// Guards against requests that stay at stalled hosts of a busy group until their callers leave after
@@ -60,7 +66,7 @@
 #[test_case(200.0, 300 => None; "a usual wait in a busy group")]
 #[test_case(200.0, 400 => Some(MoveCause::TargetSilent); "far longer")]
 fn leaves_a_host_that_is_not_heard(here: f64, now: u64) -> Option<MoveCause> {
-    move_cause(&send(0), &KnownWays { host_silent: true, ..ways(here, OTHER) }, UnixMillis(now))
+    move_cause(&send(0), &MoveOptions { host_silent: true, ..options(here, OTHER) }, UnixMillis(now))
 }
 
 /// Guards against overfilling the third group when two of three groups stall and all their streams would
@@ -69,29 +75,33 @@
 #[test_case(0, 200, 0.9 => None; "a request that can be in time, and no room")]
 #[test_case(5, 1_000, 0.5 => Some(MoveCause::GroupStalled); "a stream")]
 #[test_case(5, 1_000, 0.75 => None; "a stream, and little room")]
-fn leaves_a_group_that_stands_where_others_have_room(events: u64, now: u64, taken: f64) -> Option<MoveCause> {
-    move_cause(&send(events), &KnownWays { taken, ..ways(450.0, OTHER) }, UnixMillis(now))
+fn leaves_a_group_that_stands_where_others_have_room(
+    events: u64,
+    now: u64,
+    occupancy: f64,
+) -> Option<MoveCause> {
+    move_cause(&send(events), &MoveOptions { occupancy, ..options(450.0, OTHER) }, UnixMillis(now))
 }
 
 /// An answer of 40 events in a group whose passes take 270 ms, with a deadline 8 s after arrival.
 #[test_case(5_000 => None; "time for a usual rest")]
 #[test_case(5_600 => Some(MoveCause::GroupSlow); "the last time for a long rest elsewhere")]
 fn leaves_a_slow_group_while_a_long_answer_can_end_elsewhere(now: u64) -> Option<MoveCause> {
-    let usual = ways(270.0, OTHER);
+    let usual = options(270.0, OTHER);
     let here = GroupStatus { slow_for_millis: 900, ..usual.here };
     let long = PendingSend { since: UnixMillis(now - 100), ..send(18) };
-    move_cause(&long, &KnownWays { here, ..usual }, UnixMillis(now))
+    move_cause(&long, &MoveOptions { here, ..usual }, UnixMillis(now))
 }
 
 #[test]
 fn moves_are_spread() {
     let later = PendingSend { jitter_millis: 300, ..send(5) };
-    assert_eq!(move_cause(&later, &ways(900.0, OTHER), UnixMillis(1_000)), None);
-    assert_eq!(move_cause(&later, &ways(900.0, OTHER), UnixMillis(1_100)), Some(MoveCause::GroupStalled));
+    assert_eq!(move_cause(&later, &options(900.0, OTHER), UnixMillis(1_000)), None);
+    assert_eq!(move_cause(&later, &options(900.0, OTHER), UnixMillis(1_100)), Some(MoveCause::GroupStalled));
 }
 
 #[test]
 fn nothing_is_moved_that_cannot_begin_elsewhere_before_its_deadline() {
     let short = PendingSend { deadline: UnixDeadline(UnixMillis(400)), ..send(0) };
-    assert_eq!(move_cause(&short, &ways(USUAL_PASS, OTHER), UnixMillis(300)), None);
+    assert_eq!(move_cause(&short, &options(USUAL_PASS, OTHER), UnixMillis(300)), None);
 }
--- a/crates/porthoist-policy/tests/policy/needs.rs
+++ b/crates/porthoist-policy/tests/policy/needs.rs
@@ -1,9 +1,9 @@
 //! Backpressure from targets: limits across all entries, how they end, and what callers get.
 
-use crate::needy_fleet::{EntryCount, FleetReport, FleetSettings, PlayedNeed, play};
+use crate::needy_fleet::{EntryCount, FleetReport, FleetSettings, SimulatedLimit, simulate};
 use porthoist_core::{RequestRate, ServiceName, StartMillis, UnixDeadline, UnixMillis};
 use porthoist_policy::proxy::backpressure::{
-    BackpressureChange, BackpressureSignals, ObservedChange, SignalValue, TargetNeed,
+    BackpressureChange, BackpressureSignals, ObservedChange, SignalValue, TargetBackpressure,
 };
 use porthoist_policy::proxy::balancer::{BalancerSettings, LoadBalancer, RequestWork};
 use porthoist_policy::proxy::cold::ColdStatus;
@@ -23,8 +23,8 @@
     (6.0 * limit + 5.0).floor() as usize
 }
 
-fn needs(targets: usize, limit: f64, from: u64, until: u64) -> Vec<PlayedNeed> {
-    (0..targets).map(|target| PlayedNeed { target, limit, from, until }).collect()
+fn needs(targets: usize, limit: f64, from: u64, until: u64) -> Vec<SimulatedLimit> {
+    (0..targets).map(|target| SimulatedLimit { target, limit, from, until }).collect()
 }
 
 /// Ten requests a second at each entry.
@@ -32,7 +32,7 @@
     10.0 * entries as f64
 }
 
-fn most(report: &FleetReport, needs: &[PlayedNeed]) -> usize {
+fn most(report: &FleetReport, needs: &[SimulatedLimit]) -> usize {
     needs.iter().map(|need| report.most(*need)).max().unwrap()
 }
 
@@ -51,7 +51,7 @@
         let limited = needs(TARGETS, limit, 2_000, 30_000);
         let settings = FleetSettings::builder().entries(entries).zones(zones).targets(TARGETS);
         let settings = settings.rate(rate(entries)).needs(limited.clone()).millis(30_000).build();
-        let report = play(&settings);
+        let report = simulate(&settings);
         let most = most(&report, &limited);
         assert!(most <= allowed(limit), "limit {limit}: {most} in 4 s");
         let (used, all) = (used(&report, 10_000, 28_000), TARGETS as f64 * limit);
@@ -70,7 +70,7 @@
         let settings = FleetSettings::builder().entries(42).zones(3).targets(TARGETS).rate(rate(42));
         let settings = settings.needs(limited.clone()).millis(40_000).seed(seed).count(count);
         let settings = settings.frozen(frozen).restarts(restarts).clocks_apart(clocks_apart).build();
-        let most = most(&play(&settings), &limited);
+        let most = most(&simulate(&settings), &limited);
         assert!(most <= allowed(1.0), "seed {seed}: {most} in 4 s");
     }
 }
@@ -81,7 +81,7 @@
     let limited = needs(TARGETS, 1.0, 2_000, 40_000);
     let settings = FleetSettings::builder().entries(42).zones(1).targets(TARGETS).rate(rate(42));
     let settings = settings.needs(limited.clone()).millis(40_000).count(EntryCount::Alone).build();
-    assert!(most(&play(&settings), &limited) > 2 * allowed(1.0));
+    assert!(most(&simulate(&settings), &limited) > 2 * allowed(1.0));
 }
 
 /// While some targets announce limits, the others take the load, and the limited ones get an occasional
@@ -96,7 +96,7 @@
     let limited = needs(2, 1.0, 2_000, 22_000);
     let settings = FleetSettings::builder().entries(entries).zones(zones).targets(TARGETS);
     let settings = settings.rate(rate(entries)).needs(limited.clone()).millis(24_000 + back_by).build();
-    let report = play(&settings);
+    let report = simulate(&settings);
     assert_eq!(report.refused, 0);
     for need in limited {
         let asked = report.most(need);
@@ -107,34 +107,34 @@
     }
 }
 
-fn word(limit: SignalValue<RequestRate>, certain: bool) -> BackpressureSignals {
-    BackpressureSignals { limit, matches_request: certain, ..BackpressureSignals::default() }
+fn signals(limit: SignalValue<RequestRate>, matches_request: bool) -> BackpressureSignals {
+    BackpressureSignals { limit, matches_request, ..BackpressureSignals::default() }
 }
 
 fn named(rate: f64) -> SignalValue<RequestRate> {
     SignalValue::Present(RequestRate(rate))
 }
 
-#[test_case(word(named(2.0), false), Some(2.0); "another limit")]
-#[test_case(word(SignalValue::Absent, true), None; "an answer without one")]
-#[test_case(word(SignalValue::Absent, false), Some(1.0); "an answer that names no request")]
-#[test_case(word(SignalValue::Unreadable, true), Some(1.0); "a value that can't be read")]
+#[test_case(signals(named(2.0), false), Some(2.0); "another limit")]
+#[test_case(signals(SignalValue::Absent, true), None; "an answer without one")]
+#[test_case(signals(SignalValue::Absent, false), Some(1.0); "an answer that names no request")]
+#[test_case(signals(SignalValue::Unreadable, true), Some(1.0); "a value that can't be read")]
 fn a_limit_is_what_the_last_certain_answer_said(then: BackpressureSignals, limit: Option<f64>) {
-    let mut need = TargetNeed::default();
-    need.take(&word(named(1.0), true), UnixMillis(1_000), 0.0, UnixMillis(1_000));
-    need.take(&then, UnixMillis(2_000), 0.0, UnixMillis(2_000));
-    assert_eq!(need.limit().map(|limit| limit.rate.0), limit);
+    let mut state = TargetBackpressure::default();
+    state.apply_signals(&signals(named(1.0), true), UnixMillis(1_000), 0.0, UnixMillis(1_000));
+    state.apply_signals(&then, UnixMillis(2_000), 0.0, UnixMillis(2_000));
+    assert_eq!(state.limit().map(|limit| limit.rate.0), limit);
 }
 
 #[test]
 fn an_answer_to_a_request_from_before_a_limit_was_named_does_not_end_it() {
-    let mut need = TargetNeed::default();
-    let (answer, now) = (word(SignalValue::Absent, true), UnixMillis);
-    need.take(&word(named(1.0), true), now(900), 0.0, now(1_000));
-    need.take(&answer, now(950), 0.0, now(6_000));
-    assert!(need.limit().is_some(), "it may have been made before as well");
-    need.take(&answer, now(1_000), 0.0, now(6_100));
-    assert!(need.limit().is_none());
+    let mut state = TargetBackpressure::default();
+    let (answer, now) = (signals(SignalValue::Absent, true), UnixMillis);
+    state.apply_signals(&signals(named(1.0), true), now(900), 0.0, now(1_000));
+    state.apply_signals(&answer, now(950), 0.0, now(6_000));
+    assert!(state.limit().is_some(), "it may have been made before as well");
+    state.apply_signals(&answer, now(1_000), 0.0, now(6_100));
+    assert!(state.limit().is_none());
 }
 
 fn note(limit: Option<f64>, as_of: u64) -> TargetNote {
@@ -147,38 +147,38 @@
 #[test_case((None, 11_500), None; "its end")]
 #[test_case((None, 10_500), Some(1.0); "an end that may be older than it seems")]
 fn what_others_tell_counts_if_it_is_newer(told: (Option<f64>, u64), limit: Option<f64>) {
-    let mut need = TargetNeed::default();
-    need.take(&word(named(1.0), true), UnixMillis(9_990), 0.0, UnixMillis(10_000));
-    need.take_note(&note(told.0, told.1), UnixMillis(12_000));
-    assert_eq!(need.limit().map(|limit| limit.rate.0), limit);
+    let mut state = TargetBackpressure::default();
+    state.apply_signals(&signals(named(1.0), true), UnixMillis(9_990), 0.0, UnixMillis(10_000));
+    state.apply_note(&note(told.0, told.1), UnixMillis(12_000));
+    assert_eq!(state.limit().map(|limit| limit.rate.0), limit);
 }
 
 #[test]
 fn others_know_a_limit_before_the_target_has_named_it_to_them() {
-    let mut need = TargetNeed::default();
-    let noted = need.take_note(&note(Some(1.0), 10_000), UnixMillis(11_000)).unwrap();
+    let mut state = TargetBackpressure::default();
+    let noted = state.apply_note(&note(Some(1.0), 10_000), UnixMillis(11_000)).unwrap();
     assert_eq!(noted.change, BackpressureChange::Limited(RequestRate(1.0)));
-    assert!(!need.unheard(UnixMillis(13_000)), "another one has asked it just now");
+    assert!(!state.needs_recheck(UnixMillis(13_000)), "another one has asked it just now");
 }
 
 #[test]
 fn a_note_keeps_its_age_on_hosts_with_other_clocks_and_is_told_for_a_while() {
-    let mut board = NoteStore::default();
-    board.take(note(Some(1.0), 100_000).aged(UnixMillis(100_400)).to_local(UnixMillis(7_400)));
-    assert_eq!(board.current(UnixMillis(7_500)), [note(Some(1.0), 7_000)]);
-    board.take(note(None, 6_000));
-    assert_eq!(board.current(UnixMillis(8_000)), [note(Some(1.0), 7_000)], "an older one changes nothing");
-    assert_eq!(board.current(UnixMillis(15_000)), []);
+    let mut store = NoteStore::default();
+    store.take(note(Some(1.0), 100_000).aged(UnixMillis(100_400)).to_local(UnixMillis(7_400)));
+    assert_eq!(store.current(UnixMillis(7_500)), [note(Some(1.0), 7_000)]);
+    store.take(note(None, 6_000));
+    assert_eq!(store.current(UnixMillis(8_000)), [note(Some(1.0), 7_000)], "an older one changes nothing");
+    assert_eq!(store.current(UnixMillis(15_000)), []);
 }
 
 #[test]
 fn changes_in_quick_succession_are_counted_and_rarely_logged() {
-    let mut need = TargetNeed::default();
-    let words = [word(named(1.0), true), word(SignalValue::Absent, true)];
+    let mut state = TargetBackpressure::default();
+    let answers = [signals(named(1.0), true), signals(SignalValue::Absent, true)];
     let changes: Vec<ObservedChange> = (0..100)
         .flat_map(|step| {
-            need.take(
-                &words[step % 2],
+            state.apply_signals(
+                &answers[step % 2],
                 UnixMillis(10_000 + 9 * step as u64),
                 0.0,
                 UnixMillis(10_000 + 9 * step as u64),
@@ -203,37 +203,42 @@
     }
 }
 
-fn board(book: &TargetRegistry) -> LoadBalancer {
+fn balancer(registry: &TargetRegistry) -> LoadBalancer {
     let settings = BalancerSettings::builder().zone("a".parse().unwrap()).per_rank(3).rank_limit(12).seed(1);
-    let mut board = LoadBalancer::new(settings.build());
-    board.sync(book);
-    board
+    let mut balancer = LoadBalancer::new(settings.build());
+    balancer.sync(registry);
+    balancer
 }
 
 /// Whether the only target gets a request without a rate limit.
-fn gets_one(board: &mut LoadBalancer, now: u64) -> bool {
+fn gets_one(balancer: &mut LoadBalancer, now: u64) -> bool {
     let work = RequestWork::default();
-    let chosen = board.choose(&"s".parse().unwrap(), true, work, &[], UnixMillis(now));
+    let chosen = balancer.choose(&"s".parse().unwrap(), true, work, &[], UnixMillis(now));
     chosen.is_some_and(|chosen| chosen.rate.is_none())
 }
 
 #[test]
 fn neither_a_listing_nor_a_report_lifts_a_limit_and_a_new_life_has_none() {
-    let mut book = TargetRegistry::default();
-    book.apply_listing([record(1)], None);
-    let mut board = board(&book);
-    assert!(gets_one(&mut board, 1_000));
-    board.told(&record(1).life(), &word(named(0.0), true), UnixMillis(1_100), UnixMillis(1_100));
-    assert!(!gets_one(&mut board, 1_200));
-    book.apply_listing([record(1)], None);
-    board.sync(&book);
+    let mut registry = TargetRegistry::default();
+    registry.apply_listing([record(1)], None);
+    let mut balancer = balancer(&registry);
+    assert!(gets_one(&mut balancer, 1_000));
+    balancer.apply_signals(
+        &record(1).life(),
+        &signals(named(0.0), true),
+        UnixMillis(1_100),
+        UnixMillis(1_100),
+    );
+    assert!(!gets_one(&mut balancer, 1_200));
+    registry.apply_listing([record(1)], None);
+    balancer.sync(&registry);
     let rank = RankLoad { host: "10.0.0.1".parse().unwrap(), requests: 1, silent: false };
     let loads = GroupLoads { ranks: vec![rank], ..GroupLoads::default() };
-    board.take_loads(&loads, UnixMillis(1_300));
-    assert!(!gets_one(&mut board, 1_400));
-    book.apply_changes(vec![record(2).into()], None);
-    board.sync(&book);
-    assert!(gets_one(&mut board, 1_500));
+    balancer.update_loads(&loads, UnixMillis(1_300));
+    assert!(!gets_one(&mut balancer, 1_400));
+    registry.apply_changes(vec![record(2).into()], None);
+    balancer.sync(&registry);
+    assert!(gets_one(&mut balancer, 1_500));
 }
 
 fn rest(millis: u64) -> BackpressureSignals {
@@ -242,13 +247,13 @@
 
 #[test]
 fn a_rest_lasts_until_its_end_whatever_is_said_meanwhile() {
-    let mut need = TargetNeed::default();
-    let mut take = |word: BackpressureSignals, at| {
-        let changes = need.take(&word, UnixMillis(at), 0.0, UnixMillis(at));
+    let mut state = TargetBackpressure::default();
+    let mut take = |signals: BackpressureSignals, at| {
+        let changes = state.apply_signals(&signals, UnixMillis(at), 0.0, UnixMillis(at));
         let changes: Vec<&str> = changes.iter().map(|noted| noted.change.as_str()).collect();
-        (changes.join(" "), need.rest(UnixMillis(at)).map(|until| until.0.0))
+        (changes.join(" "), state.rest(UnixMillis(at)).map(|until| until.0.0))
     };
-    let answer = word(SignalValue::Absent, true);
+    let answer = signals(SignalValue::Absent, true);
     assert_eq!(take(rest(3_000), 1_000), ("resting".to_owned(), Some(4_000)));
     assert_eq!(take(rest(500), 1_100), (String::new(), Some(4_000)), "a shorter one does not end it");
     assert_eq!(take(answer, 1_200), (String::new(), Some(4_000)), "nor does an answer to an earlier request");
@@ -259,74 +264,83 @@
 #[test]
 fn rests_end_at_different_moments_for_different_processes() {
     let end = |spread: f64| {
-        let mut need = TargetNeed::default();
-        need.take(&rest(3_000), UnixMillis(0), spread, UnixMillis(0));
-        need.rest(UnixMillis(1)).unwrap().0.0
+        let mut state = TargetBackpressure::default();
+        state.apply_signals(&rest(3_000), UnixMillis(0), spread, UnixMillis(0));
+        state.rest(UnixMillis(1)).unwrap().0.0
     };
     assert_eq!((end(0.0), end(0.5), end(1.0)), (3_000, 3_150, 3_300));
 }
 
 #[test]
 fn a_target_whose_row_lapses_and_returns_still_rests() {
-    let mut book = TargetRegistry::default();
-    book.apply_listing([record(1)], None);
-    let mut board = board(&book);
-    board.told(&record(1).life(), &rest(3_000), UnixMillis(1_000), UnixMillis(1_000));
-    board.sync(&TargetRegistry::default());
-    board.sync(&book);
-    assert!(!gets_one(&mut board, 2_000));
-    assert!(gets_one(&mut board, 4_500));
+    let mut registry = TargetRegistry::default();
+    registry.apply_listing([record(1)], None);
+    let mut balancer = balancer(&registry);
+    balancer.apply_signals(&record(1).life(), &rest(3_000), UnixMillis(1_000), UnixMillis(1_000));
+    balancer.sync(&TargetRegistry::default());
+    balancer.sync(&registry);
+    assert!(!gets_one(&mut balancer, 2_000));
+    assert!(gets_one(&mut balancer, 4_500));
 }
 
 #[test]
 fn a_target_that_leaves_is_gone_for_this_life() {
-    let mut book = TargetRegistry::default();
-    book.apply_listing([record(1)], None);
-    let mut board = board(&book);
+    let mut registry = TargetRegistry::default();
+    registry.apply_listing([record(1)], None);
+    let mut balancer = balancer(&registry);
     let leaving = BackpressureSignals { leaving: true, ..BackpressureSignals::default() };
-    board.told(&record(1).life(), &leaving, UnixMillis(1_000), UnixMillis(1_000));
-    board.told(&record(1).life(), &word(SignalValue::Absent, true), UnixMillis(1_100), UnixMillis(1_100));
-    assert!(!gets_one(&mut board, 60_000), "an answer to an earlier request does not take it back");
-    board.sync(&TargetRegistry::default());
-    board.sync(&book);
-    assert!(!gets_one(&mut board, 61_000), "nor does its row");
-    assert_eq!(board.rest_end(&"s".parse().unwrap(), UnixMillis(61_000)), None);
-    book.apply_changes(vec![record(2).into()], None);
-    board.sync(&book);
-    assert!(gets_one(&mut board, 62_000), "another life is another target");
+    balancer.apply_signals(&record(1).life(), &leaving, UnixMillis(1_000), UnixMillis(1_000));
+    balancer.apply_signals(
+        &record(1).life(),
+        &signals(SignalValue::Absent, true),
+        UnixMillis(1_100),
+        UnixMillis(1_100),
+    );
+    assert!(!gets_one(&mut balancer, 60_000), "an answer to an earlier request does not take it back");
+    balancer.sync(&TargetRegistry::default());
+    balancer.sync(&registry);
+    assert!(!gets_one(&mut balancer, 61_000), "nor does its row");
+    assert_eq!(balancer.rest_end(&"s".parse().unwrap(), UnixMillis(61_000)), None);
+    registry.apply_changes(vec![record(2).into()], None);
+    balancer.sync(&registry);
+    assert!(gets_one(&mut balancer, 62_000), "another life is another target");
 }
 
 #[test]
 fn those_that_wait_are_refused_once_all_targets_rest() {
-    let mut book = TargetRegistry::default();
-    book.apply_listing([record(1)], None);
+    let mut registry = TargetRegistry::default();
+    registry.apply_listing([record(1)], None);
     let settings = BalancerSettings::builder().zone("a".parse().unwrap()).per_rank(3).rank_limit(12).seed(1);
-    let mut desk: RequestScheduler<&str> = RequestScheduler::new(settings.build());
-    desk.sync(&book);
+    let mut scheduler: RequestScheduler<&str> = RequestScheduler::new(settings.build());
+    scheduler.sync(&registry);
     let service: ServiceName = "s".parse().unwrap();
-    desk.enqueue(demand(&service, 1_000), "waits");
-    assert!(desk.take_unservable(&service, UnixMillis(1_100)).is_empty());
-    desk.apply_signals(&record(1).life(), &rest(2_000), UnixMillis(1_150), UnixMillis(1_200));
-    assert_eq!(desk.take_unservable(&service, UnixMillis(1_200)), ["waits"]);
-    assert_eq!(desk.refusal(&service, UnixMillis(1_200)).to_string(), "the targets rest");
+    scheduler.enqueue(slot_request(&service, 1_000), "waits");
+    assert!(scheduler.take_unservable(&service, UnixMillis(1_100)).is_empty());
+    scheduler.apply_signals(&record(1).life(), &rest(2_000), UnixMillis(1_150), UnixMillis(1_200));
+    assert_eq!(scheduler.take_unservable(&service, UnixMillis(1_200)), ["waits"]);
+    assert_eq!(scheduler.refusal(&service, UnixMillis(1_200)).to_string(), "the targets rest");
 }
 
 #[test]
 fn a_place_given_before_a_target_asks_for_less_no_longer_stands() {
-    let mut book = TargetRegistry::default();
-    book.apply_listing([record(1)], None);
-    for (word, stands) in
-        [(word(named(1.0), true), false), (rest(2_000), false), (word(SignalValue::Absent, true), true)]
+    let mut registry = TargetRegistry::default();
+    registry.apply_listing([record(1)], None);
+    for (signals, stands) in
+        [(signals(named(1.0), true), false), (rest(2_000), false), (signals(SignalValue::Absent, true), true)]
     {
-        let mut board = board(&book);
+        let mut balancer = balancer(&registry);
         let work = RequestWork::default();
-        let chosen = board.choose(&"s".parse().unwrap(), true, work, &[], UnixMillis(900)).unwrap();
-        board.told(&record(1).life(), &word, UnixMillis(1_000), UnixMillis(1_000));
-        assert_eq!(board.stands(&chosen.record.life(), chosen.rate, UnixMillis(1_100)), stands, "{word:?}");
+        let chosen = balancer.choose(&"s".parse().unwrap(), true, work, &[], UnixMillis(900)).unwrap();
+        balancer.apply_signals(&record(1).life(), &signals, UnixMillis(1_000), UnixMillis(1_000));
+        assert_eq!(
+            balancer.is_still_valid(&chosen.record.life(), chosen.rate, UnixMillis(1_100)),
+            stands,
+            "{signals:?}"
+        );
     }
 }
 
-fn demand(service: &ServiceName, at: u64) -> SlotRequest {
+fn slot_request(service: &ServiceName, at: u64) -> SlotRequest {
     SlotRequest {
         service: service.clone(),
         ranked: true,
@@ -344,57 +358,59 @@
 /// return when the first one ends.
 #[test]
 fn where_all_rest_callers_are_told_when_the_first_rest_ends() {
-    let mut book = TargetRegistry::default();
-    book.apply_listing([record(1)], None);
+    let mut registry = TargetRegistry::default();
+    registry.apply_listing([record(1)], None);
     let settings = BalancerSettings::builder().zone("a".parse().unwrap()).per_rank(3).rank_limit(12).seed(1);
-    let mut desk: RequestScheduler<()> = RequestScheduler::new(settings.build());
-    desk.sync(&book);
+    let mut scheduler: RequestScheduler<()> = RequestScheduler::new(settings.build());
+    scheduler.sync(&registry);
     let service: ServiceName = "s".parse().unwrap();
-    let ask =
-        |desk: &mut RequestScheduler<()>, at: u64| match desk.decide(&demand(&service, at), UnixMillis(at)) {
-            SlotDecision::Assign(_chosen) => "placed".to_owned(),
-            SlotDecision::Wait(_until) => "waits".to_owned(),
-            SlotDecision::Refuse(error) => error.to_string(),
-        };
-    desk.apply_signals(&record(1).life(), &rest(2_000), UnixMillis(1_000), UnixMillis(1_000));
-    assert_eq!(ask(&mut desk, 1_500), "the targets rest");
-    let told = desk.retry_after_millis(&service, UnixDeadline(UnixMillis(10_500)), 0.0, UnixMillis(1_500));
+    let ask = |scheduler: &mut RequestScheduler<()>, at: u64| match scheduler
+        .decide(&slot_request(&service, at), UnixMillis(at))
+    {
+        SlotDecision::Assign(_chosen) => "placed".to_owned(),
+        SlotDecision::Wait(_until) => "waits".to_owned(),
+        SlotDecision::Refuse(error) => error.to_string(),
+    };
+    scheduler.apply_signals(&record(1).life(), &rest(2_000), UnixMillis(1_000), UnixMillis(1_000));
+    assert_eq!(ask(&mut scheduler, 1_500), "the targets rest");
+    let told =
+        scheduler.retry_after_millis(&service, UnixDeadline(UnixMillis(10_500)), 0.0, UnixMillis(1_500));
     assert!((1_500..=3_000).contains(&told), "{told}");
-    assert_eq!(ask(&mut desk, 3_300), "placed");
+    assert_eq!(ask(&mut scheduler, 3_300), "placed");
 }
 
-fn place(index: u32, entries: u32) -> EntryPosition {
+fn position(index: u32, entries: u32) -> EntryPosition {
     EntryPosition { index, entries }
 }
 
 #[test]
 fn entries_are_counted_once_all_have_asked() {
-    let mut roll = EntryRoster::default();
-    let mut ask = |entry: u64, at: u64| roll.record_query(EntryId(entry), UnixMillis(at));
+    let mut roster = EntryRoster::default();
+    let mut ask = |entry: u64, at: u64| roster.record_query(EntryId(entry), UnixMillis(at));
     assert_eq!(ask(5, 100_000), None);
     assert_eq!(ask(9, 101_000), None, "others may not have asked yet");
-    assert_eq!(ask(5, 103_000), Some(place(0, 2)));
-    assert_eq!(ask(7, 104_000), Some(place(1, 3)));
-    assert_eq!(ask(7, 105_000), Some(place(1, 3)), "an entry that began anew is the same");
-    assert_eq!(ask(5, 112_000), Some(place(0, 2)), "one that asks no more is gone after 10 s");
+    assert_eq!(ask(5, 103_000), Some(position(0, 2)));
+    assert_eq!(ask(7, 104_000), Some(position(1, 3)));
+    assert_eq!(ask(7, 105_000), Some(position(1, 3)), "an entry that began anew is the same");
+    assert_eq!(ask(5, 112_000), Some(position(0, 2)), "one that asks no more is gone after 10 s");
     assert_eq!(ask(5, 140_000), None, "a process that stood still counts anew");
 }
 
 #[test]
 fn fewer_entries_are_believed_in_after_a_while() {
-    let mut believed = PositionTracker::default();
+    let mut tracker = PositionTracker::default();
     let mut told = |place, at| {
-        believed.update(place, UnixMillis(at));
-        believed.place()
+        tracker.update(place, UnixMillis(at));
+        tracker.place()
     };
     assert_eq!(told(None, 1_000), None);
-    assert_eq!(told(Some(place(1, 14)), 2_000), Some(place(1, 14)));
+    assert_eq!(told(Some(position(1, 14)), 2_000), Some(position(1, 14)));
     assert_eq!(
-        told(Some(place(0, 2)), 3_000),
-        Some(place(1, 14)),
+        told(Some(position(0, 2)), 3_000),
+        Some(position(1, 14)),
         "entries ask another process, one after the other"
     );
-    assert_eq!(told(None, 4_000), Some(place(1, 14)), "that process counts anew");
-    assert_eq!(told(Some(place(1, 15)), 5_000), Some(place(1, 15)));
-    assert_eq!(told(Some(place(0, 2)), 35_000), Some(place(0, 2)));
+    assert_eq!(told(None, 4_000), Some(position(1, 14)), "that process counts anew");
+    assert_eq!(told(Some(position(1, 15)), 5_000), Some(position(1, 15)));
+    assert_eq!(told(Some(position(0, 2)), 35_000), Some(position(0, 2)));
 }
--- a/crates/porthoist-policy/tests/policy/needy_fleet.rs
+++ b/crates/porthoist-policy/tests/policy/needy_fleet.rs
@@ -30,7 +30,7 @@
 
 /// A limit that one target announces for some time.
 #[derive(Debug, Clone, Copy)]
-pub struct PlayedNeed {
+pub struct SimulatedLimit {
     pub target: usize,
     /// Requests a second.
     pub limit: f64,
@@ -57,7 +57,7 @@
     pub targets: usize,
     /// Requests a second of all callers.
     pub rate: f64,
-    pub needs: Vec<PlayedNeed>,
+    pub needs: Vec<SimulatedLimit>,
     pub millis: u64,
     #[builder(default = EntryCount::Known)]
     pub count: EntryCount,
@@ -119,7 +119,7 @@
 impl FleetReport {
     /// Maximum number of requests that a target got in any 4 s, starting 3 s after it announced its
     /// limit, from entries that had heard the limit from it.
-    pub fn most(&self, need: PlayedNeed) -> usize {
+    pub fn most(&self, need: SimulatedLimit) -> usize {
         let counted = self.arrivals[need.target].iter().filter(|arrival| arrival.told);
         let times: Vec<u64> = counted.map(|arrival| arrival.at).collect();
         let within = |from: &u64| times.iter().filter(|at| **at >= *from && **at < from + 4_000).count();
@@ -134,8 +134,8 @@
     }
 }
 
-struct PlayedEntry {
-    desk: RequestScheduler<u64>,
+struct SimulatedEntry {
+    scheduler: RequestScheduler<u64>,
     clock_ahead: u64,
     frozen_until: u64,
     /// Notes to pass on to the other entries of its zone.
@@ -147,8 +147,8 @@
 
 struct Fleet {
     settings: FleetSettings,
-    entries: Vec<PlayedEntry>,
-    book: TargetRegistry,
+    entries: Vec<SimulatedEntry>,
+    registry: TargetRegistry,
     targets: BTreeMap<TargetLife, usize>,
     service: ServiceName,
     /// Notes that the entries of each zone have passed on.
@@ -164,7 +164,7 @@
 }
 
 /// Runs a simulation.
-pub fn play(settings: &FleetSettings) -> FleetReport {
+pub fn simulate(settings: &FleetSettings) -> FleetReport {
     let mut fleet = Fleet::new(settings.clone());
     fleet.at(0, FleetEvent::Caller);
     for entry in (0..settings.entries).filter(|_entry| settings.shared) {
@@ -199,12 +199,12 @@
         });
         let records: Vec<TargetRecord> = records.collect();
         let targets = records.iter().enumerate().map(|(index, record)| (record.life(), index)).collect();
-        let mut book = TargetRegistry::default();
-        book.apply_listing(records, None);
+        let mut registry = TargetRegistry::default();
+        registry.apply_listing(records, None);
         let report = FleetReport { arrivals: vec![Vec::new(); settings.targets], ..FleetReport::default() };
         let mut fleet = Self {
             entries: Vec::new(),
-            book,
+            registry,
             targets,
             service,
             zones: vec![NoteStore::default(); settings.zones],
@@ -218,23 +218,23 @@
         fleet
     }
 
-    fn entry(&mut self, index: usize, life: u64) -> PlayedEntry {
+    fn entry(&mut self, index: usize, life: u64) -> SimulatedEntry {
         let (zones, entries) = (self.settings.zones, self.settings.entries);
         let zone = index % zones;
         let in_zone = (entries - zone).div_ceil(zones) as u32;
-        let place = match self.settings.count {
+        let position = match self.settings.count {
             EntryCount::Known => Some(EntryPosition { index: (index / zones) as u32, entries: in_zone }),
             EntryCount::Unknown => None,
             EntryCount::Alone => Some(EntryPosition { index: 0, entries: 1 }),
         };
         let settings = BalancerSettings::builder().zone(zone_name(zone)).per_rank(3).rank_limit(12);
-        let mut desk = RequestScheduler::new(settings.seed(index as u64).build());
-        desk.sync(&self.book);
-        desk.set_entry_position(place);
+        let mut scheduler = RequestScheduler::new(settings.seed(index as u64).build());
+        scheduler.sync(&self.registry);
+        scheduler.set_entry_position(position);
         let clock_ahead = self.random.random_range(0..=self.settings.clocks_apart);
         let frozen_until = if index < self.settings.frozen { 12_000 } else { 0 };
-        PlayedEntry {
-            desk,
+        SimulatedEntry {
+            scheduler,
             clock_ahead,
             frozen_until,
             notes: NoteStore::default(),
@@ -277,7 +277,7 @@
             self.zones[zone].take(note.aged(now).to_local(zone_now));
         }
         for note in self.zones[zone].current(zone_now) {
-            self.entries[entry].desk.apply_note(&note.aged(zone_now).to_local(now), now);
+            self.entries[entry].scheduler.apply_note(&note.aged(zone_now).to_local(now), now);
         }
     }
 
@@ -291,7 +291,7 @@
         let at = if frozen { self.entries[entry].frozen_until } else { at };
         let now = self.clock(entry, at);
         let priority = u8::from(self.random.random::<f64>() > 0.2) + 1;
-        let demand = SlotRequest {
+        let request = SlotRequest {
             service: self.service.clone(),
             ranked: false,
             work: RequestWork::default(),
@@ -302,11 +302,11 @@
             deadline: UnixDeadline::after(now, PATIENCE),
             class: QueueClass::First,
         };
-        let desk = &mut self.entries[entry].desk;
-        match desk.decide(&demand, now) {
+        let scheduler = &mut self.entries[entry].scheduler;
+        match scheduler.decide(&request, now) {
             SlotDecision::Assign(chosen) => self.send(entry, &chosen, priority, at),
             SlotDecision::Wait(_until) => {
-                desk.enqueue(demand, at + LATENCY);
+                scheduler.enqueue(request, at + LATENCY);
                 self.next_turn(entry, at);
             }
             SlotDecision::Refuse(error) => {
@@ -318,7 +318,7 @@
 
     fn next_turn(&mut self, entry: usize, at: u64) {
         let now = self.clock(entry, at);
-        if let Some(turn) = self.entries[entry].desk.next_turn(&self.service, now) {
+        if let Some(turn) = self.entries[entry].scheduler.next_turn(&self.service, now) {
             self.at(at + turn.0.since(now), FleetEvent::Turn { entry });
         }
     }
@@ -327,11 +327,11 @@
         let now = self.clock(entry, at);
         let waits = |until: &u64| *until > at;
         while let Some((_until, chosen, _work)) =
-            self.entries[entry].desk.next_ready(&self.service, waits, now)
+            self.entries[entry].scheduler.next_ready(&self.service, waits, now)
         {
             self.send(entry, &chosen, 0, at);
         }
-        if self.entries[entry].desk.waiting() > 0 {
+        if self.entries[entry].scheduler.waiting() > 0 {
             self.next_turn(entry, at);
         }
     }
@@ -356,15 +356,15 @@
             .iter()
             .find(|need| need.target == target && (need.from..need.until).contains(&at));
         let limit = named.map_or(SignalValue::Absent, |need| SignalValue::Present(RequestRate(need.limit)));
-        let word = BackpressureSignals { limit, matches_request: true, ..BackpressureSignals::default() };
+        let signals = BackpressureSignals { limit, matches_request: true, ..BackpressureSignals::default() };
         let (clock_sent, now) = (self.clock(entry, sent), self.clock(entry, at));
-        let record = self.book.records().find(|record| self.targets[&record.life()] == target);
+        let record = self.registry.records().find(|record| self.targets[&record.life()] == target);
         let target_life = record.expect("targets stay").life();
         let played = &mut self.entries[entry];
         if named.is_some() {
             played.told.entry(target).or_insert(at);
         }
-        let changes = played.desk.apply_signals(&target_life, &word, clock_sent, now);
+        let changes = played.scheduler.apply_signals(&target_life, &signals, clock_sent, now);
         let lifted = changes.iter().any(|noted| matches!(noted.change, BackpressureChange::Lifted(_)));
         let limit = named.map(|need| RequestRate(need.limit));
         if limit.is_some() || lifted {
@@ -372,7 +372,7 @@
             played.notes.take(TargetNote { life: target_life.clone(), limit, as_of });
         }
         let outcome = SendOutcome::Answered((at - sent) as f64);
-        played.desk.ended(&self.service, &target_life, RequestWork::default(), outcome, at - sent, now);
+        played.scheduler.ended(&self.service, &target_life, RequestWork::default(), outcome, at - sent, now);
         self.serve_waiting(entry, at);
     }
 }
--- a/crates/porthoist-policy/tests/policy/pass_time.rs
+++ b/crates/porthoist-policy/tests/policy/pass_time.rs
@@ -5,15 +5,15 @@
 use porthoist_policy::roll_forward::{GroupEpoch, RankPace};
 use porthoist_policy::switch::StepNumber;
 
-fn seen(epoch: u32, step: u32, working: bool) -> GroupSample {
-    GroupSample { epoch: GroupEpoch(epoch), step: StepNumber(step), busy: working, slowest: RankPace::USUAL }
+fn sample(epoch: u32, step: u32, busy: bool) -> GroupSample {
+    GroupSample { epoch: GroupEpoch(epoch), step: StepNumber(step), busy, slowest: RankPace::USUAL }
 }
 
 /// A timer that has observed these steps of one formation, each at its time.
 fn timer(readings: &[(u32, u64)]) -> PassTimer {
     let mut timer = PassTimer::default();
     for (step, at) in readings {
-        timer.observe(seen(1, *step, true), UnixMillis(*at));
+        timer.observe(sample(1, *step, true), UnixMillis(*at));
     }
     timer
 }
@@ -45,16 +45,16 @@
 #[test]
 fn an_idle_group_is_not_taken_for_a_slow_one() {
     let mut timer = timer(&[(10, 0), (11, 50)]);
-    timer.observe(seen(1, 11, false), UnixMillis(100));
-    timer.observe(seen(1, 11, true), UnixMillis(5_000));
-    timer.observe(seen(1, 12, true), UnixMillis(5_050));
+    timer.observe(sample(1, 11, false), UnixMillis(100));
+    timer.observe(sample(1, 11, true), UnixMillis(5_000));
+    timer.observe(sample(1, 12, true), UnixMillis(5_050));
     assert_eq!(timer.pass(UnixMillis(5_050)), GroupPass::Millis(50));
 }
 
 #[test]
 fn a_new_formation_counts_anew() {
     let mut timer = timer(&[(10, 0), (11, 50)]);
-    timer.observe(seen(2, 1, true), UnixMillis(4_000));
+    timer.observe(sample(2, 1, true), UnixMillis(4_000));
     assert_eq!(timer.pass(UnixMillis(4_010)), GroupPass::Millis(50));
 }
 
@@ -63,7 +63,7 @@
 #[test]
 fn a_group_that_was_held_and_left_is_as_good_as_usual() {
     let mut timer = timer(&[(10, 0), (11, 50), (12, 100), (13, 4_100)]);
-    timer.observe(seen(1, 13, false), UnixMillis(4_200));
+    timer.observe(sample(1, 13, false), UnixMillis(4_200));
     let GroupPass::Millis(millis) = timer.pass(UnixMillis(4_200)) else { panic!("passes were seen") };
     assert!(millis < 120, "{millis}");
 }
@@ -72,6 +72,6 @@
 #[test]
 fn an_idle_group_with_a_slow_rank_counts_as_slow() {
     let mut timer = timer(&[(10, 0), (11, 50), (12, 100)]);
-    timer.observe(GroupSample { slowest: RankPace(12_000), ..seen(1, 12, false) }, UnixMillis(150));
+    timer.observe(GroupSample { slowest: RankPace(12_000), ..sample(1, 12, false) }, UnixMillis(150));
     assert_eq!(timer.pass(UnixMillis(150)), GroupPass::Millis(600));
 }
