--- a/crates/porthoist-policy/tests/policy/proxy.rs
+++ b/crates/porthoist-policy/tests/policy/proxy.rs
@@ -11,7 +11,7 @@
 use porthoist_policy::proxy::targets::{
     AnswerGap, StalenessBound, TargetChange, TargetLife, TargetRecord, TargetRegistry, TargetState,
 };
-use porthoist_policy::proxy::waiting::{QueueClass, WaitList};
+use porthoist_policy::proxy::waiting::{QueueClass, WaitQueue};
 use std::collections::HashMap;
 use test_case::test_case;
 
@@ -141,67 +141,67 @@
 #[test]
 fn a_newer_life_at_an_address_ends_the_older_one() {
     let row = |id: &str| TargetRecord { id: name(id), ..record("t1", TargetState::Ready) };
-    let mut book = TargetRegistry::default();
-    book.apply_listing(vec![row("old"), row("newer"), record("t2", TargetState::Ready)], None);
-    assert_eq!(ids(&book), ["newer", "t2"]);
-    book.apply_changes(vec![TargetChange::Put(row("newest"))], None);
-    assert_eq!(ids(&book), ["newest", "t2"]);
+    let mut registry = TargetRegistry::default();
+    registry.apply_listing(vec![row("old"), row("newer"), record("t2", TargetState::Ready)], None);
+    assert_eq!(ids(&registry), ["newer", "t2"]);
+    registry.apply_changes(vec![TargetChange::Put(row("newest"))], None);
+    assert_eq!(ids(&registry), ["newest", "t2"]);
     // The end of the older row does not affect the newer one.
-    book.apply_changes(vec![TargetChange::Gone(name("newer"))], None);
-    assert_eq!(ids(&book), ["newest", "t2"]);
+    registry.apply_changes(vec![TargetChange::Gone(name("newer"))], None);
+    assert_eq!(ids(&registry), ["newest", "t2"]);
     // A row that expires while the table service is unavailable gets no grace if a newer life uses its
     // address.
-    book.apply_listing(vec![row("last")], Some(UnixDeadline(UnixMillis(100))));
-    assert_eq!(ids(&book), ["last", "t2"]);
+    registry.apply_listing(vec![row("last")], Some(UnixDeadline(UnixMillis(100))));
+    assert_eq!(ids(&registry), ["last", "t2"]);
 }
 
 /// Guards against a row from a backup ending the target that has since taken over its address.
 #[test]
 fn backup_row_does_not_end_newer_life_at_its_address() {
-    let mut book = TargetRegistry::default();
+    let mut registry = TargetRegistry::default();
     let row =
         |id: &str| TargetRecord { address: ([10, 0, 0, 9], 80).into(), ..record(id, TargetState::Ready) };
-    book.apply_listing(vec![row("t1")], None);
-    book.apply_changes(vec![row("t2").into()], None);
-    book.restored(UnixMillis(0));
-    book.apply_listing(vec![row("t1")], Some(UnixDeadline(UnixMillis(100))));
-    assert_eq!(ids(&book), ["t2"]);
-    book.apply_changes(vec![row("t2").into()], None);
-    book.apply_listing(vec![row("t1"), row("t2")], None);
-    assert_eq!(ids(&book), ["t2"]);
+    registry.apply_listing(vec![row("t1")], None);
+    registry.apply_changes(vec![row("t2").into()], None);
+    registry.restored(UnixMillis(0));
+    registry.apply_listing(vec![row("t1")], Some(UnixDeadline(UnixMillis(100))));
+    assert_eq!(ids(&registry), ["t2"]);
+    registry.apply_changes(vec![row("t2").into()], None);
+    registry.apply_listing(vec![row("t1"), row("t2")], None);
+    assert_eq!(ids(&registry), ["t2"]);
 }
 
-fn ids(book: &TargetRegistry) -> Vec<String> {
-    let mut ids: Vec<String> = book.records().map(|record| record.id.to_string()).collect();
+fn ids(registry: &TargetRegistry) -> Vec<String> {
+    let mut ids: Vec<String> = registry.records().map(|record| record.id.to_string()).collect();
     ids.sort();
     ids
 }
 
 #[test]
 fn a_row_that_is_missing_is_gone_at_once_in_calm_times() {
-    let mut book = TargetRegistry::default();
-    book.apply_listing(vec![record("t1", TargetState::Ready), record("t2", TargetState::Ready)], None);
-    book.apply_listing(vec![record("t1", TargetState::Ready)], None);
-    assert_eq!(ids(&book), ["t1"]);
-    book.apply_changes(vec![TargetChange::Gone(name("t1"))], None);
-    assert_eq!(ids(&book), Vec::<String>::new());
+    let mut registry = TargetRegistry::default();
+    registry.apply_listing(vec![record("t1", TargetState::Ready), record("t2", TargetState::Ready)], None);
+    registry.apply_listing(vec![record("t1", TargetState::Ready)], None);
+    assert_eq!(ids(&registry), ["t1"]);
+    registry.apply_changes(vec![TargetChange::Gone(name("t1"))], None);
+    assert_eq!(ids(&registry), Vec::<String>::new());
 }
 
 #[test]
 fn a_row_that_is_missing_after_an_outage_has_a_grace() {
     let grace = Some(UnixDeadline(UnixMillis(100)));
-    let mut book = TargetRegistry::default();
-    book.apply_listing(["t1", "t2", "t3"].map(|id| record(id, TargetState::Ready)), None);
-    book.apply_listing(vec![record("t1", TargetState::Ready)], grace);
-    book.apply_changes(vec![TargetChange::Gone(name("t1"))], grace);
-    assert_eq!(ids(&book), ["t1", "t2", "t3"]);
+    let mut registry = TargetRegistry::default();
+    registry.apply_listing(["t1", "t2", "t3"].map(|id| record(id, TargetState::Ready)), None);
+    registry.apply_listing(vec![record("t1", TargetState::Ready)], grace);
+    registry.apply_changes(vec![TargetChange::Gone(name("t1"))], grace);
+    assert_eq!(ids(&registry), ["t1", "t2", "t3"]);
     // A second listing does not extend the grace, and a row that is back needs none.
-    book.apply_listing(vec![record("t2", TargetState::Ready)], Some(UnixDeadline(UnixMillis(900))));
-    assert_eq!(book.expire(UnixMillis(99)), Vec::<TargetName>::new());
-    let mut expired = book.expire(UnixMillis(100));
+    registry.apply_listing(vec![record("t2", TargetState::Ready)], Some(UnixDeadline(UnixMillis(900))));
+    assert_eq!(registry.expire(UnixMillis(99)), Vec::<TargetName>::new());
+    let mut expired = registry.expire(UnixMillis(100));
     expired.sort();
     assert_eq!(expired, ["t1", "t3"].map(name::<TargetName>));
-    assert_eq!(ids(&book), ["t2"]);
+    assert_eq!(ids(&registry), ["t2"]);
 }
 
 /// The service returned at 10 s, and the last unanswered request was sent at 9.5 s. A target that left
@@ -224,68 +224,71 @@
     gap.grace(StalenessBound::default(), UnixMillis(now)).map(|end| end.0.0)
 }
 
-fn board(records: Vec<TargetRecord>) -> LoadBalancer {
-    let mut book = TargetRegistry::default();
-    book.apply_listing(records, None);
+fn balancer(records: Vec<TargetRecord>) -> LoadBalancer {
+    let mut registry = TargetRegistry::default();
+    registry.apply_listing(records, None);
     let settings = BalancerSettings::builder().zone(name("a")).per_rank(3).rank_limit(12).seed(1).build();
-    let mut board = LoadBalancer::new(settings);
-    board.sync(&book);
-    board
+    let mut balancer = LoadBalancer::new(settings);
+    balancer.sync(&registry);
+    balancer
 }
 
-fn choose(board: &mut LoadBalancer, now: u64) -> Option<String> {
+fn choose(balancer: &mut LoadBalancer, now: u64) -> Option<String> {
     let service: ServiceName = name("s");
-    let chosen = board.choose(&service, false, RequestWork::default(), &[], UnixMillis(now))?;
+    let chosen = balancer.choose(&service, false, RequestWork::default(), &[], UnixMillis(now))?;
     Some(chosen.record.id.to_string())
 }
 
 #[test]
 fn work_spreads_until_all_targets_are_full() {
-    let mut board = board(vec![record("t1", TargetState::Ready), record("t2", TargetState::Ready)]);
-    let mut chosen: Vec<String> = (0..4).filter_map(|_request| choose(&mut board, 0)).collect();
+    let mut balancer = balancer(vec![record("t1", TargetState::Ready), record("t2", TargetState::Ready)]);
+    let mut chosen: Vec<String> = (0..4).filter_map(|_request| choose(&mut balancer, 0)).collect();
     chosen.sort();
     assert_eq!(chosen, ["t1", "t1", "t2", "t2"]);
-    assert_eq!(choose(&mut board, 0), None);
-    board.ended(&life("t2"), RequestWork::default(), SendOutcome::Answered(1.0), UnixMillis(1));
-    assert_eq!(choose(&mut board, 1).as_deref(), Some("t2"));
+    assert_eq!(choose(&mut balancer, 0), None);
+    balancer.ended(&life("t2"), RequestWork::default(), SendOutcome::Answered(1.0), UnixMillis(1));
+    assert_eq!(choose(&mut balancer, 1).as_deref(), Some("t2"));
 }
 
 #[test]
 fn a_target_whose_address_another_one_has_gets_nothing_more() {
-    let mut board = board(vec![record("t1", TargetState::Ready), record("t2", TargetState::Ready)]);
+    let mut balancer = balancer(vec![record("t1", TargetState::Ready), record("t2", TargetState::Ready)]);
     let work = RequestWork::default();
-    assert!(choose(&mut board, 0).is_some() && choose(&mut board, 0).is_some());
-    assert!(board.ended(&life("t1"), work, SendOutcome::Gone, UnixMillis(1)));
-    board.ended(&life("t2"), work, SendOutcome::Answered(1.0), UnixMillis(1));
-    let later = |board: &mut LoadBalancer| choose(board, 60_000);
+    assert!(choose(&mut balancer, 0).is_some() && choose(&mut balancer, 0).is_some());
+    assert!(balancer.ended(&life("t1"), work, SendOutcome::Gone, UnixMillis(1)));
+    balancer.ended(&life("t2"), work, SendOutcome::Answered(1.0), UnixMillis(1));
+    let later = |balancer: &mut LoadBalancer| choose(balancer, 60_000);
     assert_eq!(
-        [later(&mut board), later(&mut board), later(&mut board)],
+        [later(&mut balancer), later(&mut balancer), later(&mut balancer)],
         [Some("t2".into()), Some("t2".into()), None]
     );
 }
 
 #[test]
 fn a_draining_target_gets_nothing() {
-    let mut board = board(vec![record("t1", TargetState::Draining)]);
-    assert_eq!(choose(&mut board, 0), None);
+    let mut balancer = balancer(vec![record("t1", TargetState::Draining)]);
+    assert_eq!(choose(&mut balancer, 0), None);
 }
 
 #[test]
 fn a_target_that_fails_in_a_row_rests_and_is_tried_again() {
-    let mut board = board(vec![record("t1", TargetState::Ready)]);
-    let fail = |board: &mut LoadBalancer, now: u64| {
-        assert!(choose(board, now).is_some());
-        board.ended(&life("t1"), RequestWork::default(), SendOutcome::Failed, UnixMillis(now))
+    let mut balancer = balancer(vec![record("t1", TargetState::Ready)]);
+    let fail = |balancer: &mut LoadBalancer, now: u64| {
+        assert!(choose(balancer, now).is_some());
+        balancer.ended(&life("t1"), RequestWork::default(), SendOutcome::Failed, UnixMillis(now))
     };
-    assert_eq!([fail(&mut board, 0), fail(&mut board, 0), fail(&mut board, 0)], [false, false, true]);
-    assert_eq!(choose(&mut board, 799), None);
+    assert_eq!(
+        [fail(&mut balancer, 0), fail(&mut balancer, 0), fail(&mut balancer, 0)],
+        [false, false, true]
+    );
+    assert_eq!(choose(&mut balancer, 799), None);
     // One request at a time is the probe; its failure doubles the ejection time.
-    assert!(fail(&mut board, 800));
-    assert_eq!(choose(&mut board, 2_399), None);
-    assert!(choose(&mut board, 2_400).is_some());
-    assert_eq!(choose(&mut board, 2_400), None);
-    board.ended(&life("t1"), RequestWork::default(), SendOutcome::Answered(1.0), UnixMillis(2_500));
-    assert!(choose(&mut board, 2_500).is_some() && choose(&mut board, 2_500).is_some());
+    assert!(fail(&mut balancer, 800));
+    assert_eq!(choose(&mut balancer, 2_399), None);
+    assert!(choose(&mut balancer, 2_400).is_some());
+    assert_eq!(choose(&mut balancer, 2_400), None);
+    balancer.ended(&life("t1"), RequestWork::default(), SendOutcome::Answered(1.0), UnixMillis(2_500));
+    assert!(choose(&mut balancer, 2_500).is_some() && choose(&mut balancer, 2_500).is_some());
 }
 
 fn born(id: &str, born: u64) -> TargetRecord {
@@ -297,29 +300,29 @@
 #[test_case(SendOutcome::Gone; "after another target was found at its address")]
 #[test_case(SendOutcome::Answered(9_000.0); "after slow answers")]
 fn a_new_life_under_the_same_identifier_begins_with_nothing(outcome: SendOutcome) {
-    let mut book = TargetRegistry::default();
-    book.apply_listing([born("t1", 100)], None);
+    let mut registry = TargetRegistry::default();
+    registry.apply_listing([born("t1", 100)], None);
     let settings = BalancerSettings::builder().zone(name("a")).per_rank(3).rank_limit(12).seed(1).build();
-    let mut board = LoadBalancer::new(settings);
-    board.sync(&book);
+    let mut balancer = LoadBalancer::new(settings);
+    balancer.sync(&registry);
     let old = born("t1", 100).life();
     // Until it is no longer chosen.
     for _send in 0..3 {
-        if choose(&mut board, 0).is_none() {
+        if choose(&mut balancer, 0).is_none() {
             break;
         }
-        board.ended(&old, RequestWork::default(), outcome, UnixMillis(0));
+        balancer.ended(&old, RequestWork::default(), outcome, UnixMillis(0));
     }
     // One more request is still in flight there.
-    let open = choose(&mut board, 0).is_some();
-    book.apply_changes([TargetChange::Put(born("t1", 200))].into(), None);
-    board.sync(&book);
+    let open = choose(&mut balancer, 0).is_some();
+    registry.apply_changes([TargetChange::Put(born("t1", 200))].into(), None);
+    balancer.sync(&registry);
     let new = born("t1", 200).life();
-    assert_eq!((board.in_flight(&old), board.in_flight(&new)), (u32::from(open), 0));
-    assert!((0..2).all(|_slot| choose(&mut board, 1).is_some()), "both slots are free");
-    assert_eq!(choose(&mut board, 1), None);
-    board.ended(&old, RequestWork::default(), SendOutcome::Failed, UnixMillis(2));
-    assert_eq!(board.in_flight(&new), 2, "the end of the earlier life's request frees nothing");
+    assert_eq!((balancer.in_flight(&old), balancer.in_flight(&new)), (u32::from(open), 0));
+    assert!((0..2).all(|_slot| choose(&mut balancer, 1).is_some()), "both slots are free");
+    assert_eq!(choose(&mut balancer, 1), None);
+    balancer.ended(&old, RequestWork::default(), SendOutcome::Failed, UnixMillis(2));
+    assert_eq!(balancer.in_flight(&new), 2, "the end of the earlier life's request frees nothing");
 }
 
 /// Once services are known, a row of an unknown service ends no target, while a row of a known service
@@ -328,16 +331,16 @@
 fn a_row_of_an_unknown_service_ends_nobody() {
     let foreign =
         TargetRecord { id: name("x"), service: name("unnamed"), ..record("t1", TargetState::Ready) };
-    let mut book = TargetRegistry::default();
-    book.apply_listing([record("t1", TargetState::Ready)], None);
-    assert!(!book.set_services([name("s")]), "all that is known is named");
-    book.apply_changes(vec![TargetChange::Put(foreign.clone())], None);
-    assert_eq!(ids(&book), ["t1", "x"]);
-    book.apply_changes(
+    let mut registry = TargetRegistry::default();
+    registry.apply_listing([record("t1", TargetState::Ready)], None);
+    assert!(!registry.set_services([name("s")]), "all that is known is named");
+    registry.apply_changes(vec![TargetChange::Put(foreign.clone())], None);
+    assert_eq!(ids(&registry), ["t1", "x"]);
+    registry.apply_changes(
         vec![TargetChange::Put(TargetRecord { id: name("t9"), ..record("t1", TargetState::Ready) })],
         None,
     );
-    assert_eq!(ids(&book), ["t9"]);
+    assert_eq!(ids(&registry), ["t9"]);
     // Before services are known, the row may have ended a target, so all rows have to be listed again.
     let mut early = TargetRegistry::default();
     early.apply_listing([record("t1", TargetState::Ready), foreign], None);
@@ -347,28 +350,29 @@
 #[test]
 fn a_row_that_became_unusable_has_no_grace() {
     let grace = Some(UnixDeadline(UnixMillis(100)));
-    let mut book = TargetRegistry::default();
-    book.apply_listing(["t1", "t2", "t3"].map(|id| record(id, TargetState::Ready)), None);
-    book.apply_changes(vec![TargetChange::Unusable(name("t1"))], grace);
-    assert_eq!(ids(&book), ["t2", "t3"]);
-    book.apply_listing([TargetChange::Unusable(name("t2")), record("t3", TargetState::Ready).into()], grace);
-    assert_eq!(ids(&book), ["t3"]);
-    assert_eq!(book.next_expiry(), None);
+    let mut registry = TargetRegistry::default();
+    registry.apply_listing(["t1", "t2", "t3"].map(|id| record(id, TargetState::Ready)), None);
+    registry.apply_changes(vec![TargetChange::Unusable(name("t1"))], grace);
+    assert_eq!(ids(&registry), ["t2", "t3"]);
+    registry
+        .apply_listing([TargetChange::Unusable(name("t2")), record("t3", TargetState::Ready).into()], grace);
+    assert_eq!(ids(&registry), ["t3"]);
+    assert_eq!(registry.next_expiry(), None);
 }
 
 #[test]
 fn who_waits_is_served_by_priority_then_turn_then_arrival() {
-    let mut list = WaitList::default();
-    list.add(2, QueueClass::First, "low");
-    list.add(1, QueueClass::CallerRetry, "returned");
-    list.add(1, QueueClass::First, "first");
-    let gone = list.add(1, QueueClass::First, "gone");
-    list.add(1, QueueClass::First, "second");
-    list.add(1, QueueClass::Resent, "repeated");
-    assert_eq!(list.remove(gone), Some("gone"));
+    let mut queue = WaitQueue::default();
+    queue.add(2, QueueClass::First, "low");
+    queue.add(1, QueueClass::CallerRetry, "returned");
+    queue.add(1, QueueClass::First, "first");
+    let gone = queue.add(1, QueueClass::First, "gone");
+    queue.add(1, QueueClass::First, "second");
+    queue.add(1, QueueClass::Resent, "repeated");
+    assert_eq!(queue.remove(gone), Some("gone"));
     let ahead =
-        [QueueClass::Resent, QueueClass::First, QueueClass::CallerRetry].map(|turn| list.ahead(1, turn));
+        [QueueClass::Resent, QueueClass::First, QueueClass::CallerRetry].map(|class| queue.ahead(1, class));
     assert_eq!(ahead, [1, 3, 4]);
-    let order: Vec<&str> = std::iter::from_fn(|| list.pop()).collect();
+    let order: Vec<&str> = std::iter::from_fn(|| queue.pop()).collect();
     assert_eq!(order, ["repeated", "first", "second", "returned", "low"]);
 }
--- a/crates/porthoist-policy/tests/policy/quarantine.rs
+++ b/crates/porthoist-policy/tests/policy/quarantine.rs
@@ -26,8 +26,8 @@
     CrashReport { died: at(millis), ranked, by: "a".into() }
 }
 
-fn level(book: &QuarantineTracker, body: &str, millis: u64) -> Option<SuspicionLevel> {
-    book.status(&mark(body), at(millis)).map(|kept| kept.level)
+fn level(tracker: &QuarantineTracker, body: &str, millis: u64) -> Option<SuspicionLevel> {
+    tracker.status(&mark(body), at(millis)).map(|kept| kept.level)
 }
 
 #[test_case(false, 0, None, 0; "nothing is known")]
@@ -37,93 +37,93 @@
 #[test_case(false, 3, Some(SuspicionLevel::Quarantined), QUARANTINE_MILLIS; "three targets")]
 #[test_case(true, 4, Some(SuspicionLevel::Quarantined), 2 * QUARANTINE_MILLIS; "four ranks")]
 fn deaths_keep_a_request_back(ranked: bool, deaths: usize, expected: Option<SuspicionLevel>, kept: u64) {
-    let mut book = QuarantineTracker::default();
+    let mut tracker = QuarantineTracker::default();
     for index in 0..deaths {
-        book.died(&key("x", &format!("t{index}")), report(0, ranked), at(0));
+        tracker.died(&key("x", &format!("t{index}")), report(0, ranked), at(0));
     }
-    assert_eq!(level(&book, "x", 0), expected);
-    assert_eq!(level(&book, "another", 0), None);
-    let until = book.status(&mark("x"), at(0)).map_or(0, |standing| standing.until.0.since(at(0)));
+    assert_eq!(level(&tracker, "x", 0), expected);
+    assert_eq!(level(&tracker, "another", 0), None);
+    let until = tracker.status(&mark("x"), at(0)).map_or(0, |block| block.until.0.since(at(0)));
     if expected == Some(SuspicionLevel::Held) {
         assert!((kept..=kept + kept / 2).contains(&until), "{until}");
     } else {
         assert_eq!(until, kept);
     }
     if until > 0 {
-        assert!(book.begin(&mark("x"), at(until - 1)).is_err(), "kept back until the end");
+        assert!(tracker.begin(&mark("x"), at(until - 1)).is_err(), "kept back until the end");
     }
     let kept = until;
-    let after = book.begin(&mark("x"), at(kept));
+    let after = tracker.begin(&mark("x"), at(kept));
     assert!(after.is_ok(), "{after:?}");
     if expected.is_some() {
         assert_eq!(after, Ok(SendPermit::Suspected));
-        assert!(book.begin(&mark("x"), at(kept)).is_err(), "one run at a time");
-        book.ended(&mark("x"));
-        assert_eq!(book.begin(&mark("x"), at(kept)), Ok(SendPermit::Suspected));
+        assert!(tracker.begin(&mark("x"), at(kept)).is_err(), "one run at a time");
+        tracker.ended(&mark("x"));
+        assert_eq!(tracker.begin(&mark("x"), at(kept)), Ok(SendPermit::Suspected));
     }
 }
 
 #[test]
 fn one_whole_answer_clears_and_trusts_some_time() {
-    let mut book = QuarantineTracker::default();
-    book.died(&key("hot", "t0"), report(0, true), at(0));
-    assert_eq!(book.answered(&mark("hot"), at(10)), [key("hot", "t0")]);
-    assert_eq!(level(&book, "hot", 10), None);
-    let verdict = book.died(&key("hot", "t1"), report(19_000, true), at(19_000));
+    let mut tracker = QuarantineTracker::default();
+    tracker.died(&key("hot", "t0"), report(0, true), at(0));
+    assert_eq!(tracker.answered(&mark("hot"), at(10)), [key("hot", "t0")]);
+    assert_eq!(level(&tracker, "hot", 10), None);
+    let verdict = tracker.died(&key("hot", "t1"), report(19_000, true), at(19_000));
     assert_eq!(verdict, DeathOutcome::Trusted);
-    let verdict = book.died(&key("hot", "t2"), report(30_000, true), at(30_000));
+    let verdict = tracker.died(&key("hot", "t2"), report(30_000, true), at(30_000));
     assert_eq!(verdict, DeathOutcome::Held { level: SuspicionLevel::Held, deaths: 1 });
 }
 
 #[test]
 fn what_others_saw_counts_and_a_removed_row_lifts_it() {
-    let mut book = QuarantineTracker::default();
+    let mut tracker = QuarantineTracker::default();
     let mut rows: CrashRows = CrashRows::new();
     for target in ["t0", "t1", "t2"] {
         rows.insert(key("x", target), report(0, true));
     }
-    let changes = book.apply_rows(&rows, true, at(500));
+    let changes = tracker.apply_rows(&rows, true, at(500));
     assert_eq!(changes.heard, [(mark("x"), SuspicionLevel::Quarantined, 3)]);
     // An operator removes them.
-    let changes = book.apply_rows(&CrashRows::new(), false, at(900));
+    let changes = tracker.apply_rows(&CrashRows::new(), false, at(900));
     assert_eq!(changes.lifted, [mark("x")]);
-    assert_eq!(book.begin(&mark("x"), at(900)), Ok(SendPermit::Clear));
+    assert_eq!(tracker.begin(&mark("x"), at(900)), Ok(SendPermit::Clear));
 }
 
 #[test]
 fn an_own_death_stands_until_the_table_has_shown_it() {
-    let mut book = QuarantineTracker::default();
-    book.died(&key("x", "t0"), report(0, true), at(0));
-    book.apply_rows(&CrashRows::new(), true, at(10));
-    assert_eq!(level(&book, "x", 10), Some(SuspicionLevel::Held), "the table service was away");
-    book.apply_rows(&CrashRows::from([(key("x", "t0"), report(0, true))]), false, at(20));
-    book.apply_rows(&CrashRows::new(), false, at(30));
-    assert_eq!(level(&book, "x", 30), None);
+    let mut tracker = QuarantineTracker::default();
+    tracker.died(&key("x", "t0"), report(0, true), at(0));
+    tracker.apply_rows(&CrashRows::new(), true, at(10));
+    assert_eq!(level(&tracker, "x", 10), Some(SuspicionLevel::Held), "the table service was away");
+    tracker.apply_rows(&CrashRows::from([(key("x", "t0"), report(0, true))]), false, at(20));
+    tracker.apply_rows(&CrashRows::new(), false, at(30));
+    assert_eq!(level(&tracker, "x", 30), None);
 }
 
 #[test_case(true, 999_000, 999_000 + HOLD_MILLIS; "at the start, the time of the other host counts")]
 #[test_case(true, 9_999_999_999, 1_000_500 + HOLD_MILLIS; "but not where it lies ahead")]
 #[test_case(false, 5, 1_000_500 + HOLD_MILLIS; "later, news are of now")]
 fn clocks_of_other_hosts_shift_little(first: bool, died: u64, until: u64) {
-    let mut book = QuarantineTracker::default();
+    let mut tracker = QuarantineTracker::default();
     let report = CrashReport { died: UnixMillis(died), ..report(0, true) };
-    book.apply_rows(&CrashRows::from([(key("x", "t0"), report)]), first, at(500));
-    let kept = book.status(&mark("x"), at(500)).unwrap();
+    tracker.apply_rows(&CrashRows::from([(key("x", "t0"), report)]), first, at(500));
+    let kept = tracker.status(&mark("x"), at(500)).unwrap();
     let spread = kept.until.0.since(UnixMillis(until));
     assert!(kept.until.0 >= UnixMillis(until) && spread <= HOLD_MILLIS / 2, "{kept:?}");
 }
 
 #[test]
 fn what_no_longer_counts_is_removed_by_its_writer_and_later_by_others() {
-    let mut book = QuarantineTracker::default();
+    let mut tracker = QuarantineTracker::default();
     let rows = CrashRows::from([(key("x", "t0"), report(0, true))]);
-    book.apply_rows(&rows, true, at(0));
-    let forgotten = 2 * book.status(&mark("x"), at(0)).unwrap().until.0.since(at(0));
-    assert_eq!(book.take_expired("a", 0.5, at(forgotten - 1)), []);
-    assert_eq!(book.begin(&mark("x"), at(forgotten)), Ok(SendPermit::Clear));
-    assert_eq!(book.take_expired("b", 0.5, at(forgotten + 29_999)), []);
-    assert_eq!(book.take_expired("a", 0.5, at(forgotten)), [key("x", "t0")]);
-    assert_eq!(book.take_expired("a", 0.5, at(forgotten + 1)), [], "once");
+    tracker.apply_rows(&rows, true, at(0));
+    let forgotten = 2 * tracker.status(&mark("x"), at(0)).unwrap().until.0.since(at(0));
+    assert_eq!(tracker.take_expired("a", 0.5, at(forgotten - 1)), []);
+    assert_eq!(tracker.begin(&mark("x"), at(forgotten)), Ok(SendPermit::Clear));
+    assert_eq!(tracker.take_expired("b", 0.5, at(forgotten + 29_999)), []);
+    assert_eq!(tracker.take_expired("a", 0.5, at(forgotten)), [key("x", "t0")]);
+    assert_eq!(tracker.take_expired("a", 0.5, at(forgotten + 1)), [], "once");
     let mut other = QuarantineTracker::default();
     other.apply_rows(&rows, true, at(0));
     assert_eq!(other.take_expired("b", 0.5, at(forgotten + 45_000)), [key("x", "t0")]);
@@ -131,19 +131,19 @@
 
 #[test]
 fn the_book_is_bounded_and_keeps_what_is_certain() {
-    let mut book = QuarantineTracker::default();
+    let mut tracker = QuarantineTracker::default();
     for target in ["t0", "t1", "t2"] {
-        book.died(&key("killer", target), report(0, true), at(0));
+        tracker.died(&key("killer", target), report(0, true), at(0));
     }
     let mut removed = Vec::new();
     for index in 0..MAX_MARKS + 50 {
-        book.died(&key(&format!("b{index}"), "t9"), report(1 + index as u64, true), at(1));
-        removed.extend(book.evict_excess());
+        tracker.died(&key(&format!("b{index}"), "t9"), report(1 + index as u64, true), at(1));
+        removed.extend(tracker.evict_excess());
     }
-    assert_eq!(book.len(), MAX_MARKS);
+    assert_eq!(tracker.len(), MAX_MARKS);
     assert_eq!(removed.len(), 51);
     assert_eq!(removed[0], key("b0", "t9"), "the oldest goes first");
-    assert_eq!(level(&book, "killer", 1), Some(SuspicionLevel::Quarantined));
+    assert_eq!(level(&tracker, "killer", 1), Some(SuspicionLevel::Quarantined));
 }
 
 #[test_case("", false; "nothing")]
@@ -161,9 +161,9 @@
 
 /// Several hosts, targets that die of one request or at random, and a table whose changes reach the
 /// hosts late.
-struct Fleet {
+struct Simulation {
     random: Pcg64Mcg,
-    books: Vec<QuarantineTracker>,
+    trackers: Vec<QuarantineTracker>,
     /// When each host reads the table again, at most [`HEAR_MILLIS`] after a change.
     hears: Vec<u64>,
     rows: CrashRows,
@@ -180,15 +180,15 @@
 const TARGETS: usize = 6;
 const HEAR_MILLIS: u64 = 1_000;
 /// Simulated time in milliseconds; shorter than a quarantine.
-const PLAY_MILLIS: u64 = 400_000;
+const SIMULATED_MILLIS: u64 = 400_000;
 /// Maximum number of deaths that the request that kills may cause in one simulation.
-const MOST_KILLED: usize = 5;
+const MAX_KILLED: usize = 5;
 
-impl Fleet {
+impl Simulation {
     fn new(seed: u64, rules: QuarantineRules) -> Self {
         Self {
             random: Pcg64Mcg::seed_from_u64(seed),
-            books: (0..HOSTS).map(|_host| QuarantineTracker::new(rules)).collect(),
+            trackers: (0..HOSTS).map(|_host| QuarantineTracker::new(rules)).collect(),
             hears: vec![0; HOSTS],
             rows: CrashRows::new(),
             targets: vec![(0, 0); TARGETS],
@@ -202,11 +202,11 @@
     fn tell(&mut self) {
         for host in 0..HOSTS {
             if self.hears[host] <= self.now {
-                let changes = self.books[host].apply_rows(&self.rows, false, at(self.now));
+                let changes = self.trackers[host].apply_rows(&self.rows, false, at(self.now));
                 for row in changes.remove {
                     self.rows.remove(&row);
                 }
-                for row in self.books[host].take_expired("a", 0.0, at(self.now)) {
+                for row in self.trackers[host].take_expired("a", 0.0, at(self.now)) {
                     self.rows.remove(&row);
                 }
                 self.hears[host] = self.now + self.random.random_range(0..HEAR_MILLIS);
@@ -215,9 +215,9 @@
     }
 
     /// Whether a host may send a request, and whether the request is suspected.
-    fn leave(&mut self, host: usize, body: &str) -> Option<bool> {
-        match self.books[host].begin(&mark(body), at(self.now)) {
-            Ok(leave) => Some(leave == SendPermit::Suspected),
+    fn try_begin(&mut self, host: usize, body: &str) -> Option<bool> {
+        match self.trackers[host].begin(&mark(body), at(self.now)) {
+            Ok(permit) => Some(permit == SendPermit::Suspected),
             Err(kept) => {
                 if kept.level == SuspicionLevel::Quarantined && body != "killer" {
                     self.accused.insert(body.to_owned());
@@ -243,8 +243,8 @@
                 1..4 => "hot".to_owned(),
                 _ => format!("once{}", self.random.random_range(0..40)),
             };
-            if let Some(again) = self.leave(host, &body) {
-                sent.push((host, body, again));
+            if let Some(suspected) = self.try_begin(host, &body) {
+                sent.push((host, body, suspected));
             }
         }
         let kills = sent.iter().any(|(_host, body, _again)| body == "killer");
@@ -253,21 +253,21 @@
             self.sent_late += 1;
         }
         let dies = kills || self.random.random_range(0..60) == 0;
-        for (host, body, again) in &sent {
+        for (host, body, suspected) in &sent {
             if dies {
                 let report = report(self.now, false);
                 let row = CrashKey { mark: mark(body), target: life.as_str().into() };
-                let verdict = self.books[*host].died(&row, report.clone(), at(self.now));
+                let verdict = self.trackers[*host].died(&row, report.clone(), at(self.now));
                 if matches!(verdict, DeathOutcome::Held { .. }) {
                     self.rows.insert(row, report);
                 }
             } else {
-                for row in self.books[*host].answered(&mark(body), at(self.now)) {
+                for row in self.trackers[*host].answered(&mark(body), at(self.now)) {
                     self.rows.remove(&row);
                 }
             }
-            if *again {
-                self.books[*host].ended(&mark(body));
+            if *suspected {
+                self.trackers[*host].ended(&mark(body));
             }
         }
         if kills {
@@ -280,13 +280,13 @@
         // A host may restart; it then knows only what the table contains.
         if self.random.random_range(0..400) == 0 {
             let host = self.random.random_range(0..HOSTS);
-            self.books[host] = QuarantineTracker::default();
-            self.books[host].apply_rows(&self.rows, true, at(self.now));
+            self.trackers[host] = QuarantineTracker::default();
+            self.trackers[host].apply_rows(&self.rows, true, at(self.now));
         }
     }
 
-    fn play(mut self) -> Self {
-        while self.now < PLAY_MILLIS {
+    fn run(mut self) -> Self {
+        while self.now < SIMULATED_MILLIS {
             self.now += self.random.random_range(20..120);
             self.round();
         }
@@ -306,11 +306,11 @@
 fn outcome(rules: QuarantineRules) -> Outcome {
     let mut outcome = Outcome::default();
     for seed in 0..60 {
-        let fleet = Fleet::new(seed, rules).play();
-        outcome.deaths = outcome.deaths.max(fleet.killed.len());
-        outcome.sent_late = outcome.sent_late.max(fleet.sent_late);
-        outcome.hot_accused += usize::from(fleet.accused.contains("hot"));
-        outcome.others_accused += fleet.accused.iter().filter(|body| *body != "hot").count();
+        let simulation = Simulation::new(seed, rules).run();
+        outcome.deaths = outcome.deaths.max(simulation.killed.len());
+        outcome.sent_late = outcome.sent_late.max(simulation.sent_late);
+        outcome.hot_accused += usize::from(simulation.accused.contains("hot"));
+        outcome.others_accused += simulation.accused.iter().filter(|body| *body != "hot").count();
     }
     outcome
 }
@@ -320,11 +320,11 @@
     let usual = outcome(QuarantineRules::default());
     assert_eq!((usual.sent_late, usual.hot_accused, usual.others_accused), (0, 0, 0), "{usual:?}");
     // Other hosts may send it once more before they learn of a death.
-    assert!(usual.deaths <= MOST_KILLED, "{usual:?}");
+    assert!(usual.deaths <= MAX_KILLED, "{usual:?}");
 }
 
 /// The same simulations detect each relaxed rule.
-#[test_case(QuarantineRules { certain_deaths: 9, hold_millis: 0, trust: true }, |without| without.deaths > MOST_KILLED; "one that is lenient lets more die")]
+#[test_case(QuarantineRules { certain_deaths: 9, hold_millis: 0, trust: true }, |without| without.deaths > MAX_KILLED; "one that is lenient lets more die")]
 #[test_case(QuarantineRules { trust: false, certain_deaths: 2, ..QuarantineRules::default() }, |without| without.hot_accused > 0; "one that forgets answers accuses a hot request")]
 #[test_case(QuarantineRules { certain_deaths: 2, hold_millis: 0, ..QuarantineRules::default() }, |without| without.others_accused > 0; "one that is certain too early accuses bystanders")]
 fn a_book_that_breaks_a_rule_is_found_out(rules: QuarantineRules, worse: fn(&Outcome) -> bool) {
@@ -336,18 +336,18 @@
 #[test]
 fn rows_lost_in_a_restore_are_rewritten_by_their_writer_and_later_by_others() {
     let rows: CrashRows = [(key("x", "t0"), report(0, true))].into();
-    let mut books = ["a", "b", "c"].map(|own| {
-        let mut book = QuarantineTracker::default();
-        book.apply_rows(&rows, true, at(0));
-        book.schedule_rewrites(&CrashRows::new(), own, 0.5, at(10));
-        book.apply_rows(&CrashRows::new(), true, at(10));
-        assert_eq!(level(&book, "x", 10), Some(SuspicionLevel::Held));
-        book
+    let mut trackers = ["a", "b", "c"].map(|own| {
+        let mut tracker = QuarantineTracker::default();
+        tracker.apply_rows(&rows, true, at(0));
+        tracker.schedule_rewrites(&CrashRows::new(), own, 0.5, at(10));
+        tracker.apply_rows(&CrashRows::new(), true, at(10));
+        assert_eq!(level(&tracker, "x", 10), Some(SuspicionLevel::Held));
+        tracker
     });
-    assert_eq!(books[0].take_due_rewrites(at(10)), [(key("x", "t0"), report(0, true))]);
-    assert_eq!(books[0].take_due_rewrites(at(20)), []);
-    books[1].apply_rows(&rows, false, at(20));
-    assert_eq!(books[1].take_due_rewrites(at(10_000)), []);
-    assert_eq!(books[2].take_due_rewrites(at(2_000)), []);
-    assert_eq!(books[2].take_due_rewrites(at(3_010)).len(), 1);
+    assert_eq!(trackers[0].take_due_rewrites(at(10)), [(key("x", "t0"), report(0, true))]);
+    assert_eq!(trackers[0].take_due_rewrites(at(20)), []);
+    trackers[1].apply_rows(&rows, false, at(20));
+    assert_eq!(trackers[1].take_due_rewrites(at(10_000)), []);
+    assert_eq!(trackers[2].take_due_rewrites(at(2_000)), []);
+    assert_eq!(trackers[2].take_due_rewrites(at(3_010)).len(), 1);
 }
