--- a/crates/porthoist-policy/src/proxy/balancer.rs
+++ b/crates/porthoist-policy/src/proxy/balancer.rs
@@ -187,7 +187,7 @@
             assumed: if ranked { self.mean_other_requests(service, now) } else { None },
         };
         let reported = group.assumed.is_some();
-        let usual = self.median_answer_millis(service);
+        let median_millis = self.median_answer_millis(service);
         let groups = self.service_groups(service, now);
         self.turn = self.turn.wrapping_add(1);
         let mut candidates: Vec<&mut TargetLoad> = {
@@ -199,7 +199,7 @@
         };
         let costs: Vec<f64> = candidates
             .iter()
-            .map(|load| load.cost(&self.settings.zone, usual, group, &groups, now))
+            .map(|load| load.cost(&self.settings.zone, median_millis, group, &groups, now))
             .collect();
         let best = if reported {
             choose_by_level(&costs, random_point(self.settings.seed, self.turn))?
--- a/crates/porthoist-policy/src/proxy/entries.rs
+++ b/crates/porthoist-policy/src/proxy/entries.rs
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct EntryRoster {
     counted: BTreeMap<EntryId, UnixDeadline>,
-    first_asked: UnixMillis,
+    first_query: UnixMillis,
 }
 
 impl EntryRoster {
@@ -34,10 +34,10 @@
     pub fn record_query(&mut self, entry: EntryId, now: UnixMillis) -> Option<EntryPosition> {
         self.counted.retain(|_entry, until| !until.passed(now));
         if self.counted.is_empty() {
-            self.first_asked = now;
+            self.first_query = now;
         }
         self.counted.insert(entry, UnixDeadline::after(now, ENTRY_TIMEOUT_MILLIS));
-        let settled = now.since(self.first_asked) >= SETTLE_MILLIS;
+        let settled = now.since(self.first_query) >= SETTLE_MILLIS;
         let position = EntryPosition {
             index: self.counted.range(..entry).count() as u32,
             entries: self.counted.len() as u32,
--- a/crates/porthoist-policy/src/proxy/groups.rs
+++ b/crates/porthoist-policy/src/proxy/groups.rs
@@ -21,8 +21,8 @@
 /// Number of this process's streams in a group from which on a lack of events counts. A single stream
 /// may have just been sent.
 const MIN_CONCLUSIVE_STREAMS: u32 = 2;
-/// Pass time in milliseconds from which a group counts as stalled. An answer of 20 events would take 8
-/// s, after which its caller leaves.
+/// Pass time in milliseconds from which a group counts as stalled. An answer of 20 events would take
+/// 8 s, after which its caller leaves.
 pub const STALLED_PASS_MILLIS: u64 = 400;
 /// Pass time in milliseconds above which streams are late: their pauses exceed what most routes allow
 /// (120 to 200 ms).
@@ -41,8 +41,8 @@
 
 impl GroupIndex {
     /// The group with this index.
-    pub fn at(place: usize) -> Self {
-        Self(place)
+    pub fn at(index: usize) -> Self {
+        Self(index)
     }
 
     /// The index as a number.
@@ -166,12 +166,12 @@
         let pass = u64::from(group.pass.millis().unwrap_or(0));
         let millis = if silence > grace { pass.max(silence) } else { pass };
         let stalled = group.pass == GroupPass::Broken || millis >= STALLED_PASS_MILLIS;
-        let unheard = silence > PROBE_MILLIS / 2;
+        let long_silent = silence > PROBE_MILLIS / 2;
         GroupStatus {
             millis: millis as f64,
             stalled,
             slow_for_millis: group.slow_since.map_or(0, |since| now.since(since)),
-            probe_due: stalled && unheard && group.next_probe.passed(now),
+            probe_due: stalled && long_silent && group.next_probe.passed(now),
         }
     }
 }
--- a/crates/porthoist-policy/src/proxy/moving.rs
+++ b/crates/porthoist-policy/src/proxy/moving.rs
@@ -121,21 +121,21 @@
         return Some(MoveCause::GroupStalled);
     }
     let rest = (options.streams.answer_events - send.events as f64).max(options.streams.answer_events / 2.0);
-    let lasting = options.here.slow_for_millis >= MIN_SLOW_MILLIS + send.jitter_millis
+    let lastingly_slow = options.here.slow_for_millis >= MIN_SLOW_MILLIS + send.jitter_millis
         && options.here.millis > SLOW_FACTOR * elsewhere;
     // The length of the answer is unknown, so the request leaves while even the longest can still finish
     // elsewhere.
     let longest = LONGEST_ANSWER_FACTOR * options.streams.answer_events;
     let last_chance = options.streams.first_millis + longest * elsewhere;
-    let too_slow = lasting && (rest * options.here.millis > left || left < last_chance);
-    let ends_elsewhere = options.streams.first_millis + rest * elsewhere < left;
-    (too_slow && ends_elsewhere).then_some(MoveCause::GroupSlow)
+    let too_slow = lastingly_slow && (rest * options.here.millis > left || left < last_chance);
+    let finishes_elsewhere = options.streams.first_millis + rest * elsewhere < left;
+    (too_slow && finishes_elsewhere).then_some(MoveCause::GroupSlow)
 }
 
 /// Whether a target does not respond although its group works.
 fn is_silent(send: &PendingSend, options: &MoveOptions, waited: u64) -> bool {
     let streams = options.streams;
-    let patience = match (send.events, options.host_silent) {
+    let timeout = match (send.events, options.host_silent) {
         (0, true) => HOST_SILENT_MILLIS as f64,
         (0, false) => {
             (streams.first_millis + FIRST_DEVIATIONS * streams.first_deviation).max(MIN_FIRST_WAIT_MILLIS)
@@ -143,5 +143,5 @@
         (_begun, _silent) => PAUSE_MILLIS as f64,
     };
     // Where passes are slow, many first events are late and none is lost; moves would only add load.
-    (options.host_silent || options.here.millis <= GOOD_PASS_MILLIS) && waited as f64 > patience
+    (options.host_silent || options.here.millis <= GOOD_PASS_MILLIS) && waited as f64 > timeout
 }
--- a/crates/porthoist-policy/src/proxy/quarantine.rs
+++ b/crates/porthoist-policy/src/proxy/quarantine.rs
@@ -87,7 +87,7 @@
 
 /// Error of parsing the key of a row of the crash table.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("{0:?} is not the key of a death: expected a mark, a slash and a target")]
+#[error("{0:?} is not a crash key: expected a mark, a slash and a target")]
 pub struct CrashKeyError(String);
 
 impl FromStr for CrashKey {
@@ -279,8 +279,8 @@
     /// When the deaths of a request expire: after twice the hold, so that they still count if it kills
     /// again when the hold ends.
     fn expires_at(&self, mark: &RequestMark, record: &SuspectRecord) -> UnixDeadline {
-        let kept = self.hold_time_millis(mark, self.level(record), record.deaths.len());
-        UnixDeadline::after(record.last_death(), 2 * kept.max(self.rules.hold_millis))
+        let hold = self.hold_time_millis(mark, self.level(record), record.deaths.len());
+        UnixDeadline::after(record.last_death(), 2 * hold.max(self.rules.hold_millis))
     }
 
     /// How strongly a request is suspected and until when it is held, or `None` if it is not suspected.
@@ -298,13 +298,13 @@
     /// Requests permission to send. With [`SendPermit::Suspected`] the send counts as running until
     /// [`Self::ended`].
     pub fn begin(&mut self, mark: &RequestMark, now: UnixMillis) -> Result<SendPermit, RequestBlock> {
-        let Some(kept) = self.status(mark, now) else { return Ok(SendPermit::Clear) };
-        if !kept.until.passed(now) {
-            return Err(kept);
+        let Some(block) = self.status(mark, now) else { return Ok(SendPermit::Clear) };
+        if !block.until.passed(now) {
+            return Err(block);
         }
         let record = self.records.get_mut(mark).expect("a request with a status is tracked");
         if record.running > 0 {
-            return Err(RequestBlock { until: UnixDeadline::after(now, ALONE_RETRY_MILLIS), ..kept });
+            return Err(RequestBlock { until: UnixDeadline::after(now, ALONE_RETRY_MILLIS), ..block });
         }
         record.running += 1;
         Ok(SendPermit::Suspected)
--- a/crates/porthoist-policy/src/proxy/scheduler.rs
+++ b/crates/porthoist-policy/src/proxy/scheduler.rs
@@ -57,16 +57,16 @@
     #[error("no target serves the service")]
     NoTarget,
     /// Too many requests wait.
-    #[error("too many requests wait")]
+    #[error("too many requests are waiting")]
     Full,
     /// All targets announce limits that leave no slot in time.
-    #[error("the targets take no more requests a second")]
+    #[error("the targets have reached their rate limits")]
     Limited,
     /// All targets are cold and leave no slot in time.
     #[error("the targets are cold")]
     Cold,
     /// All targets have asked for a rest period.
-    #[error("the targets rest")]
+    #[error("all targets have asked for a rest period")]
     Resting,
     /// Operators have emptied the zones of all targets.
     #[error("the targets' zones are emptied")]
--- a/crates/porthoist-policy/src/proxy/target_load.rs
+++ b/crates/porthoist-policy/src/proxy/target_load.rs
@@ -235,14 +235,14 @@
     pub(super) fn cost(
         &self,
         own_zone: &ZoneName,
-        usual: Option<f64>,
+        median_millis: Option<f64>,
         group: GroupView,
         groups: &ServiceGroups,
         now: UnixMillis,
     ) -> f64 {
         let zone = if self.record.zone == *own_zone { 0.0 } else { ZONE_COST };
-        let slowness = match (self.mean_millis, usual) {
-            (Some(mean), Some(usual)) if mean > usual * SLOW_FACTOR => mean / usual,
+        let slowness = match (self.mean_millis, median_millis) {
+            (Some(mean), Some(median_millis)) if mean > median_millis * SLOW_FACTOR => mean / median_millis,
             _ => 1.0,
         };
         let tokens = self.tokens as f64 / TOKENS_PER_REQUEST;
--- a/crates/porthoist-policy/src/proxy/targets.rs
+++ b/crates/porthoist-policy/src/proxy/targets.rs
@@ -82,7 +82,7 @@
     }
 }
 
-/// Whether a target takes new work.
+/// Whether a target accepts new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TargetState {
     /// It accepts new requests.
@@ -327,7 +327,8 @@
         }
     }
 
-    /// Drops the rows whose grace has ended and applies ignored rows once theirs has; returns the names of dropped rows.
+    /// Drops the rows whose grace has ended and applies ignored rows once theirs has; returns the names of
+    /// dropped rows.
     pub fn expire(&mut self, now: UnixMillis) -> Vec<TargetName> {
         if self.ignored_until.is_some_and(|deadline| deadline.passed(now)) {
             self.apply_ignored();
--- a/crates/porthoist-policy/tests/policy/cold.rs
+++ b/crates/porthoist-policy/tests/policy/cold.rs
@@ -131,7 +131,7 @@
     alone.zones(ZoneUpdate::Changed(vec![ZoneChange::Emptied(place.id.as_str().parse().unwrap())]), 1_100);
     assert!(
         !alone.scheduler.is_still_valid(&place, None, UnixMillis(1_101)),
-        "a place given before no longer stands"
+        "a slot assigned earlier is no longer valid"
     );
     assert_eq!(alone.count(&chosen, 1_200), 0);
     let mut later = Alone::new([record("a", 0, ColdStatus::Warm), record("b", 0, ColdStatus::Warm)]);
@@ -166,7 +166,7 @@
     assert_eq!(effective, [emptied.clone(), restored.clone(), emptied]);
     assert_eq!(zones.take(ZoneUpdate::Listed(Vec::new()), UnixMillis(2)), [restored]);
     assert!(ZoneUpdate::default().is_empty());
-    assert!(!ZoneUpdate::Listed(Vec::new()).is_empty(), "a listing may take zones back");
+    assert!(!ZoneUpdate::Listed(Vec::new()).is_empty(), "a listing may restore zones");
 }
 
 /// What makes a target cold, and when it is warm again.
--- a/crates/porthoist-policy/tests/policy/domains.rs
+++ b/crates/porthoist-policy/tests/policy/domains.rs
@@ -98,8 +98,8 @@
     assert!(counts[1] > 0 && counts[1] < counts[0], "{counts:?}");
 }
 
-/// A rank that is slower by a factor of 12 stretches the passes of a lightly loaded group to some 270
-/// ms, which makes all its streams late.
+/// A rank that is slower by a factor of 12 stretches the passes of a lightly loaded group to some
+/// 270 ms, which makes all its streams late.
 #[test]
 fn a_group_that_makes_its_streams_late_gets_nothing_while_others_have_room() {
     assert_eq!(placed([USUAL, GroupPass::Millis(270), USUAL], 10)[1], 0);
--- a/crates/porthoist-policy/tests/policy/forecast.rs
+++ b/crates/porthoist-policy/tests/policy/forecast.rs
@@ -43,12 +43,12 @@
     let sent = |forecast: &mut ServiceForecast, from: u64, to: u64| {
         (from..to).step_by(20).filter(|now| forecast.may_send(UnixMillis(*now))).count()
     };
-    assert_eq!(sent(&mut forecast, 1_000, 1_600), 30, "up to 600 ms are a slow pass");
-    assert_eq!(sent(&mut forecast, 1_620, 3_620), 4, "two a second to one that answers nothing");
+    assert_eq!(sent(&mut forecast, 1_000, 1_600), 30, "up to 600 ms count as a slow pass");
+    assert_eq!(sent(&mut forecast, 1_620, 3_620), 4, "two probes a second while nothing is answered");
     assert!(forecast.is_down());
     assert_eq!(forecast.decide(ask(0, 3_700, Resent), UnixMillis(3_700)), WaitDecision::Refuse);
     forecast.event_received(UnixMillis(4_000));
-    assert_eq!(sent(&mut forecast, 4_000, 4_200), 10, "it goes on");
+    assert_eq!(sent(&mut forecast, 4_000, 4_200), 10, "it works again");
 }
 
 #[test]
@@ -70,7 +70,7 @@
     let deadline = UnixDeadline(UnixMillis(100_000));
     let mut told = Vec::new();
     for began in [2_000, 12_000, 22_000] {
-        assert!(forecast.may_send(UnixMillis(began)), "one tries it");
+        assert!(forecast.may_send(UnixMillis(began)), "one probe is sent");
         told.push(forecast.retry_after_millis(deadline, 0.0, 0.0, UnixMillis(began + 100)));
         forecast.event_received(UnixMillis(began + 1_000));
     }
@@ -80,7 +80,7 @@
     assert_eq!(
         forecast.retry_after_millis(deadline, 0.0, 0.0, UnixMillis(37_000)),
         5_000,
-        "longer than all before"
+        "longer than all earlier episodes"
     );
 }
 
--- a/crates/porthoist-policy/tests/policy/loads.rs
+++ b/crates/porthoist-policy/tests/policy/loads.rs
@@ -102,7 +102,7 @@
     let mut balancer = balancer(2, 1);
     balancer.update_loads(&loads(&[RANK_LIMIT, RANK_LIMIT]), UnixMillis(0));
     assert_eq!(place(&mut balancer, REPORT_VALIDITY_MILLIS - 1), None);
-    assert!(place(&mut balancer, REPORT_VALIDITY_MILLIS).is_some(), "it goes by its own requests again");
+    assert!(place(&mut balancer, REPORT_VALIDITY_MILLIS).is_some(), "it uses only its own requests again");
 }
 
 /// Guards against processes that all choose the least loaded rank: forty processes see the same report
@@ -171,7 +171,7 @@
     assert_eq!(place(&mut balancer, 10), Some(0));
     let broken = GroupLoads { pass: GroupPass::Broken, ..loads(&[RANK_LIMIT - 1]) };
     balancer.update_loads(&broken, UnixMillis(20));
-    assert_eq!(place(&mut balancer, 30), None, "the own request is not in the loads that are told");
+    assert_eq!(place(&mut balancer, 30), None, "the reported loads don't include the own request");
 }
 
 /// One of six processes, whose group has stalled: it sends no more than its share until reports resume.
--- a/crates/porthoist-policy/tests/policy/needs.rs
+++ b/crates/porthoist-policy/tests/policy/needs.rs
@@ -100,7 +100,7 @@
     assert_eq!(report.refused, 0);
     for need in limited {
         let asked = report.most(need);
-        assert!((1..=5).contains(&asked), "{asked} in 4 s while it names a limit");
+        assert!((1..=5).contains(&asked), "{asked} in 4 s while it announces a limit");
         let back = report.rate(need.target, 22_000 + back_by, 24_000 + back_by);
         let fair = rate(entries) / TARGETS as f64;
         assert!(back > 0.5 * fair, "{back} a second of {fair} after its end");
@@ -132,7 +132,7 @@
     let (answer, now) = (signals(SignalValue::Absent, true), UnixMillis);
     state.apply_signals(&signals(named(1.0), true), now(900), 0.0, now(1_000));
     state.apply_signals(&answer, now(950), 0.0, now(6_000));
-    assert!(state.limit().is_some(), "it may have been made before as well");
+    assert!(state.limit().is_some(), "the answer may be older than the limit");
     state.apply_signals(&answer, now(1_000), 0.0, now(6_100));
     assert!(state.limit().is_none());
 }
@@ -158,7 +158,7 @@
     let mut state = TargetBackpressure::default();
     let noted = state.apply_note(&note(Some(1.0), 10_000), UnixMillis(11_000)).unwrap();
     assert_eq!(noted.change, BackpressureChange::Limited(RequestRate(1.0)));
-    assert!(!state.needs_recheck(UnixMillis(13_000)), "another one has asked it just now");
+    assert!(!state.needs_recheck(UnixMillis(13_000)), "another entry has just checked it");
 }
 
 #[test]
@@ -167,7 +167,7 @@
     store.take(note(Some(1.0), 100_000).aged(UnixMillis(100_400)).to_local(UnixMillis(7_400)));
     assert_eq!(store.current(UnixMillis(7_500)), [note(Some(1.0), 7_000)]);
     store.take(note(None, 6_000));
-    assert_eq!(store.current(UnixMillis(8_000)), [note(Some(1.0), 7_000)], "an older one changes nothing");
+    assert_eq!(store.current(UnixMillis(8_000)), [note(Some(1.0), 7_000)], "an older note changes nothing");
     assert_eq!(store.current(UnixMillis(15_000)), []);
 }
 
@@ -296,7 +296,7 @@
         UnixMillis(1_100),
         UnixMillis(1_100),
     );
-    assert!(!gets_one(&mut balancer, 60_000), "an answer to an earlier request does not take it back");
+    assert!(!gets_one(&mut balancer, 60_000), "an answer to an earlier request does not withdraw it");
     balancer.sync(&TargetRegistry::default());
     balancer.sync(&registry);
     assert!(!gets_one(&mut balancer, 61_000), "nor does its row");
@@ -318,7 +318,10 @@
     assert!(scheduler.take_unservable(&service, UnixMillis(1_100)).is_empty());
     scheduler.apply_signals(&record(1).life(), &rest(2_000), UnixMillis(1_150), UnixMillis(1_200));
     assert_eq!(scheduler.take_unservable(&service, UnixMillis(1_200)), ["waits"]);
-    assert_eq!(scheduler.refusal(&service, UnixMillis(1_200)).to_string(), "the targets rest");
+    assert_eq!(
+        scheduler.refusal(&service, UnixMillis(1_200)).to_string(),
+        "all targets have asked for a rest period"
+    );
 }
 
 #[test]
@@ -372,7 +375,7 @@
         SlotDecision::Refuse(error) => error.to_string(),
     };
     scheduler.apply_signals(&record(1).life(), &rest(2_000), UnixMillis(1_000), UnixMillis(1_000));
-    assert_eq!(ask(&mut scheduler, 1_500), "the targets rest");
+    assert_eq!(ask(&mut scheduler, 1_500), "all targets have asked for a rest period");
     let told =
         scheduler.retry_after_millis(&service, UnixDeadline(UnixMillis(10_500)), 0.0, UnixMillis(1_500));
     assert!((1_500..=3_000).contains(&told), "{told}");
@@ -388,12 +391,12 @@
     let mut roster = EntryRoster::default();
     let mut ask = |entry: u64, at: u64| roster.record_query(EntryId(entry), UnixMillis(at));
     assert_eq!(ask(5, 100_000), None);
-    assert_eq!(ask(9, 101_000), None, "others may not have asked yet");
+    assert_eq!(ask(9, 101_000), None, "other entries may not have queried yet");
     assert_eq!(ask(5, 103_000), Some(position(0, 2)));
     assert_eq!(ask(7, 104_000), Some(position(1, 3)));
-    assert_eq!(ask(7, 105_000), Some(position(1, 3)), "an entry that began anew is the same");
-    assert_eq!(ask(5, 112_000), Some(position(0, 2)), "one that asks no more is gone after 10 s");
-    assert_eq!(ask(5, 140_000), None, "a process that stood still counts anew");
+    assert_eq!(ask(7, 105_000), Some(position(1, 3)), "a restarted entry keeps its position");
+    assert_eq!(ask(5, 112_000), Some(position(0, 2)), "an entry without queries is dropped after 10 s");
+    assert_eq!(ask(5, 140_000), None, "a process that stalled starts counting again");
 }
 
 #[test]
@@ -408,9 +411,9 @@
     assert_eq!(
         told(Some(position(0, 2)), 3_000),
         Some(position(1, 14)),
-        "entries ask another process, one after the other"
+        "entries switch to another process, one after the other"
     );
-    assert_eq!(told(None, 4_000), Some(position(1, 14)), "that process counts anew");
+    assert_eq!(told(None, 4_000), Some(position(1, 14)), "that process has just started counting");
     assert_eq!(told(Some(position(1, 15)), 5_000), Some(position(1, 15)));
     assert_eq!(told(Some(position(0, 2)), 35_000), Some(position(0, 2)));
 }
--- a/crates/porthoist-policy/tests/policy/proxy.rs
+++ b/crates/porthoist-policy/tests/policy/proxy.rs
@@ -333,7 +333,7 @@
         TargetRecord { id: name("x"), service: name("unnamed"), ..record("t1", TargetState::Ready) };
     let mut registry = TargetRegistry::default();
     registry.apply_listing([record("t1", TargetState::Ready)], None);
-    assert!(!registry.set_services([name("s")]), "all that is known is named");
+    assert!(!registry.set_services([name("s")]), "all known targets belong to configured services");
     registry.apply_changes(vec![TargetChange::Put(foreign.clone())], None);
     assert_eq!(ids(&registry), ["t1", "x"]);
     registry.apply_changes(
--- a/crates/porthoist-policy/tests/policy/quarantine.rs
+++ b/crates/porthoist-policy/tests/policy/quarantine.rs
@@ -50,14 +50,14 @@
         assert_eq!(until, kept);
     }
     if until > 0 {
-        assert!(tracker.begin(&mark("x"), at(until - 1)).is_err(), "kept back until the end");
+        assert!(tracker.begin(&mark("x"), at(until - 1)).is_err(), "blocked until the end");
     }
     let kept = until;
     let after = tracker.begin(&mark("x"), at(kept));
     assert!(after.is_ok(), "{after:?}");
     if expected.is_some() {
         assert_eq!(after, Ok(SendPermit::Suspected));
-        assert!(tracker.begin(&mark("x"), at(kept)).is_err(), "one run at a time");
+        assert!(tracker.begin(&mark("x"), at(kept)).is_err(), "one send at a time");
         tracker.ended(&mark("x"));
         assert_eq!(tracker.begin(&mark("x"), at(kept)), Ok(SendPermit::Suspected));
     }
