--- a/crates/porthoist-policy/src/proxy/groups.rs
+++ b/crates/porthoist-policy/src/proxy/groups.rs
@@ -53,7 +53,7 @@
 
 /// Observed state of one group.
 #[derive(Debug, Clone)]
-struct GroupState {
+struct TrackedGroup {
     pass: GroupPass,
     reported: UnixMillis,
     /// When an event from any of its targets arrived at this process.
@@ -88,7 +88,7 @@
 /// State of all groups, as one process knows it.
 #[derive(Debug, Clone, Default)]
 pub struct GroupTracker {
-    groups: Vec<GroupState>,
+    groups: Vec<TrackedGroup>,
     by_host: HashMap<Ipv4Addr, GroupIndex>,
 }
 
@@ -97,7 +97,7 @@
     pub fn apply_report(&mut self, loads: &GroupLoads, now: UnixMillis) -> GroupIndex {
         let index = self.known_group(loads).unwrap_or(GroupIndex(self.groups.len()));
         if index.0 == self.groups.len() {
-            self.groups.push(GroupState {
+            self.groups.push(TrackedGroup {
                 pass: GroupPass::Unknown,
                 reported: now,
                 last_event: now,
--- a/crates/porthoist-policy/src/proxy/quarantine.rs
+++ b/crates/porthoist-policy/src/proxy/quarantine.rs
@@ -49,7 +49,7 @@
 /// removed.
 const FOREIGN_ROW_DELAY_MILLIS: u64 = 30_000;
 
-/// Minimum delay before a process rewrites a lost row of a death that another process noted, in milliseconds. Jitter adds up
+/// Minimum delay before a process rewrites a lost row of a death that another process observed, in milliseconds. Jitter adds up
 /// to the same amount.
 const REWRITE_DELAY_MILLIS: u64 = 2_000;
 
