--- a/crates/porthoist-policy/src/proxy/backpressure.rs
+++ b/crates/porthoist-policy/src/proxy/backpressure.rs
@@ -1,77 +1,84 @@
-//! What a target says of itself in its answers: how many requests it takes, for how long it wants none, that it leaves.
+//! Backpressure that targets signal in their answers: a rate limit, a rest period, a shutdown or a cold
+//! start.
 //!
-//! It is newer than its row and any report, and only the target itself takes it back. What can't be read changes nothing:
-//! taken for none it would lift a limit, taken for 0 it would close a sound target.
+//! A signal is newer than the target's row and any report, and only the target itself withdraws it. An
+//! unreadable value changes nothing: read as absent it would lift a limit, read as 0 it would close a
+//! healthy target.
 
-use super::cold::{ColdRule, ColdStatus, TargetCold};
+use super::cold::{ColdRule, ColdState, ColdStatus};
 use super::notes::TargetNote;
 use super::targets::TargetLife;
 use super::turns::{RateSource, TargetRate};
 use porthoist_core::{RequestRate, UnixDeadline, UnixMillis};
 use std::collections::VecDeque;
 
-/// Time in milliseconds by which what other processes tell may be older than it seems: the way from one to the other.
-const NOTE_WAY_MILLIS: u64 = 1_000;
-/// Time in milliseconds between two log lines about one target's words; one may name a limit in every second answer.
+/// Time in milliseconds by which a note from another process may be older than its age says: the time
+/// that it takes to arrive.
+const NOTE_TRANSIT_MILLIS: u64 = 1_000;
+/// Minimum time in milliseconds between two log lines about one target, which may change its limit with
+/// every second answer.
 const LOG_MILLIS: u64 = 1_000;
 
-/// A target that nothing certain was heard of for so long, in milliseconds, is tried although others have room: only an answer can
-/// tell that it takes more again.
-const UNHEARD_MILLIS: u64 = 4_000;
-/// Part of a rest by which its end differs between processes, so that they don't come back together.
-const REST_SPREAD: f64 = 0.1;
-/// Time in milliseconds in which load comes back to a target that takes more again; many processes may hear of it together.
+/// Time in milliseconds without a conclusive answer after which a target gets a request although others
+/// have room. Only an answer can tell that it accepts more again.
+const RECHECK_MILLIS: u64 = 4_000;
+/// Fraction by which the end of a rest period varies between processes, so that they don't return
+/// together.
+const REST_JITTER: f64 = 0.1;
+/// Time in milliseconds over which load returns to a target that accepts more again; many processes may
+/// learn of it at once.
 const RETURN_MILLIS: u64 = 3_000;
 
-/// Lives whose needs are remembered after their rows have gone, at most.
-const MAX_VANISHED: usize = 1_024;
+/// Maximum number of lives whose backpressure is stored after their rows have disappeared.
+const MAX_DEPARTED: usize = 1_024;
 
-/// A value that an answer may name.
+/// A value that an answer may contain.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub enum SignalValue<T> {
-    /// It does not.
+    /// The answer does not contain it.
     #[default]
     Absent,
-    /// It does.
+    /// The answer contains it.
     Present(T),
-    /// It does, and the value can't be read.
+    /// The answer contains it in a form that can't be read.
     Unreadable,
 }
 
-/// What one answer says of the target that made it.
+/// Backpressure signals in one answer of a target.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct BackpressureSignals {
-    /// Requests that it takes from all processes together, as long as it says so.
+    /// Requests a second that the target accepts from all processes together until it says otherwise.
     pub limit: SignalValue<RequestRate>,
-    /// Milliseconds for which it wants nothing from this process.
+    /// Milliseconds for which it wants no requests from this process.
     pub rest_millis: SignalValue<u64>,
-    /// Whether it leaves.
+    /// Whether it is shutting down.
     pub leaving: bool,
     /// Milliseconds for which it stays cold.
     pub cold_millis: SignalValue<u64>,
-    /// Whether the answer names the request that it is to: only then does what it lacks end anything.
+    /// Whether the answer carries the identifier of the request. Only then does a missing signal
+    /// withdraw an earlier one.
     pub matches_request: bool,
 }
 
-/// A change of what a target says of itself.
+/// A change in a target's backpressure.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum BackpressureChange {
-    /// It names a limit, or another one than before.
+    /// It announces a limit, or a different one.
     Limited(RequestRate),
-    /// It names none any more, after so many milliseconds.
+    /// It no longer announces a limit, after this many milliseconds.
     Lifted(u64),
-    /// It wants nothing for so many milliseconds.
+    /// It wants no requests for this many milliseconds.
     Resting(u64),
-    /// It answers after a rest that it had asked for, and asks for none.
+    /// It answers after a rest period without asking for another.
     Rested,
-    /// It leaves.
+    /// It is shutting down.
     Leaving,
-    /// What it names can't be read.
+    /// A signal can't be read.
     Unreadable,
 }
 
 impl BackpressureChange {
-    /// Its name in logs and metrics.
+    /// The name in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Limited(_rate) => "limited",
@@ -84,121 +91,123 @@
     }
 }
 
-/// A change, and whether it is worth a line in the log.
+/// A change, and whether it should be logged.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ObservedChange {
     /// The change.
     pub change: BackpressureChange,
-    /// Whether the last line about the target is long enough ago.
+    /// Whether enough time has passed since the last log line about the target.
     pub logged: bool,
 }
 
-/// A limit that a target names.
+/// A limit that a target announced.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct HeardLimit {
+pub struct AnnouncedLimit {
     /// The limit.
     pub rate: RequestRate,
-    /// When it was first named.
+    /// When it was first announced.
     pub since: UnixMillis,
-    /// When it was last named, to this process or as another one told.
-    named: UnixMillis,
+    /// When it was last announced, to this process or to one that passed it on.
+    announced: UnixMillis,
 }
 
-/// What one process was told by one life of a target.
+/// Backpressure of one life of a target, as one process knows it.
 #[derive(Debug, Clone, Default)]
-pub struct TargetNeed {
-    limit: Option<HeardLimit>,
-    /// When its last certain answer came.
-    heard: UnixMillis,
-    /// Until when it wants nothing from this process.
+pub struct TargetBackpressure {
+    limit: Option<AnnouncedLimit>,
+    /// When its last conclusive answer arrived.
+    last_answer: UnixMillis,
+    /// Until when it wants no requests from this process.
     rest_until: Option<UnixDeadline>,
     /// Whether it is cold.
-    cold: TargetCold,
-    /// Whether this life of it leaves: a row that calls it ready is older, and it may never have another.
+    cold: ColdState,
+    /// Whether this life is shutting down. A row that says it is ready is older, and the target may
+    /// never write another.
     leaving: bool,
-    /// When it began to take requests again.
+    /// When it began to accept requests again.
     returned: Option<UnixMillis>,
     unreadable: bool,
-    log_due: UnixDeadline,
+    next_log: UnixDeadline,
 }
 
-impl TargetNeed {
-    /// Takes what the answer to a request says that was sent at a moment. `spread`, from 0 to 1, tells this process's rests from
-    /// those of others.
-    pub fn take(
+impl TargetBackpressure {
+    /// Applies the signals in an answer to a request that was sent at `sent`. `jitter`, from 0 to 1,
+    /// varies the end of a rest period between processes.
+    pub fn apply_signals(
         &mut self,
-        word: &BackpressureSignals,
+        signals: &BackpressureSignals,
         sent: UnixMillis,
-        spread: f64,
+        jitter: f64,
         now: UnixMillis,
     ) -> Vec<ObservedChange> {
-        self.cold.take_answer(word.cold_millis, now);
-        if word.matches_request {
-            self.heard = now;
-            self.cold.answered(now);
+        self.cold.apply_answer(signals.cold_millis, now);
+        if signals.matches_request {
+            self.last_answer = now;
+            self.cold.record_answer(now);
         }
         let changes = [
-            self.take_limit(word, sent, now),
-            self.take_rest(word, spread, now),
-            self.take_leaving(word),
-            self.take_readable(word),
+            self.apply_limit(signals, sent, now),
+            self.apply_rest(signals, jitter, now),
+            self.apply_leaving(signals),
+            self.check_readable(signals),
         ];
-        changes.into_iter().flatten().map(|change| self.noted(change, now)).collect()
+        changes.into_iter().flatten().map(|change| self.observed(change, now)).collect()
     }
 
-    /// Takes what another process tells of the target's limit.
-    pub fn take_note(&mut self, note: &TargetNote, now: UnixMillis) -> Option<ObservedChange> {
+    /// Applies a limit that another process heard from the target.
+    pub fn apply_note(&mut self, note: &TargetNote, now: UnixMillis) -> Option<ObservedChange> {
         let change = match note.limit {
-            Some(rate) if note.as_of > self.heard => self.limited(rate, note.as_of),
+            Some(rate) if note.as_of > self.last_answer => self.limited(rate, note.as_of),
             Some(_older) => None,
-            None => self.lifted(note.as_of, NOTE_WAY_MILLIS, now),
+            None => self.lifted(note.as_of, NOTE_TRANSIT_MILLIS, now),
         };
-        self.heard = self.heard.max(note.as_of);
-        change.map(|change| self.noted(change, now))
+        self.last_answer = self.last_answer.max(note.as_of);
+        change.map(|change| self.observed(change, now))
     }
 
-    /// Until when it wants nothing, if that is not over.
+    /// The end of the current rest period, if any.
     pub fn rest(&self, now: UnixMillis) -> Option<UnixDeadline> {
         self.rest_until.filter(|until| !until.passed(now))
     }
 
-    /// Whether it must get nothing now, whatever its row says.
+    /// Whether it must get no requests now, whatever its row says.
     pub fn closed(&self, now: UnixMillis) -> bool {
         self.leaving || self.rest(now).is_some()
     }
 
-    /// Whether it leaves.
-    pub fn leaves(&self) -> bool {
+    /// Whether it is shutting down.
+    pub fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Whether there is anything that another life of the process must not be taken for.
-    pub(super) fn is_any(&self) -> bool {
-        self.leaving || self.limit.is_some() || self.rest_until.is_some() || self.cold.is_any()
+    /// Whether there is any state to keep in case its row comes back.
+    pub(super) fn has_state(&self) -> bool {
+        self.leaving || self.limit.is_some() || self.rest_until.is_some() || self.cold.has_state()
     }
 
-    /// Takes what its service's operators say of cold targets.
+    /// Sets its service's limit for cold targets.
     pub(super) fn set_cold_rule(&mut self, rule: Option<ColdRule>) {
         self.cold.set_rule(rule);
     }
 
-    /// Takes what its row says. One that is seen for the first time may just have started.
-    pub(super) fn take_row(&mut self, word: ColdStatus, first_seen: bool) {
-        self.cold.take_row(word, first_seen);
+    /// Applies its row. A target that is seen for the first time may have just started.
+    pub(super) fn apply_row(&mut self, status: ColdStatus, first_seen: bool) {
+        self.cold.apply_row(status, first_seen);
     }
 
-    /// Takes that it may have started again.
-    pub(super) fn suspect_start(&mut self) {
-        self.cold.suspect();
+    /// Records that it may have restarted.
+    pub(super) fn suspect_restart(&mut self) {
+        self.cold.suspect_restart();
     }
 
-    /// Takes that its zone gets requests again: it may just have become cold, and all entries come back to it together.
+    /// Records that its zone gets requests again. It may have become cold meanwhile, and all entries
+    /// return to it together.
     pub(super) fn restored(&mut self, now: UnixMillis) {
-        self.cold.start(now);
+        self.cold.record_start(now);
         self.returned = Some(now);
     }
 
-    /// What it takes from all processes together, while anything bounds that.
+    /// Its rate limit for all processes together, if it has one.
     pub fn rate(&self, now: UnixMillis) -> Option<TargetRate> {
         let named = self.limit.map(|limit| TargetRate { rate: limit.rate, source: RateSource::Announced });
         let cold = self.cold.rate(now).map(|rate| TargetRate { rate, source: RateSource::Cold });
@@ -208,17 +217,18 @@
         }
     }
 
-    /// The limit that it names.
-    pub fn limit(&self) -> Option<HeardLimit> {
+    /// The limit that it announces.
+    pub fn limit(&self) -> Option<AnnouncedLimit> {
         self.limit
     }
 
-    /// Whether nothing certain was heard of it for long.
-    pub fn unheard(&self, now: UnixMillis) -> bool {
-        now.since(self.heard) >= UNHEARD_MILLIS
+    /// Whether the last conclusive answer is too old.
+    pub fn needs_recheck(&self, now: UnixMillis) -> bool {
+        now.since(self.last_answer) >= RECHECK_MILLIS
     }
 
-    /// Part of the time that is left until it takes as much as others again, 1 right after the end of a limit or rest.
+    /// Fraction of the return time that is left: 1 right after the end of a limit or a rest period, 0
+    /// once it accepts as much as others again.
     pub fn returning(&self, now: UnixMillis) -> f64 {
         let rested = self.rest_until.filter(|until| until.passed(now)).map(|until| until.0);
         let Some(returned) = self.returned.max(rested) else { return 0.0 };
@@ -226,103 +236,107 @@
         left as f64 / RETURN_MILLIS as f64
     }
 
-    fn take_limit(
+    fn apply_limit(
         &mut self,
-        word: &BackpressureSignals,
+        signals: &BackpressureSignals,
         sent: UnixMillis,
         now: UnixMillis,
     ) -> Option<BackpressureChange> {
-        match word.limit {
+        match signals.limit {
             SignalValue::Present(rate) => self.limited(rate, now),
-            SignalValue::Absent if word.matches_request => self.lifted(sent, 0, now),
+            SignalValue::Absent if signals.matches_request => self.lifted(sent, 0, now),
             SignalValue::Absent | SignalValue::Unreadable => None,
         }
     }
 
-    fn limited(&mut self, rate: RequestRate, named: UnixMillis) -> Option<BackpressureChange> {
-        let since = self.limit.map_or(named, |limit| limit.since);
-        let known = self.limit.replace(HeardLimit { rate, since, named });
+    fn limited(&mut self, rate: RequestRate, announced: UnixMillis) -> Option<BackpressureChange> {
+        let since = self.limit.map_or(announced, |limit| limit.since);
+        let known = self.limit.replace(AnnouncedLimit { rate, since, announced });
         (known.map(|limit| limit.rate) != Some(rate)).then_some(BackpressureChange::Limited(rate))
     }
 
-    /// Takes that a request sent at a moment had an answer without a limit. One that was sent before the limit was last named may
-    /// have been answered before as well, and have lain somewhere since.
+    /// Records an answer without a limit to a request that was sent at `sent`. If that was before the
+    /// limit was last announced, the answer may be older than the limit and have been delayed, and
+    /// changes nothing.
     fn lifted(
         &mut self,
         sent: UnixMillis,
         margin_millis: u64,
         now: UnixMillis,
     ) -> Option<BackpressureChange> {
-        let known = self.limit.filter(|limit| sent >= limit.named.plus(margin_millis))?;
+        let known = self.limit.filter(|limit| sent >= limit.announced.plus(margin_millis))?;
         self.limit = None;
         self.returned = Some(now);
         Some(BackpressureChange::Lifted(now.since(known.since)))
     }
 
-    fn take_rest(
+    fn apply_rest(
         &mut self,
-        word: &BackpressureSignals,
-        spread: f64,
+        signals: &BackpressureSignals,
+        jitter: f64,
         now: UnixMillis,
     ) -> Option<BackpressureChange> {
         let known = self.rest(now);
-        let SignalValue::Present(millis) = word.rest_millis else {
-            let over = self.rest_until.is_some() && known.is_none() && word.matches_request;
+        let SignalValue::Present(millis) = signals.rest_millis else {
+            let over = self.rest_until.is_some() && known.is_none() && signals.matches_request;
             let ended = over.then(|| self.rest_until.take()).flatten()?;
             self.returned = self.returned.max(Some(ended.0));
             return Some(BackpressureChange::Rested);
         };
-        let spread_millis = millis as f64 * REST_SPREAD * spread;
-        let until = UnixDeadline::after(now, millis.saturating_add(spread_millis as u64));
+        let jitter_millis = millis as f64 * REST_JITTER * jitter;
+        let until = UnixDeadline::after(now, millis.saturating_add(jitter_millis as u64));
         self.rest_until = self.rest_until.max(Some(until));
         (millis > 0 && known.is_none()).then_some(BackpressureChange::Resting(millis))
     }
 
-    fn take_leaving(&mut self, word: &BackpressureSignals) -> Option<BackpressureChange> {
-        let news = word.leaving && !self.leaving;
-        self.leaving |= word.leaving;
-        news.then_some(BackpressureChange::Leaving)
+    fn apply_leaving(&mut self, signals: &BackpressureSignals) -> Option<BackpressureChange> {
+        let changed = signals.leaving && !self.leaving;
+        self.leaving |= signals.leaving;
+        changed.then_some(BackpressureChange::Leaving)
     }
 
-    fn take_readable(&mut self, word: &BackpressureSignals) -> Option<BackpressureChange> {
-        let unreadable = word.limit == SignalValue::Unreadable
-            || word.rest_millis == SignalValue::Unreadable
-            || word.cold_millis == SignalValue::Unreadable;
+    fn check_readable(&mut self, signals: &BackpressureSignals) -> Option<BackpressureChange> {
+        let unreadable = signals.limit == SignalValue::Unreadable
+            || signals.rest_millis == SignalValue::Unreadable
+            || signals.cold_millis == SignalValue::Unreadable;
         let before = std::mem::replace(&mut self.unreadable, unreadable);
         (unreadable && !before).then_some(BackpressureChange::Unreadable)
     }
 
-    fn noted(&mut self, change: BackpressureChange, now: UnixMillis) -> ObservedChange {
-        let logged = self.log_due.passed(now);
+    fn observed(&mut self, change: BackpressureChange, now: UnixMillis) -> ObservedChange {
+        let logged = self.next_log.passed(now);
         if logged {
-            self.log_due = UnixDeadline::after(now, LOG_MILLIS);
+            self.next_log = UnixDeadline::after(now, LOG_MILLIS);
         }
         ObservedChange { change, logged }
     }
 }
 
-/// What targets had said of themselves whose rows have gone: rows lapse in an outage of the table service and come back, and the
-/// same life needs what it needed before.
+/// Backpressure of targets whose rows have disappeared. Rows expire during an outage of the table
+/// service and come back, and the same life still needs the same treatment.
 #[derive(Debug, Clone, Default)]
-pub struct VanishedNeeds {
-    needs: VecDeque<(TargetLife, TargetNeed)>,
+pub struct DepartedBackpressure {
+    lives: VecDeque<(TargetLife, TargetBackpressure)>,
 }
 
-impl VanishedNeeds {
-    /// Keeps what a target said, if that was anything; the oldest make room.
-    pub(super) fn keep(&mut self, life: TargetLife, need: TargetNeed) {
-        if !need.is_any() {
+impl DepartedBackpressure {
+    /// Stores the state of a target, if it has any; replaces the oldest if necessary.
+    pub(super) fn keep(&mut self, life: TargetLife, backpressure: TargetBackpressure) {
+        if !backpressure.has_state() {
             return;
         }
-        if self.needs.len() == MAX_VANISHED {
-            self.needs.pop_front();
+        if self.lives.len() == MAX_DEPARTED {
+            self.lives.pop_front();
         }
-        self.needs.push_back((life, need));
+        self.lives.push_back((life, backpressure));
     }
 
-    /// What a life had said.
-    pub(super) fn take(&mut self, life: &TargetLife) -> TargetNeed {
-        let known = self.needs.iter().position(|(known, _need)| known == life);
-        known.and_then(|place| self.needs.remove(place)).map(|(_life, need)| need).unwrap_or_default()
+    /// Removes and returns the state of a life.
+    pub(super) fn take(&mut self, life: &TargetLife) -> TargetBackpressure {
+        let known = self.lives.iter().position(|(known, _backpressure)| known == life);
+        known
+            .and_then(|index| self.lives.remove(index))
+            .map(|(_life, backpressure)| backpressure)
+            .unwrap_or_default()
     }
 }
--- a/crates/porthoist-policy/src/proxy/pass_time.rs
+++ b/crates/porthoist-policy/src/proxy/pass_time.rs
@@ -1,25 +1,25 @@
-//! How long the passes of a group take, from the numbers of passes begun that its first rank shows.
+//! Pass times of a group, derived from the pass counter of its first rank.
 //!
-//! All ranks of a group run each pass together, so that one rank which is slow, held or cut off delays all of them. The
-//! time of a pass tells this at once and whatever the cause.
+//! All ranks of a group run each pass together, so a single rank that is slow, stalled or cut off delays
+//! all of them. The pass time shows this at once, whatever the cause.
 
 use crate::roll_forward::{GroupEpoch, RankPace};
 use crate::switch::StepNumber;
 use porthoist_core::UnixMillis;
 use serde::{Deserialize, Serialize};
 
-/// Weight of a newly seen pass in the mean: a group that turns slow shows it within two passes.
+/// Weight of a new pass in the mean. A group that becomes slow is detected within two passes.
 const PASS_WEIGHT: f64 = 0.5;
 
-/// What is told of a group's passes.
+/// Reported pass time of a group.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GroupPass {
-    /// Nothing, for example by a process that has seen no pass yet.
+    /// Not known, for example because the process has seen no pass yet.
     #[default]
     Unknown,
-    /// A pass takes so many milliseconds, or has taken them already and goes on.
+    /// Milliseconds that a pass takes, or that the current one has already taken.
     Millis(u16),
-    /// The group is not formed: a rank of it is missing.
+    /// The group is not formed: one of its ranks is missing.
     Broken,
 }
 
@@ -33,27 +33,28 @@
     }
 }
 
-/// Weight of a newly seen pass in the usual time, which outlasts the shifts of demand, seconds apart.
-const USUAL_WEIGHT: f64 = 0.05;
-/// Most that one pass counts in the means, in milliseconds: one that was held for seconds is forgotten within five.
-const MOST_PASS_MILLIS: f64 = 1_000.0;
+/// Weight of a new pass in the typical time, which must not follow the demand shifts, seconds apart.
+const TYPICAL_WEIGHT: f64 = 0.05;
+/// Upper bound in milliseconds of one pass in the means. A pass that was blocked for seconds is
+/// forgotten after five more passes.
+const MAX_PASS_MILLIS: f64 = 1_000.0;
 
-/// What a reading of a group showed.
+/// Observed state of a group.
 #[derive(Debug, Clone, Copy)]
 pub struct GroupSample {
-    /// Its formation.
+    /// Epoch of its formation.
     pub epoch: GroupEpoch,
-    /// The last pass begun.
+    /// Number of the last pass begun.
     pub step: StepNumber,
     /// Whether any rank has requests.
     pub busy: bool,
-    /// How slow the slowest rank says that it is.
+    /// Pace of its slowest rank, as the rank reports it.
     pub slowest: RankPace,
 }
 
-/// The pass that was last seen.
+/// The last observed pass.
 #[derive(Debug, Clone, Copy)]
-struct SeenPass {
+struct ObservedPass {
     epoch: GroupEpoch,
     step: StepNumber,
     since: UnixMillis,
@@ -62,16 +63,17 @@
 /// Measures the passes of one group.
 #[derive(Debug, Clone, Default)]
 pub struct PassTimer {
-    last: Option<SeenPass>,
+    last: Option<ObservedPass>,
     mean_millis: Option<f64>,
     /// Mean while no rank is slow.
-    usual_millis: Option<f64>,
+    typical_millis: Option<f64>,
     slowest: RankPace,
 }
 
 impl PassTimer {
-    /// Takes a reading. A group without work makes no passes: what was measured before says nothing of it any more.
-    /// Without that, a group that was held for 4 s and left by all requests meanwhile was taken to stand for ever.
+    /// Records an observation. A group without work runs no passes, so earlier measurements are
+    /// discarded. Otherwise a group that stalled for 4 s and lost all its requests meanwhile would count
+    /// as stalled forever.
     pub fn observe(&mut self, group: GroupSample, now: UnixMillis) {
         let GroupSample { epoch, step, busy: working, slowest } = group;
         self.slowest = slowest;
@@ -80,7 +82,7 @@
             self.mean_millis = None;
             return;
         }
-        let seen = SeenPass { epoch, step, since: now };
+        let seen = ObservedPass { epoch, step, since: now };
         let Some(last) = self.last.filter(|last| last.epoch == epoch && last.step <= step) else {
             self.last = Some(seen);
             return;
@@ -89,21 +91,21 @@
             return;
         }
         let passes = f64::from(step.0 - last.step.0);
-        self.measured((now.since(last.since) as f64 / passes).min(MOST_PASS_MILLIS));
+        self.add_measurement((now.since(last.since) as f64 / passes).min(MAX_PASS_MILLIS));
         self.last = Some(seen);
     }
 
-    fn measured(&mut self, millis: f64) {
+    fn add_measurement(&mut self, millis: f64) {
         self.mean_millis = Some(smoothed(self.mean_millis, millis, PASS_WEIGHT));
         if self.slowest <= RankPace::USUAL {
-            self.usual_millis = Some(smoothed(self.usual_millis, millis, USUAL_WEIGHT));
+            self.typical_millis = Some(smoothed(self.typical_millis, millis, TYPICAL_WEIGHT));
         }
     }
 
-    /// How long a pass takes; the one under way counts once it has taken longer. Of a group without work it is what its
-    /// slowest rank lets expect.
+    /// Current pass time; the running pass counts once it takes longer than the mean. For a group
+    /// without work, the typical time scaled by the pace of its slowest rank.
     pub fn pass(&self, now: UnixMillis) -> GroupPass {
-        let expected = self.usual_millis.map(|usual| usual * self.slowest.factor());
+        let expected = self.typical_millis.map(|typical| typical * self.slowest.factor());
         let Some(mean) = self.mean_millis.or(expected) else { return GroupPass::Unknown };
         let under_way = self.last.map(|last| now.since(last.since) as f64);
         let millis = under_way.map_or(mean, |age| age.max(mean));
--- a/crates/porthoist-policy/src/proxy/scheduler.rs
+++ b/crates/porthoist-policy/src/proxy/scheduler.rs
@@ -1,72 +1,72 @@
-//! Who gets a place, who waits for one and who is refused: the decisions of one process about all its requests.
+//! Decides whether a request is sent, waits or is refused, for all requests of one process.
 //!
-//! The caller of this module sends, waits and answers; it only asks here. The same code is driven by a load that is
-//! played in virtual time.
+//! The scheduler only decides; its caller sends, waits and answers. Simulations in virtual time run the
+//! same code.
 
 use super::backpressure::{BackpressureSignals, ObservedChange};
 use super::balancer::{BalancerSettings, ChosenTarget, LoadBalancer, RequestWork, SendOutcome};
 use super::cold::ColdRule;
-use super::forecast::{PlaceAsk, PlaceForecast, ServiceForecast};
+use super::forecast::{ServiceForecast, WaitDecision, WaitQuery};
 use super::loads::GroupLoads;
-use super::moving::{KnownWays, LEAST_WAIT_MILLIS, MoveCause, PendingSend, move_cause};
+use super::moving::{MIN_WAIT_MILLIS, MoveCause, MoveOptions, PendingSend, move_cause};
 use super::notes::TargetNote;
 use super::service_groups::GroupSnapshot;
 use super::targets::{TargetLife, TargetRecord, TargetRegistry};
 use super::turns::{EntryPosition, RateSource, TargetRate};
-use super::waiting::{QueueClass, WaitList};
+use super::waiting::{QueueClass, WaitQueue};
 use super::zones::EmptiedZones;
 use porthoist_core::{ServiceName, TargetName, UnixDeadline, UnixMillis};
 use std::collections::HashMap;
 
-/// Requests of one service that wait at most; more are refused at once.
+/// Maximum number of waiting requests of one service; further ones are refused at once.
 const MAX_WAITING: usize = 512;
 
-/// What a request needs.
+/// A request that needs a slot at a target.
 #[derive(Debug, Clone)]
 pub struct SlotRequest {
     /// The service.
     pub service: ServiceName,
-    /// Whether its targets are ranks of a group.
+    /// Whether the service's targets are ranks of a group.
     pub ranked: bool,
-    /// The work it brings.
+    /// The work that it causes.
     pub work: RequestWork,
-    /// Rank among requests, 0 first.
+    /// Priority class, 0 first.
     pub priority: u8,
-    /// Targets that it was sent to already.
+    /// Targets that it was already sent to.
     pub tried: Vec<TargetName>,
-    /// When it came.
+    /// When it arrived.
     pub arrival: UnixMillis,
-    /// Time in milliseconds within which its answer, or first event, is on time.
+    /// Time in milliseconds within which its answer or first event is on time.
     pub latency_millis: u64,
-    /// When nobody waits for it any more.
+    /// When its caller stops waiting.
     pub deadline: UnixDeadline,
-    /// Its turn among requests of its rank.
+    /// Its class among waiting requests of the same priority.
     pub class: QueueClass,
 }
 
-/// Why there is no place.
+/// Why there is no slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum SlotError {
-    /// Every target is busy, and none will be free in time.
+    /// All targets are busy, and none will have room in time.
     #[error("all targets are busy")]
     Busy,
-    /// The targets answer nothing, or refuse everything.
+    /// The targets answer nothing or refuse everything.
     #[error("the targets are down")]
     Down,
     /// No target may take requests.
     #[error("no target serves the service")]
     NoTarget,
     /// Too many requests wait.
-    #[error("too many requests wait")]
+    #[error("too many requests are waiting")]
     Full,
-    /// All targets name limits that leave no place in time.
-    #[error("the targets take no more requests a second")]
+    /// All targets announce limits that leave no slot in time.
+    #[error("the targets have reached their rate limits")]
     Limited,
-    /// All targets are cold, and leave no place in time.
+    /// All targets are cold and leave no slot in time.
     #[error("the targets are cold")]
     Cold,
-    /// All targets have asked for rest.
-    #[error("the targets rest")]
+    /// All targets have asked for a rest period.
+    #[error("all targets have asked for a rest period")]
     Resting,
     /// Operators have emptied the zones of all targets.
     #[error("the targets' zones are emptied")]
@@ -82,107 +82,107 @@
     }
 }
 
-/// What becomes of a request.
+/// What to do with a request.
 #[derive(Debug, Clone)]
 pub enum SlotDecision {
-    /// It goes to this target now.
+    /// Send it to this target now.
     Assign(ChosenTarget),
-    /// It waits until then at most, to be served in time.
+    /// Let it wait until then at most, to be answered in time.
     Wait(UnixDeadline),
-    /// It is refused.
+    /// Refuse it.
     Refuse(SlotError),
 }
 
 #[derive(Debug)]
 struct WaitingRequest<W> {
-    demand: SlotRequest,
+    request: SlotRequest,
     waiter: W,
 }
 
-/// The decisions of one process; `W` is what its caller needs to go on with a request that waited.
+/// The scheduler of one process; `W` is what its caller needs to resume a waiting request.
 #[derive(Debug)]
 pub struct RequestScheduler<W> {
-    board: LoadBalancer,
-    waiting: HashMap<ServiceName, WaitList<WaitingRequest<W>>>,
+    balancer: LoadBalancer,
+    waiting: HashMap<ServiceName, WaitQueue<WaitingRequest<W>>>,
     forecasts: HashMap<ServiceName, ServiceForecast>,
 }
 
 impl<W> RequestScheduler<W> {
-    /// A desk without targets.
+    /// Creates a scheduler without targets.
     pub fn new(settings: BalancerSettings) -> Self {
-        Self { board: LoadBalancer::new(settings), waiting: HashMap::new(), forecasts: HashMap::new() }
+        Self { balancer: LoadBalancer::new(settings), waiting: HashMap::new(), forecasts: HashMap::new() }
     }
 
-    /// Takes the targets believed in now.
-    pub fn sync(&mut self, book: &TargetRegistry) {
-        self.board.sync(book);
+    /// Replaces the set of known targets.
+    pub fn sync(&mut self, registry: &TargetRegistry) {
+        self.balancer.sync(registry);
     }
 
-    /// Takes the loads that the engines of a group reported.
+    /// Applies the loads that the engines of a group reported.
     pub fn update_loads(&mut self, loads: &GroupLoads, now: UnixMillis) {
-        self.board.take_loads(loads, now);
+        self.balancer.update_loads(loads, now);
     }
 
-    /// The groups of a service that began to stand, or go on again, since the last call.
+    /// The groups of a service that stalled or recovered since the last call.
     pub fn group_changes(&mut self, service: &ServiceName, now: UnixMillis) -> Vec<GroupSnapshot> {
-        self.board.group_changes(service, now)
+        self.balancer.group_changes(service, now)
     }
 
-    /// Services whose groups are known.
+    /// Services with known groups.
     pub fn grouped_services(&self) -> Vec<ServiceName> {
-        self.board.grouped_services()
+        self.balancer.grouped_services()
     }
 
-    /// What becomes of a request now. One that is to wait is handed over with [`Self::keep`].
-    pub fn decide(&mut self, demand: &SlotRequest, now: UnixMillis) -> SlotDecision {
-        let service = &demand.service;
-        if let Some(error) = self.closed(service, now) {
+    /// Decides what to do with a request. If it has to wait, pass it to [`Self::enqueue`].
+    pub fn decide(&mut self, request: &SlotRequest, now: UnixMillis) -> SlotDecision {
+        let service = &request.service;
+        if let Some(error) = self.closed_reason(service, now) {
             return SlotDecision::Refuse(error);
         }
-        if demand.ranked && !self.forecast(service).may_send(now) {
+        if request.ranked && !self.forecast(service).may_send(now) {
             return SlotDecision::Refuse(SlotError::Down);
         }
-        let list = self.waiting.get(service);
+        let queue = self.waiting.get(service);
         let (waiting, ahead) =
-            list.map_or((0, 0), |list| (list.len(), list.ahead(demand.priority, demand.class)));
+            queue.map_or((0, 0), |queue| (queue.len(), queue.ahead(request.priority, request.class)));
         if waiting == 0
-            && let Some(chosen) = self.choose(demand, now)
+            && let Some(chosen) = self.choose(request, now)
         {
             return SlotDecision::Assign(chosen);
         }
         if waiting >= MAX_WAITING {
             return SlotDecision::Refuse(SlotError::Full);
         }
-        if !self.board.serves(service, now) {
+        if !self.balancer.serves(service, now) {
             return SlotDecision::Refuse(SlotError::NoTarget);
         }
-        let SlotRequest { arrival, latency_millis, deadline, class: turn, .. } = *demand;
-        let supply = self.board.limited_supply(service, now);
-        let limited_millis = supply.map(|supply| supply.millis);
-        let ask = PlaceAsk { ahead, arrival, latency_millis, deadline, turn, limited_millis };
-        match self.forecast(service).ask(ask, now) {
-            PlaceForecast::Wait(until) => SlotDecision::Wait(until),
-            PlaceForecast::Refuse => {
+        let SlotRequest { arrival, latency_millis, deadline, class, .. } = *request;
+        let supply = self.balancer.limited_supply(service, now);
+        let rate_limited_millis = supply.map(|supply| supply.millis);
+        let query = WaitQuery { ahead, arrival, latency_millis, deadline, class, rate_limited_millis };
+        match self.forecast(service).decide(query, now) {
+            WaitDecision::Wait(until) => SlotDecision::Wait(until),
+            WaitDecision::Refuse => {
                 SlotDecision::Refuse(supply.map_or(SlotError::Busy, |supply| supply.source.into()))
             }
         }
     }
 
     /// Why no target may get a request of the service now, whatever room they have.
-    fn closed(&self, service: &ServiceName, now: UnixMillis) -> Option<SlotError> {
-        if self.board.rest_end(service, now).is_some() {
+    fn closed_reason(&self, service: &ServiceName, now: UnixMillis) -> Option<SlotError> {
+        if self.balancer.rest_end(service, now).is_some() {
             return Some(SlotError::Resting);
         }
-        self.board.emptied(service, now).then_some(SlotError::Emptied)
+        self.balancer.emptied(service, now).then_some(SlotError::Emptied)
     }
 
-    /// Lets a request wait.
-    pub fn enqueue(&mut self, demand: SlotRequest, waiter: W) {
-        let list = self.waiting.entry(demand.service.clone()).or_default();
-        list.add(demand.priority, demand.class, WaitingRequest { demand, waiter });
+    /// Adds a request to the wait queue.
+    pub fn enqueue(&mut self, request: SlotRequest, waiter: W) {
+        let queue = self.waiting.entry(request.service.clone()).or_default();
+        queue.add(request.priority, request.class, WaitingRequest { request, waiter });
     }
 
-    /// The next request that waited and has a place now. Those that `waits` says have gone are forgotten.
+    /// The next waiting request that has a slot now. Requests for which `waits` is false are dropped.
     pub fn next_ready(
         &mut self,
         service: &ServiceName,
@@ -195,23 +195,24 @@
                 self.waiting.get_mut(service)?.pop();
                 continue;
             }
-            let demand = first.demand.clone();
-            let chosen = self.choose(&demand, now)?;
+            let request = first.request.clone();
+            let chosen = self.choose(&request, now)?;
             let served = self.waiting.get_mut(service)?.pop()?;
-            return Some((served.waiter, chosen, demand.work));
+            return Some((served.waiter, chosen, request.work));
         }
     }
 
-    /// Those that wait for a service that is down, or whose targets may get nothing: they are to be refused now.
+    /// Removes all waiting requests of a service that is down or whose targets accept nothing; the
+    /// caller refuses them.
     pub fn take_unservable(&mut self, service: &ServiceName, now: UnixMillis) -> Vec<W> {
-        if !self.forecast(service).down() && self.closed(service, now).is_none() {
+        if !self.forecast(service).is_down() && self.closed_reason(service, now).is_none() {
             return Vec::new();
         }
-        let Some(mut list) = self.waiting.remove(service) else { return Vec::new() };
-        std::iter::from_fn(|| list.pop()).map(|waiting| waiting.waiter).collect()
+        let Some(mut queue) = self.waiting.remove(service) else { return Vec::new() };
+        std::iter::from_fn(|| queue.pop()).map(|waiting| waiting.waiter).collect()
     }
 
-    /// Takes the end of a send that had a place for so many milliseconds.
+    /// Records the end of a send that occupied a slot for `held_millis`.
     pub fn ended(
         &mut self,
         service: &ServiceName,
@@ -221,88 +222,90 @@
         held_millis: u64,
         now: UnixMillis,
     ) {
-        self.board.ended(target, work, outcome, now);
+        self.balancer.ended(target, work, outcome, now);
         let answered = matches!(outcome, SendOutcome::Answered(_millis));
-        self.forecast(service).freed(answered.then_some(held_millis as f64));
+        self.forecast(service).request_ended(answered.then_some(held_millis as f64));
     }
 
-    /// Takes that a stream's first event, or an answer, came from a target so many milliseconds after its request had a
-    /// place.
+    /// Records the first event of a stream, or a whole answer, and its delay after the request got its
+    /// slot.
     pub fn first_event_received(&mut self, target: &TargetRecord, millis: f64, now: UnixMillis) {
-        self.board.heard(target, now);
-        self.forecast(&target.service).began(millis, now);
+        self.balancer.event_received(target, now);
+        self.forecast(&target.service).first_event_received(millis, now);
     }
 
-    /// Takes that a stream of a service ended with so many events.
+    /// Records the end of a stream and its number of events.
     pub fn stream_ended(&mut self, service: &ServiceName, events: u64) {
-        self.forecast(service).streamed(events);
+        self.forecast(service).stream_ended(events);
     }
 
-    /// Whether a request is to leave the target that has it, to go on at another one.
+    /// Whether a request should leave its target and continue at another one.
     pub fn move_cause(
         &self,
         target: &TargetRecord,
         send: &PendingSend,
         now: UnixMillis,
     ) -> Option<MoveCause> {
-        // Streams that go on are asked about 20 times a second each; only silence is worth a look at all targets.
-        if now.since(send.since) < LEAST_WAIT_MILLIS {
+        // Active streams call this about 20 times a second; only a pause justifies looking at all
+        // targets.
+        if now.since(send.since) < MIN_WAIT_MILLIS {
             return None;
         }
         let forecast = self.forecasts.get(&target.service)?;
-        let streams = forecast.streams()?;
-        let paces = self.board.paces(&target.service, now);
-        let (here, elsewhere_millis) = match self.board.group_of(&target.life()) {
-            Some(group) => (paces.pace(group)?, paces.best_other(group)),
+        let streams = forecast.stream_stats()?;
+        let groups = self.balancer.service_groups(&target.service, now);
+        let (here, elsewhere_millis) = match self.balancer.group_of(&target.life()) {
+            Some(group) => (groups.status(group)?, groups.best_other_millis(group)),
             // All targets of the service count as one group.
-            None => (forecast.pace(now), None),
+            None => (forecast.group_status(now), None),
         };
-        let host_silent = self.board.silent(&target.life(), now);
+        let host_silent = self.balancer.silent(&target.life(), now);
         move_cause(
             send,
-            &KnownWays { here, elsewhere_millis, taken: paces.taken(), host_silent, streams },
+            &MoveOptions { here, elsewhere_millis, occupancy: groups.occupancy(), host_silent, streams },
             now,
         )
     }
 
-    /// Takes that a target's process has ended.
+    /// Records that a target's process has ended.
     pub fn died(&mut self, life: &TargetLife, now: UnixMillis) {
-        self.board.died(life, now);
+        self.balancer.died(life, now);
     }
 
-    /// Takes what a target says of itself in the answer to a request that was sent at a moment.
+    /// Applies the backpressure signals in an answer to a request that was sent at `sent`.
     pub fn apply_signals(
         &mut self,
         life: &TargetLife,
-        word: &BackpressureSignals,
+        signals: &BackpressureSignals,
         sent: UnixMillis,
         now: UnixMillis,
     ) -> Vec<ObservedChange> {
-        self.board.told(life, word, sent, now)
+        self.balancer.apply_signals(life, signals, sent, now)
     }
 
-    /// Takes what another entry tells of a target.
+    /// Applies a limit that another entry heard from a target.
     pub fn apply_note(&mut self, note: &TargetNote, now: UnixMillis) -> Option<ObservedChange> {
-        self.board.told_by_other(note, now)
+        self.balancer.apply_note(note, now)
     }
 
-    /// Takes that a stream brought an event from a target.
+    /// Records a stream event from a target.
     pub fn event_received(&mut self, target: &TargetRecord, now: UnixMillis) {
-        self.board.heard(target, now);
-        self.forecast(&target.service).heard(now);
+        self.balancer.event_received(target, now);
+        self.forecast(&target.service).event_received(now);
     }
 
-    /// Takes that a service refused or failed a request.
+    /// Records that a service refused or failed a request.
     pub fn refused(&mut self, service: &ServiceName, now: UnixMillis) {
         self.forecast(service).refused(now);
     }
 
-    /// Whether a target has said that it leaves.
+    /// Whether a target has announced that it is shutting down.
     pub fn is_leaving(&self, life: &TargetLife) -> bool {
-        self.board.leaves(life)
+        self.balancer.is_leaving(life)
     }
 
-    /// After how many milliseconds a caller that is refused should come back; `point` is random between 0 and 1.
+    /// Delay in milliseconds after which a refused caller should retry; `point` is random between 0 and
+    /// 1.
     pub fn retry_after_millis(
         &mut self,
         service: &ServiceName,
@@ -310,76 +313,76 @@
         point: f64,
         now: UnixMillis,
     ) -> u64 {
-        let supply = self.board.limited_supply(service, now);
-        let waiting = self.waiting.get(service).map_or(0, WaitList::len);
+        let supply = self.balancer.limited_supply(service, now);
+        let waiting = self.waiting.get(service).map_or(0, WaitQueue::len);
         let limited = supply.map_or(0.0, |supply| supply.millis * (waiting + 1) as f64);
-        let resting = self.board.rest_end(service, now).map_or(0, |end| end.0.since(now));
+        let resting = self.balancer.rest_end(service, now).map_or(0, |end| end.0.since(now));
         let least = limited.max(resting as f64);
-        self.forecast(service).return_millis(deadline, least, point, now)
+        self.forecast(service).retry_after_millis(deadline, least, point, now)
     }
 
-    /// Why a request that waited in vain is refused.
+    /// Why a request is refused that has waited without getting a slot.
     pub fn refusal(&self, service: &ServiceName, now: UnixMillis) -> SlotError {
-        if let Some(error) = self.closed(service, now) {
+        if let Some(error) = self.closed_reason(service, now) {
             return error;
         }
-        match (self.board.serves(service, now), self.board.limited_supply(service, now)) {
+        match (self.balancer.serves(service, now), self.balancer.limited_supply(service, now)) {
             (false, _) => SlotError::NoTarget,
             (true, Some(supply)) => supply.source.into(),
             (true, None) => SlotError::Busy,
         }
     }
 
-    /// Whether a request that was given a place at a target may still be sent there.
+    /// Whether a request that was assigned a slot at a target may still be sent there.
     pub fn is_still_valid(&self, life: &TargetLife, rate: Option<TargetRate>, now: UnixMillis) -> bool {
-        self.board.stands(life, rate, now)
+        self.balancer.is_still_valid(life, rate, now)
     }
 
-    /// Takes what services' operators say of cold targets.
+    /// Sets the services' limits for cold targets.
     pub fn set_cold_rules(&mut self, rules: HashMap<ServiceName, ColdRule>) {
-        self.board.set_cold_rules(rules);
+        self.balancer.set_cold_rules(rules);
     }
 
-    /// Takes the zones that operators have emptied.
+    /// Sets the zones that operators have emptied.
     pub fn set_emptied(&mut self, zones: &EmptiedZones, now: UnixMillis) {
-        self.board.set_emptied(zones, now);
+        self.balancer.set_emptied(zones, now);
     }
 
-    /// Targets that count as cold now.
+    /// Number of targets that count as cold.
     pub fn cold_targets(&self, now: UnixMillis) -> usize {
-        self.board.cold(now)
+        self.balancer.cold_targets(now)
     }
 
-    /// When the next request of a service that waits may be sent although nothing was released.
+    /// When the next waiting request of a service may be sent even if no slot is released.
     pub fn next_turn(&self, service: &ServiceName, now: UnixMillis) -> Option<UnixDeadline> {
-        self.board.limited_supply(service, now).map(|supply| supply.next)
+        self.balancer.limited_supply(service, now).map(|supply| supply.next)
     }
 
-    /// Takes this process's place among the entries of its zone.
-    pub fn set_entry_position(&mut self, place: Option<EntryPosition>) {
-        self.board.set_place(place);
+    /// Sets this process's position among the entries of its zone.
+    pub fn set_entry_position(&mut self, position: Option<EntryPosition>) {
+        self.balancer.set_entry_position(position);
     }
 
-    /// Services that requests wait for.
+    /// Services with waiting requests.
     pub fn awaited_services(&self) -> Vec<ServiceName> {
-        let lists = self.waiting.iter().filter(|(_service, list)| !list.is_empty());
-        lists.map(|(service, _list)| service.clone()).collect()
+        let queues = self.waiting.iter().filter(|(_service, queue)| !queue.is_empty());
+        queues.map(|(service, _queue)| service.clone()).collect()
     }
 
-    /// Requests that wait now.
+    /// Number of waiting requests.
     pub fn waiting(&self) -> usize {
-        self.waiting.values().map(WaitList::len).sum()
+        self.waiting.values().map(WaitQueue::len).sum()
     }
 
-    /// Requests of this process at a target.
+    /// Number of this process's requests at a target.
     pub fn in_flight(&self, target: &TargetLife) -> u32 {
-        self.board.in_flight(target)
+        self.balancer.in_flight(target)
     }
 
-    fn choose(&mut self, demand: &SlotRequest, now: UnixMillis) -> Option<ChosenTarget> {
-        let SlotRequest { service, ranked, work, tried, .. } = demand;
-        let chosen = self.board.choose(service, *ranked, *work, tried, now)?;
-        self.forecast(service).placed(now);
+    fn choose(&mut self, request: &SlotRequest, now: UnixMillis) -> Option<ChosenTarget> {
+        let SlotRequest { service, ranked, work, tried, .. } = request;
+        let chosen = self.balancer.choose(service, *ranked, *work, tried, now)?;
+        self.forecast(service).request_started(now);
         Some(chosen)
     }
 
--- a/crates/porthoist-policy/tests/policy/cold_fleet.rs
+++ b/crates/porthoist-policy/tests/policy/cold_fleet.rs
@@ -1,4 +1,5 @@
-//! Entries before targets that start again, in virtual time: each entry decides by itself, with the code that is in use.
+//! Simulation in virtual time of entries whose targets restart. Each entry runs the production
+//! scheduler.
 
 use porthoist_core::{RequestRate, ServiceName, StartMillis, UnixDeadline, UnixMillis, ZoneName};
 use porthoist_policy::proxy::balancer::{BalancerSettings, ChosenTarget, RequestWork, SendOutcome};
@@ -12,21 +13,21 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 
-/// How long a target takes for a request, in milliseconds.
+/// Duration of a request at a target in milliseconds.
 const RUN_MILLIS: u64 = 200;
-/// Requests of one entry that a target runs at once.
+/// Requests of one entry that a target runs concurrently.
 const SLOTS: u32 = 1;
-/// Moment at which the fleet begins, in milliseconds.
+/// Unix time in milliseconds at which the simulation starts.
 const BEGIN: u64 = 1_700_000_000_000;
-/// When targets start again, in milliseconds from the beginning.
+/// When targets restart, in milliseconds since the start.
 pub const START: u64 = 6_000;
-/// How long they are cold, in milliseconds.
+/// Time in milliseconds for which they are cold.
 pub const COLD: u64 = 3_000;
-/// Requests a second that a cold target bears.
+/// Requests a second that a cold target can take.
 pub const RATE: f64 = 17.0;
-/// Requests in a second that break the users' rule: one and a half times the rate, and five.
+/// Permitted requests in a second by the users' rule: one and a half times the rate, plus five.
 pub const ALLOWED: f64 = 1.5 * RATE + 5.0;
-/// Longest time in milliseconds until an entry learns of a row.
+/// Longest time in milliseconds until an entry reads a row.
 const ROW_MILLIS: u64 = 800;
 
 #[derive(Debug, Clone, bon::Builder)]
@@ -36,21 +37,21 @@
     pub zones: usize,
     #[builder(default = 12)]
     pub targets: usize,
-    /// Targets that start again, those of the first zone first.
+    /// Number of targets that restart, beginning with those of the first zone.
     pub cold: usize,
-    /// Requests a second that callers send to each entry; more than all targets have room for, if nothing is said.
+    /// Requests a second of the callers of each entry; more than the targets have room for by default.
     #[builder(default = 80.0)]
     pub rate: f64,
-    /// Whether their rows tell, or the entries only see their connections break.
+    /// Whether rows announce the restart; otherwise the entries only see broken connections.
     #[builder(default = true)]
     pub rows: bool,
-    /// Entries that begin anew while targets are cold, and know no place for a second.
+    /// Number of entries that restart while targets are cold and don't know their position for a second.
     #[builder(default)]
     pub killed: usize,
-    /// Entries that hear nothing of rows and places from then on.
+    /// Number of entries that receive no rows and positions from the restart on.
     #[builder(default)]
     pub cut_off: usize,
-    /// By how much entries' clocks differ at most, in milliseconds.
+    /// Maximum difference between the clocks of entries in milliseconds.
     #[builder(default)]
     pub clocks_apart: u64,
     #[builder(default = 1)]
@@ -71,7 +72,7 @@
     Turn {
         entry: usize,
     },
-    /// A row reaches an entry.
+    /// An entry reads a row.
     Row {
         entry: usize,
     },
@@ -83,18 +84,18 @@
     },
 }
 
-/// What became of all requests.
+/// Totals of a simulation.
 #[derive(Debug, Default, Clone)]
 pub struct ColdReport {
     pub served: usize,
     pub refused_cold: usize,
     pub held_in_vain: usize,
-    /// Times at which each target that started again got requests, while it was cold.
+    /// Times of the requests that each restarted target got while it was cold.
     arrivals: BTreeMap<usize, Vec<u64>>,
 }
 
 impl ColdReport {
-    /// The most requests that a cold target got in any second.
+    /// Maximum number of requests that a cold target got in any second.
     pub fn most(&self) -> usize {
         let most = |times: &Vec<u64>| {
             let within = |from: &u64| times.iter().filter(|at| **at >= *from && **at < from + 1_000).count();
@@ -103,7 +104,7 @@
         self.arrivals.values().map(most).max().unwrap_or_default()
     }
 
-    /// Part of the rate that cold targets got in their last two seconds.
+    /// Fraction of the rate that cold targets got in their last two seconds.
     pub fn used(&self) -> f64 {
         let late = |times: &Vec<u64>| times.iter().filter(|at| **at >= START + COLD - 2_000).count() as f64;
         let all: f64 = self.arrivals.values().map(late).sum();
@@ -111,16 +112,16 @@
     }
 }
 
-struct PlayedEntry {
-    desk: RequestScheduler<u64>,
+struct SimulatedEntry {
+    scheduler: RequestScheduler<u64>,
     clock_ahead: u64,
     life: u64,
 }
 
 struct ColdFleet {
     settings: ColdSettings,
-    entries: Vec<PlayedEntry>,
-    /// The targets before the start.
+    entries: Vec<SimulatedEntry>,
+    /// The targets before the restart.
     records: Vec<TargetRecord>,
     service: ServiceName,
     events: BinaryHeap<Reverse<(u64, u64, ColdEvent)>>,
@@ -129,8 +130,8 @@
     report: ColdReport,
 }
 
-/// Plays a fleet from before its targets start again until they are warm.
-pub fn play(settings: &ColdSettings) -> ColdReport {
+/// Simulates from before the targets restart until they are warm.
+pub fn simulate(settings: &ColdSettings) -> ColdReport {
     let mut fleet = ColdFleet::new(settings.clone());
     while let Some(Reverse((at, _sequence, event))) = fleet.events.pop() {
         if at >= START + COLD {
@@ -188,17 +189,17 @@
         fleet
     }
 
-    fn entry(&mut self, index: usize, life: u64) -> PlayedEntry {
+    fn entry(&mut self, index: usize, life: u64) -> SimulatedEntry {
         let zone = zone_name(index % self.settings.zones);
         let settings = BalancerSettings::builder().zone(zone).per_rank(3).rank_limit(12);
-        let mut desk = RequestScheduler::new(settings.seed(index as u64).build());
+        let mut scheduler = RequestScheduler::new(settings.seed(index as u64).build());
         let rule = ColdRule { rate: RequestRate(RATE), millis: COLD };
-        desk.set_cold_rules(HashMap::from([(self.service.clone(), rule)]));
+        scheduler.set_cold_rules(HashMap::from([(self.service.clone(), rule)]));
         let clock_ahead = self.random.random_range(0..=self.settings.clocks_apart);
-        PlayedEntry { desk, clock_ahead, life }
+        SimulatedEntry { scheduler, clock_ahead, life }
     }
 
-    /// Tells an entry what rows say at a moment.
+    /// Updates an entry with the rows at a time.
     fn tell_rows(&mut self, entry: usize, at: u64) {
         let now = self.clock(entry, at);
         let mut records = self.records.clone();
@@ -208,9 +209,9 @@
                 record.cold = ColdStatus::from_remaining((START + COLD).saturating_sub(at), now);
             }
         }
-        let mut book = TargetRegistry::default();
-        book.apply_listing(records, None);
-        self.entries[entry].desk.sync(&book);
+        let mut registry = TargetRegistry::default();
+        registry.apply_listing(records, None);
+        self.entries[entry].scheduler.sync(&registry);
     }
 
     fn at(&mut self, at: u64, event: ColdEvent) {
@@ -231,8 +232,8 @@
             ColdEvent::Place { entry } => {
                 let (zones, entries) = (self.settings.zones, self.settings.entries);
                 let in_zone = (entries - entry % zones).div_ceil(zones) as u32;
-                let place = EntryPosition { index: (entry / zones) as u32, entries: in_zone };
-                self.entries[entry].desk.set_entry_position(Some(place));
+                let position = EntryPosition { index: (entry / zones) as u32, entries: in_zone };
+                self.entries[entry].scheduler.set_entry_position(Some(position));
             }
             ColdEvent::Kill { entry } => {
                 let life = self.entries[entry].life + 1;
@@ -248,7 +249,7 @@
         let next = at as f64 + pause + self.random.random::<f64>();
         self.at(next as u64, ColdEvent::Caller { entry });
         let now = self.clock(entry, at);
-        let demand = SlotRequest {
+        let request = SlotRequest {
             service: self.service.clone(),
             ranked: false,
             work: RequestWork::default(),
@@ -259,11 +260,11 @@
             deadline: UnixDeadline::after(now, 8_000),
             class: QueueClass::First,
         };
-        let desk = &mut self.entries[entry].desk;
-        match desk.decide(&demand, now) {
+        let scheduler = &mut self.entries[entry].scheduler;
+        match scheduler.decide(&request, now) {
             SlotDecision::Assign(chosen) => self.send(entry, &chosen, at),
             SlotDecision::Wait(until) => {
-                desk.enqueue(demand, at + until.0.since(now));
+                scheduler.enqueue(request, at + until.0.since(now));
                 self.next_turn(entry, at);
             }
             SlotDecision::Refuse(error) => self.report.refused_cold += usize::from(error == SlotError::Cold),
@@ -277,7 +278,7 @@
 
     fn next_turn(&mut self, entry: usize, at: u64) {
         let now = self.clock(entry, at);
-        if let Some(turn) = self.entries[entry].desk.next_turn(&self.service, now) {
+        if let Some(turn) = self.entries[entry].scheduler.next_turn(&self.service, now) {
             self.at(at + turn.0.since(now), ColdEvent::Turn { entry });
         }
     }
@@ -290,12 +291,12 @@
             *until > at
         };
         while let Some((_until, chosen, _work)) =
-            self.entries[entry].desk.next_ready(&self.service, waits, now)
+            self.entries[entry].scheduler.next_ready(&self.service, waits, now)
         {
             self.send(entry, &chosen, at);
         }
         self.report.held_in_vain += vain.get();
-        if self.entries[entry].desk.waiting() > 0 {
+        if self.entries[entry].scheduler.waiting() > 0 {
             self.next_turn(entry, at);
         }
     }
@@ -303,7 +304,7 @@
     fn send(&mut self, entry: usize, chosen: &ChosenTarget, at: u64) {
         let target = self.place(&chosen.record.life());
         let starts = target < self.settings.cold;
-        // What runs when a target ends is lost, as is what reaches the life that has ended.
+        // Requests that run when a target ends are lost, as are those sent to the life that has ended.
         let newest = chosen.record.born == StartMillis(u64::from(starts && self.settings.rows));
         let ends = if at < START { at + RUN_MILLIS >= START } else { !newest };
         let lost = starts && ends;
@@ -323,9 +324,9 @@
         let outcome = if lost { SendOutcome::Lost } else { SendOutcome::Answered(RUN_MILLIS as f64) };
         let id = self.records[target].id.clone();
         let lives = [0, 1].map(|born| TargetLife { id: id.clone(), born: StartMillis(born) });
-        let desk = &mut self.entries[entry].desk;
-        if let Some(life) = lives.iter().find(|life| desk.in_flight(life) > 0) {
-            desk.ended(&self.service, life, RequestWork::default(), outcome, RUN_MILLIS, now);
+        let scheduler = &mut self.entries[entry].scheduler;
+        if let Some(life) = lives.iter().find(|life| scheduler.in_flight(life) > 0) {
+            scheduler.ended(&self.service, life, RequestWork::default(), outcome, RUN_MILLIS, now);
         }
         self.serve_waiting(entry, at);
     }
--- a/crates/porthoist-policy/tests/policy/domains.rs
+++ b/crates/porthoist-policy/tests/policy/domains.rs
@@ -1,4 +1,4 @@
-//! Groups judged as one: which group a request goes to when one of several is slow, silent or broken.
+//! Choice of a group when one of several is slow, silent or broken.
 
 use porthoist_core::{ServiceName, StartMillis, UnixMillis};
 use porthoist_policy::proxy::balancer::{BalancerSettings, LoadBalancer, RequestWork, SendOutcome};
@@ -11,7 +11,7 @@
 const GROUPS: usize = 3;
 const RANKS: usize = 8;
 const RANK_LIMIT: u32 = 10;
-/// A usual pass in milliseconds.
+/// A typical pass time.
 const USUAL: GroupPass = GroupPass::Millis(50);
 
 fn service() -> ServiceName {
@@ -40,41 +40,41 @@
     GroupLoads { revision: LoadRevision(1), pass, ranks: ranks.collect() }
 }
 
-/// A board that heard of all groups at moment 0.
-fn board(seed: u64, passes: [GroupPass; GROUPS]) -> LoadBalancer {
-    let mut book = TargetRegistry::default();
+/// A balancer with reports from all groups at time 0.
+fn balancer(seed: u64, passes: [GroupPass; GROUPS]) -> LoadBalancer {
+    let mut registry = TargetRegistry::default();
     let places = (0..GROUPS).flat_map(|group| (0..RANKS).map(move |rank| (group, rank)));
-    book.apply_listing(places.map(|(group, rank)| record(group, rank)), None);
+    registry.apply_listing(places.map(|(group, rank)| record(group, rank)), None);
     let settings = BalancerSettings::builder()
         .zone("a".parse().expect("a name"))
         .per_rank(3)
         .rank_limit(RANK_LIMIT)
         .seed(seed)
         .build();
-    let mut board = LoadBalancer::new(settings);
-    board.sync(&book);
+    let mut balancer = LoadBalancer::new(settings);
+    balancer.sync(&registry);
     for (group, pass) in passes.into_iter().enumerate() {
-        board.take_loads(&loads(group, 4, pass), UnixMillis(0));
+        balancer.update_loads(&loads(group, 4, pass), UnixMillis(0));
     }
-    board
+    balancer
 }
 
-/// Places one request and ends it at once; returns its group.
-fn place(board: &mut LoadBalancer, now: u64) -> usize {
-    let chosen = board.choose(&service(), true, RequestWork::default(), &[], UnixMillis(now));
+/// Sends one request and ends it at once; returns its group.
+fn place(balancer: &mut LoadBalancer, now: u64) -> usize {
+    let chosen = balancer.choose(&service(), true, RequestWork::default(), &[], UnixMillis(now));
     let record = chosen.expect("there is room").record;
-    board.ended(&record.life(), RequestWork::default(), SendOutcome::Answered(10.0), UnixMillis(now));
+    balancer.ended(&record.life(), RequestWork::default(), SendOutcome::Answered(10.0), UnixMillis(now));
     let group = record.id.as_str().trim_start_matches('t').split('-').next().expect("a group");
     group.parse().expect("a number")
 }
 
-/// Requests of 20 processes by group, 30 of each.
+/// Number of requests by group: 30 from each of 20 processes.
 fn placed(passes: [GroupPass; GROUPS], now: u64) -> [usize; GROUPS] {
     let mut counts = [0; GROUPS];
     for seed in 0..20 {
-        let mut board = board(seed, passes);
+        let mut balancer = balancer(seed, passes);
         for _request in 0..30 {
-            counts[place(&mut board, now)] += 1;
+            counts[place(&mut balancer, now)] += 1;
         }
     }
     counts
@@ -98,13 +98,14 @@
     assert!(counts[1] > 0 && counts[1] < counts[0], "{counts:?}");
 }
 
-/// A rank that is slow by 12 makes the passes of a group with few requests some 270 ms: all its streams are late.
+/// A rank that is slower by a factor of 12 stretches the passes of a lightly loaded group to some
+/// 270 ms, which makes all its streams late.
 #[test]
 fn a_group_that_makes_its_streams_late_gets_nothing_while_others_have_room() {
     assert_eq!(placed([USUAL, GroupPass::Millis(270), USUAL], 10)[1], 0);
 }
 
-/// All are in time, and the measure errs.
+/// Both pass times are in time, and their measurement has errors.
 #[test]
 fn groups_with_good_passes_are_not_told_apart() {
     let counts = placed([USUAL, GroupPass::Millis(75), USUAL], 10);
@@ -122,66 +123,66 @@
     assert!(counts.iter().all(|count| *count > 100), "{counts:?}");
 }
 
-/// Of the groups 1 and 2 nothing is heard: their link is cut, or they stand.
+/// Nothing is heard from groups 1 and 2: their link is cut, or they have stalled.
 #[test]
 fn a_group_that_nothing_is_heard_of_gets_nothing() {
     for seed in 0..20 {
-        let mut board = board(seed, [USUAL; GROUPS]);
-        board.take_loads(&loads(0, 4, USUAL), UnixMillis(700));
-        let groups: Vec<usize> = (0..30).map(|_request| place(&mut board, 700)).collect();
+        let mut balancer = balancer(seed, [USUAL; GROUPS]);
+        balancer.update_loads(&loads(0, 4, USUAL), UnixMillis(700));
+        let groups: Vec<usize> = (0..30).map(|_request| place(&mut balancer, 700)).collect();
         assert_eq!(groups, [0; 30]);
     }
 }
 
 #[test]
 fn groups_stay_apart_when_a_rank_moves_from_one_to_another() {
-    let mut board = board(1, [USUAL; GROUPS]);
+    let mut balancer = balancer(1, [USUAL; GROUPS]);
     let mut grown = loads(1, 4, USUAL);
     grown.ranks.insert(0, RankLoad { host: host(0, 0), requests: 4, silent: false });
     let mut shrunk = loads(0, 4, GroupPass::Broken);
     shrunk.ranks.remove(0);
-    board.take_loads(&grown, UnixMillis(10));
-    board.take_loads(&shrunk, UnixMillis(10));
-    let groups: Vec<usize> = (0..60).map(|_request| place(&mut board, 20)).collect();
+    balancer.update_loads(&grown, UnixMillis(10));
+    balancer.update_loads(&shrunk, UnixMillis(10));
+    let groups: Vec<usize> = (0..60).map(|_request| place(&mut balancer, 20)).collect();
     assert!(groups.contains(&1) && groups.contains(&2), "{groups:?}");
     assert!(groups.iter().filter(|group| **group == 0).count() < 20, "only the rank that moved: {groups:?}");
 }
 
-/// An event of one target speaks for its group, also where the process that reports has gone.
+/// An event from one target describes its group, even if the reporting process has gone.
 #[test]
 fn events_show_that_a_group_without_reports_goes_on() {
-    let mut board = board(1, [USUAL; GROUPS]);
+    let mut balancer = balancer(1, [USUAL; GROUPS]);
     for group in 0..2 {
-        board.take_loads(&loads(group, 4, USUAL), UnixMillis(700));
+        balancer.update_loads(&loads(group, 4, USUAL), UnixMillis(700));
     }
-    board.heard(&record(2, 5), UnixMillis(690));
-    let groups: Vec<usize> = (0..60).map(|_request| place(&mut board, 700)).collect();
+    balancer.event_received(&record(2, 5), UnixMillis(690));
+    let groups: Vec<usize> = (0..60).map(|_request| place(&mut balancer, 700)).collect();
     assert!(groups.contains(&2), "{groups:?}");
 }
 
-/// Reports of one group may never come back: the process that made them has gone.
+/// The reports of a group may never resume, because the process that made them has gone.
 #[test]
 fn one_request_now_and_then_tries_a_group_that_nothing_is_heard_of() {
-    let mut board = board(1, [USUAL; GROUPS]);
+    let mut balancer = balancer(1, [USUAL; GROUPS]);
     let mut tried = 0;
     for now in (2_000..8_000).step_by(50) {
         for group in 0..2 {
-            board.take_loads(&loads(group, 4, USUAL), UnixMillis(now));
+            balancer.update_loads(&loads(group, 4, USUAL), UnixMillis(now));
         }
-        tried += usize::from(place(&mut board, now) == 2);
+        tried += usize::from(place(&mut balancer, now) == 2);
     }
     assert!((1..=3).contains(&tried), "{tried} in 6 s");
 }
 
 #[test]
 fn a_change_of_a_group_is_told_once() {
-    let mut board = board(1, [USUAL; GROUPS]);
-    place(&mut board, 10);
-    board.choose(&service(), true, RequestWork::default(), &[], UnixMillis(10)).expect("there is room");
+    let mut balancer = balancer(1, [USUAL; GROUPS]);
+    place(&mut balancer, 10);
+    balancer.choose(&service(), true, RequestWork::default(), &[], UnixMillis(10)).expect("there is room");
     let mut changes = |pass, at| {
-        (0..GROUPS).for_each(|group| board.take_loads(&loads(group, 4, USUAL), UnixMillis(at)));
-        board.take_loads(&loads(1, 4, pass), UnixMillis(at));
-        let changes = board.group_changes(&service(), UnixMillis(at));
+        (0..GROUPS).for_each(|group| balancer.update_loads(&loads(group, 4, USUAL), UnixMillis(at)));
+        balancer.update_loads(&loads(1, 4, pass), UnixMillis(at));
+        let changes = balancer.group_changes(&service(), UnixMillis(at));
         changes.iter().map(|group| (group.index.place(), group.status.stalled)).collect::<Vec<_>>()
     };
     assert_eq!(changes(USUAL, 20), []);
--- a/crates/porthoist-policy/tests/policy/needy_fleet.rs
+++ b/crates/porthoist-policy/tests/policy/needy_fleet.rs
@@ -1,4 +1,5 @@
-//! Entries before targets that ask for less, in virtual time: each entry decides by itself, with the code that is in use.
+//! Simulation in virtual time of entries whose targets announce limits. Each entry runs the production
+//! scheduler.
 
 use porthoist_core::{RequestRate, ServiceName, StartMillis, UnixDeadline, UnixMillis, ZoneName};
 use porthoist_policy::proxy::backpressure::{BackpressureChange, BackpressureSignals, SignalValue};
@@ -14,38 +15,38 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 
-/// How long a target takes for a request, in milliseconds.
+/// Duration of a request at a target in milliseconds.
 const RUN_MILLIS: u64 = 30;
-/// Requests that a target runs at once.
+/// Requests that a target runs concurrently.
 const SLOTS: u32 = 6;
-/// Time in milliseconds between two questions of an entry to the process that follows the tables for its zone.
+/// Interval in milliseconds at which an entry queries the process that follows the tables for its zone.
 const ROUND_MILLIS: u64 = 1_000;
-/// Moment at which the fleet begins, in milliseconds.
+/// Unix time in milliseconds at which the simulation starts.
 const BEGIN: u64 = 1_700_000_000_000;
-/// Time in milliseconds that callers have.
+/// Time in milliseconds until callers leave.
 const PATIENCE: u64 = 8_000;
 /// Time in milliseconds within which answers are on time.
 const LATENCY: u64 = 500;
 
-/// What one target says, and when.
+/// A limit that one target announces for some time.
 #[derive(Debug, Clone, Copy)]
-pub struct PlayedNeed {
+pub struct SimulatedLimit {
     pub target: usize,
     /// Requests a second.
     pub limit: f64,
-    /// In milliseconds from the start.
+    /// Milliseconds since the start.
     pub from: u64,
     pub until: u64,
 }
 
-/// What entries believe of their number.
+/// What entries assume about their number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EntryCount {
-    /// What it is.
+    /// The actual number.
     Known,
-    /// Nothing.
+    /// Unknown.
     Unknown,
-    /// Each that it is the only one.
+    /// Each assumes to be the only one.
     Alone,
 }
 
@@ -56,20 +57,20 @@
     pub targets: usize,
     /// Requests a second of all callers.
     pub rate: f64,
-    pub needs: Vec<PlayedNeed>,
+    pub needs: Vec<SimulatedLimit>,
     pub millis: u64,
     #[builder(default = EntryCount::Known)]
     pub count: EntryCount,
-    /// Whether the entries of a zone tell each other what targets said.
+    /// Whether the entries of a zone exchange notes.
     #[builder(default = true)]
     pub shared: bool,
-    /// Entries that stand still from 8 to 12 s.
+    /// Number of entries that stall from 8 to 12 s.
     #[builder(default)]
     pub frozen: usize,
-    /// Entries that begin anew every 3 s, one after the other, and know nothing then.
+    /// Whether entries restart without state, one every 3 s.
     #[builder(default)]
     pub restarts: bool,
-    /// By how much entries' clocks differ at most, in milliseconds.
+    /// Maximum difference between the clocks of entries in milliseconds.
     #[builder(default)]
     pub clocks_apart: u64,
     #[builder(default = 1)]
@@ -91,7 +92,7 @@
     Restart {
         entry: usize,
     },
-    /// An entry asks the process that follows the tables for its zone.
+    /// An entry queries the process that follows the tables for its zone.
     Round {
         entry: usize,
     },
@@ -101,11 +102,11 @@
 #[derive(Debug, Clone, Copy)]
 struct Arrival {
     at: u64,
-    /// Whether its entry had been told of the target's limit half a second before.
+    /// Whether the target had announced its limit to the entry at least half a second before.
     told: bool,
 }
 
-/// What became of all requests.
+/// Totals of a simulation.
 #[derive(Debug, Default, Clone)]
 pub struct FleetReport {
     pub served: usize,
@@ -116,8 +117,9 @@
 }
 
 impl FleetReport {
-    /// The most requests that a target got in any 4 s, from entries that it had told, while it named a limit for 3 s.
-    pub fn most(&self, need: PlayedNeed) -> usize {
+    /// Maximum number of requests that a target got in any 4 s, starting 3 s after it announced its
+    /// limit, from entries that had heard the limit from it.
+    pub fn most(&self, need: SimulatedLimit) -> usize {
         let counted = self.arrivals[need.target].iter().filter(|arrival| arrival.told);
         let times: Vec<u64> = counted.map(|arrival| arrival.at).collect();
         let within = |from: &u64| times.iter().filter(|at| **at >= *from && **at < from + 4_000).count();
@@ -125,31 +127,31 @@
         begins.map(within).max().unwrap_or_default()
     }
 
-    /// Requests a second that a target got between two moments.
+    /// Requests a second at a target between two times.
     pub fn rate(&self, target: usize, from: u64, until: u64) -> f64 {
         let within = self.arrivals[target].iter().filter(|arrival| arrival.at >= from && arrival.at < until);
         within.count() as f64 * 1_000.0 / (until - from) as f64
     }
 }
 
-struct PlayedEntry {
-    desk: RequestScheduler<u64>,
+struct SimulatedEntry {
+    scheduler: RequestScheduler<u64>,
     clock_ahead: u64,
     frozen_until: u64,
-    /// What it tells the others of its zone.
+    /// Notes to pass on to the other entries of its zone.
     notes: NoteStore,
-    /// When each target first told it of its limit.
+    /// When each target first announced its limit to it.
     told: HashMap<usize, u64>,
     life: u64,
 }
 
 struct Fleet {
     settings: FleetSettings,
-    entries: Vec<PlayedEntry>,
-    book: TargetRegistry,
+    entries: Vec<SimulatedEntry>,
+    registry: TargetRegistry,
     targets: BTreeMap<TargetLife, usize>,
     service: ServiceName,
-    /// What each zone's entries have told.
+    /// Notes that the entries of each zone have passed on.
     zones: Vec<NoteStore>,
     events: BinaryHeap<Reverse<(u64, u64, FleetEvent)>>,
     sequence: u64,
@@ -161,8 +163,8 @@
     format!("z{index}").parse().unwrap()
 }
 
-/// Plays the fleet.
-pub fn play(settings: &FleetSettings) -> FleetReport {
+/// Runs a simulation.
+pub fn simulate(settings: &FleetSettings) -> FleetReport {
     let mut fleet = Fleet::new(settings.clone());
     fleet.at(0, FleetEvent::Caller);
     for entry in (0..settings.entries).filter(|_entry| settings.shared) {
@@ -197,12 +199,12 @@
         });
         let records: Vec<TargetRecord> = records.collect();
         let targets = records.iter().enumerate().map(|(index, record)| (record.life(), index)).collect();
-        let mut book = TargetRegistry::default();
-        book.apply_listing(records, None);
+        let mut registry = TargetRegistry::default();
+        registry.apply_listing(records, None);
         let report = FleetReport { arrivals: vec![Vec::new(); settings.targets], ..FleetReport::default() };
         let mut fleet = Self {
             entries: Vec::new(),
-            book,
+            registry,
             targets,
             service,
             zones: vec![NoteStore::default(); settings.zones],
@@ -216,23 +218,23 @@
         fleet
     }
 
-    fn entry(&mut self, index: usize, life: u64) -> PlayedEntry {
+    fn entry(&mut self, index: usize, life: u64) -> SimulatedEntry {
         let (zones, entries) = (self.settings.zones, self.settings.entries);
         let zone = index % zones;
         let in_zone = (entries - zone).div_ceil(zones) as u32;
-        let place = match self.settings.count {
+        let position = match self.settings.count {
             EntryCount::Known => Some(EntryPosition { index: (index / zones) as u32, entries: in_zone }),
             EntryCount::Unknown => None,
             EntryCount::Alone => Some(EntryPosition { index: 0, entries: 1 }),
         };
         let settings = BalancerSettings::builder().zone(zone_name(zone)).per_rank(3).rank_limit(12);
-        let mut desk = RequestScheduler::new(settings.seed(index as u64).build());
-        desk.sync(&self.book);
-        desk.set_entry_position(place);
+        let mut scheduler = RequestScheduler::new(settings.seed(index as u64).build());
+        scheduler.sync(&self.registry);
+        scheduler.set_entry_position(position);
         let clock_ahead = self.random.random_range(0..=self.settings.clocks_apart);
         let frozen_until = if index < self.settings.frozen { 12_000 } else { 0 };
-        PlayedEntry {
-            desk,
+        SimulatedEntry {
+            scheduler,
             clock_ahead,
             frozen_until,
             notes: NoteStore::default(),
@@ -263,7 +265,7 @@
         }
     }
 
-    /// Tells what it has heard of targets, and hears what the others of its zone have. The process has a clock of its own.
+    /// Exchanges notes with the other entries of the zone through a process with its own clock.
     fn round(&mut self, entry: usize, at: u64) {
         self.at(at + ROUND_MILLIS, FleetEvent::Round { entry });
         if (8_000..self.entries[entry].frozen_until).contains(&at) {
@@ -275,21 +277,21 @@
             self.zones[zone].take(note.aged(now).to_local(zone_now));
         }
         for note in self.zones[zone].current(zone_now) {
-            self.entries[entry].desk.apply_note(&note.aged(zone_now).to_local(now), now);
+            self.entries[entry].scheduler.apply_note(&note.aged(zone_now).to_local(now), now);
         }
     }
 
     fn caller(&mut self, at: u64) {
         let entry = self.random.random_range(0..self.settings.entries);
         let pause = -(1_000.0 / self.settings.rate) * (1.0 - self.random.random::<f64>()).ln();
-        // Several callers may come in one millisecond.
+        // Several callers may arrive in the same millisecond.
         let next = (at as f64 + pause + self.random.random::<f64>()) as u64;
         self.at(next, FleetEvent::Caller);
         let frozen = (8_000..self.entries[entry].frozen_until).contains(&at);
         let at = if frozen { self.entries[entry].frozen_until } else { at };
         let now = self.clock(entry, at);
         let priority = u8::from(self.random.random::<f64>() > 0.2) + 1;
-        let demand = SlotRequest {
+        let request = SlotRequest {
             service: self.service.clone(),
             ranked: false,
             work: RequestWork::default(),
@@ -300,11 +302,11 @@
             deadline: UnixDeadline::after(now, PATIENCE),
             class: QueueClass::First,
         };
-        let desk = &mut self.entries[entry].desk;
-        match desk.decide(&demand, now) {
+        let scheduler = &mut self.entries[entry].scheduler;
+        match scheduler.decide(&request, now) {
             SlotDecision::Assign(chosen) => self.send(entry, &chosen, priority, at),
             SlotDecision::Wait(_until) => {
-                desk.enqueue(demand, at + LATENCY);
+                scheduler.enqueue(request, at + LATENCY);
                 self.next_turn(entry, at);
             }
             SlotDecision::Refuse(error) => {
@@ -316,7 +318,7 @@
 
     fn next_turn(&mut self, entry: usize, at: u64) {
         let now = self.clock(entry, at);
-        if let Some(turn) = self.entries[entry].desk.next_turn(&self.service, now) {
+        if let Some(turn) = self.entries[entry].scheduler.next_turn(&self.service, now) {
             self.at(at + turn.0.since(now), FleetEvent::Turn { entry });
         }
     }
@@ -325,11 +327,11 @@
         let now = self.clock(entry, at);
         let waits = |until: &u64| *until > at;
         while let Some((_until, chosen, _work)) =
-            self.entries[entry].desk.next_ready(&self.service, waits, now)
+            self.entries[entry].scheduler.next_ready(&self.service, waits, now)
         {
             self.send(entry, &chosen, 0, at);
         }
-        if self.entries[entry].desk.waiting() > 0 {
+        if self.entries[entry].scheduler.waiting() > 0 {
             self.next_turn(entry, at);
         }
     }
@@ -354,15 +356,15 @@
             .iter()
             .find(|need| need.target == target && (need.from..need.until).contains(&at));
         let limit = named.map_or(SignalValue::Absent, |need| SignalValue::Present(RequestRate(need.limit)));
-        let word = BackpressureSignals { limit, matches_request: true, ..BackpressureSignals::default() };
+        let signals = BackpressureSignals { limit, matches_request: true, ..BackpressureSignals::default() };
         let (clock_sent, now) = (self.clock(entry, sent), self.clock(entry, at));
-        let record = self.book.records().find(|record| self.targets[&record.life()] == target);
+        let record = self.registry.records().find(|record| self.targets[&record.life()] == target);
         let target_life = record.expect("targets stay").life();
         let played = &mut self.entries[entry];
         if named.is_some() {
             played.told.entry(target).or_insert(at);
         }
-        let changes = played.desk.apply_signals(&target_life, &word, clock_sent, now);
+        let changes = played.scheduler.apply_signals(&target_life, &signals, clock_sent, now);
         let lifted = changes.iter().any(|noted| matches!(noted.change, BackpressureChange::Lifted(_)));
         let limit = named.map(|need| RequestRate(need.limit));
         if limit.is_some() || lifted {
@@ -370,7 +372,7 @@
             played.notes.take(TargetNote { life: target_life.clone(), limit, as_of });
         }
         let outcome = SendOutcome::Answered((at - sent) as f64);
-        played.desk.ended(&self.service, &target_life, RequestWork::default(), outcome, at - sent, now);
+        played.scheduler.ended(&self.service, &target_life, RequestWork::default(), outcome, at - sent, now);
         self.serve_waiting(entry, at);
     }
 }
