--- a/porthoistd/src/config.rs
+++ b/porthoistd/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration in force in this process, shared by its duties.
+//! The configuration in force, shared by all threads of the process.
 
 use parking_lot::{Mutex, RwLock};
 use porthoist_caller::ConfigPort;
@@ -10,10 +10,10 @@
 use std::sync::Arc;
 use tokio::sync::watch;
 
-/// Recent changes kept for peers that are a little behind.
+/// Number of recent changes kept for peers that lag behind.
 const HISTORY_CHANGES: usize = 512;
 
-/// The configuration with those who wait for its changes.
+/// Holds the configuration and notifies subscribers of its changes.
 #[derive(Debug)]
 pub struct ConfigHub {
     state: Mutex<(ConfigState, ChangeHistory)>,
@@ -23,7 +23,7 @@
 }
 
 impl ConfigHub {
-    /// A hub without configuration.
+    /// Creates a hub without configuration.
     pub fn new(metrics: Arc<MetricsHub>) -> Arc<Self> {
         Arc::new(Self {
             state: Mutex::new((ConfigState::default(), ChangeHistory::new(HISTORY_CHANGES))),
@@ -33,7 +33,7 @@
         })
     }
 
-    /// Adopts a change if it is newer and joins without a gap.
+    /// Adopts a change if it is newer and leaves no gap.
     pub fn adopt(&self, change: ConfigChange) -> AdoptOutcome {
         let mut guard = self.state.lock();
         let (state, history) = &mut *guard;
@@ -47,7 +47,8 @@
         outcome
     }
 
-    /// What a process with the revision `since` in force lacks, if anything.
+    /// The changes that a process at revision `since` is missing, if any: recent changes, or a snapshot if
+    /// they no longer suffice.
     pub fn change_since(&self, since: u64) -> Option<ConfigChange> {
         if since >= self.revision() {
             return None;
@@ -66,7 +67,7 @@
         *self.revision.borrow()
     }
 
-    /// Follows the revision.
+    /// Subscribes to the revision.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.revision.subscribe()
     }
@@ -76,7 +77,7 @@
         self.current().row(&key).cloned()
     }
 
-    /// A target's row.
+    /// The table row of a target.
     pub fn target(&self, target: &TargetName) -> Option<TargetRow> {
         match self.row(RowKind::Target, target.as_str()) {
             Some(TableRow::Target(row)) => Some(row),
@@ -95,7 +96,7 @@
         limits.into_iter()
     }
 
-    /// A team's limits.
+    /// The limits of a team, if it has a row.
     pub fn limit(&self, team: &TeamName) -> Option<TeamLimit> {
         let TeamRow { rate, concurrency, .. } = self.team(team)?;
         Some(TeamLimit { rate, concurrency })
--- a/porthoistd/src/duty.rs
+++ b/porthoistd/src/duty.rs
@@ -1,11 +1,11 @@
-//! The duties of a process, a thread each.
+//! The duties of a process: its independent parts, most of which run on a thread of their own (see
+//! [`spawn_duty`]).
 
 pub mod callers;
 pub mod claims;
 pub mod entry_fleet;
 pub mod group;
 pub mod loads;
-pub mod news;
 pub mod offers;
 pub mod operator;
 pub mod platform;
@@ -14,12 +14,14 @@
 pub mod signals;
 pub mod status;
 pub mod target_fleet;
+pub mod zone_peers;
 
 use std::io;
 use std::thread::JoinHandle;
 use tokio::task::LocalSet;
 
-/// Starts a duty: a thread with a runtime of its own. The future is made on the thread, so it need not be `Send`.
+/// Runs a duty on a new thread with its own runtime. The future is created on that thread, so it need not be
+/// `Send`.
 pub fn spawn_duty<M, F>(name: &str, make: M) -> io::Result<JoinHandle<()>>
 where
     M: FnOnce() -> F + Send + 'static,
--- a/porthoistd/src/duty/callers.rs
+++ b/porthoistd/src/duty/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' duty of an entry: the public listener, and its graceful stop.
+//! Serves callers on an entry's public listener and drains it on shutdown.
 
 use porthoist_caller::CallerServer;
 use porthoist_http::{ServerSettings, serve_until};
@@ -7,10 +7,11 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// Requests in flight are looked at so often while the process stops.
-const DRAIN_POLL: Duration = Duration::from_millis(20);
+/// Interval at which shutdown checks whether requests are still in flight.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Serves callers. After the signal it goes on accepting for `stop_lag`, since the balancer learns of it late.
+/// Serves callers until shutdown has drained all requests. After the stop signal the listener keeps accepting
+/// for `stop_lag`, because the load balancer notices the shutdown late.
 pub async fn serve_callers(
     listener: TcpListener,
     server: CallerServer,
@@ -31,7 +32,7 @@
     };
     tokio::join!(serving, closing);
     while server.in_flight() > 0 {
-        tokio::time::sleep(DRAIN_POLL).await;
+        tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
-    info!(logger, "nothing is in flight any more");
+    info!(logger, "all in-flight requests finished");
 }
--- a/porthoistd/src/duty/claims.rs
+++ b/porthoistd/src/duty/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of callers' own keys: writes that wait at the same time go to the table in one transaction.
+//! Claims on idempotency keys that callers choose; concurrent writes are batched into one table transaction.
 
 use futures::future::BoxFuture;
 use parking_lot::Mutex;
@@ -10,9 +10,9 @@
 use std::sync::Arc;
 use tokio::sync::oneshot;
 
-/// Claim calls that wait at most; more are answered as if the table were silent.
-const RING: usize = 1024;
-/// Writes in one transaction at most.
+/// Capacity of the queue of claim calls; calls beyond it get [`ClaimEvent::TableUnavailable`].
+const RING_CAPACITY: usize = 1024;
+/// Maximum number of writes in one transaction.
 pub const MAX_BATCH: usize = 64;
 
 #[derive(Debug)]
@@ -27,17 +27,17 @@
     Read { key: String, reply: oneshot::Sender<ClaimEvent<TicketText>> },
 }
 
-/// The callers' way to the duty.
+/// Sends claim calls to the claims task.
 #[derive(Debug)]
 pub struct ClaimHandle(Mutex<RingSender<ClaimCall>>);
 
-/// The duty's end of the ring.
+/// Receiving end of the claim queue.
 #[derive(Debug)]
 pub struct ClaimCalls(RingReceiver<ClaimCall>);
 
-/// Both ends.
+/// Creates the claim queue and returns both ends.
 pub fn claim_ring() -> (ClaimHandle, ClaimCalls) {
-    let (sender, receiver) = bounded_ring(RING);
+    let (sender, receiver) = bounded_ring(RING_CAPACITY);
     (ClaimHandle(Mutex::new(sender)), ClaimCalls(receiver))
 }
 
@@ -80,7 +80,7 @@
     }
 }
 
-/// Serves claim calls until the callers' end is gone.
+/// Serves claim calls until the sending end is dropped.
 pub async fn serve_claims(mut calls: ClaimCalls, platform: Arc<dyn PlatformClient>) {
     while let Some(call) = calls.0.receive().await {
         let mut batch = Vec::new();
@@ -97,7 +97,7 @@
 
 fn dispatch(call: ClaimCall, batch: &mut Vec<PendingWrite>, platform: &Arc<dyn PlatformClient>) {
     match call {
-        // Two writes of one key must not meet in one transaction: the second would see the first's effect.
+        // Two writes to one key must not share a transaction: the second would see the first one's effect.
         ClaimCall::Write(pending) if batch.iter().any(|other| other.write.key == pending.write.key) => {
             tokio::task::spawn_local(write_batch(vec![pending], Arc::clone(platform)));
         }
@@ -109,7 +109,7 @@
                     Ok(item) => ClaimEvent::Read(item.and_then(read_claim)),
                     Err(_silent) => ClaimEvent::TableUnavailable,
                 };
-                // A caller that is gone needs no answer.
+                // The caller may have disconnected.
                 drop(reply.send(event));
             });
         }
--- a/porthoistd/src/duty/entry_fleet.rs
+++ b/porthoistd/src/duty/entry_fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet duty of an entry: connections to targets, offers, and gossip with other entries.
+//! The fleet side of an entry: connections to targets, offers, and gossip with other entries.
 
 pub mod gossip;
 pub mod settlement;
@@ -28,59 +28,61 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use view::FleetView;
 
-/// Commands that wait at most; more are refused as overload.
-const RING: usize = 8192;
-/// Targets that one entry keeps connections to at most; beyond that it takes a subset by rendezvous.
+/// Capacity of the command queue; commands beyond it are refused as overload.
+const RING_CAPACITY: usize = 8192;
+/// Maximum number of targets one entry stays connected to; beyond it the entry picks a subset by rendezvous
+/// hashing.
 pub const TARGET_SUBSET: usize = 128;
-/// Entries of its own availability zone that one entry talks to at most; their limits are settled among them.
+/// Maximum number of entries of its own availability zone that one entry connects to. Team limits are settled
+/// among them.
 pub const ZONE_PEERS: usize = 128;
-/// Entries of other zones that one entry gossips with at most.
+/// Maximum number of entries, of any zone, that one entry connects to besides [`ZONE_PEERS`].
 pub const PEER_SUBSET: usize = 8;
-/// The list of live entries is counted so often.
-const COUNT_TIME: Duration = Duration::from_secs(1);
+/// Interval at which the live entries are counted.
+const COUNT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What other duties ask of this one.
+/// A command from another thread.
 #[derive(Debug)]
 pub enum FleetCommand {
-    /// Offer a request.
+    /// Offers a request to a target.
     Offer {
         /// The target.
         target: TargetName,
         /// The request.
         offer: Box<RequestOffer>,
-        /// Where streamed frames go.
+        /// Receives the streamed frames.
         frames: mpsc::Sender<AnswerFrame>,
-        /// Where the outcome goes; closing it gives the offer up.
+        /// Receives the outcome; closing it abandons the offer.
         reply: oneshot::Sender<Result<OfferOutcome, OfferFailure>>,
     },
-    /// Ask for tickets.
+    /// Requests tickets from a target.
     Mint {
         /// The target.
         target: TargetName,
-        /// Who may use them.
+        /// The team that may use the tickets.
         team: TeamName,
-        /// How many.
+        /// Number of tickets.
         count: u32,
-        /// When they end.
+        /// When the tickets expire.
         deadline: UnixDeadline,
-        /// Where they go.
+        /// Receives the tickets.
         reply: oneshot::Sender<Result<Vec<TicketText>, OfferFailure>>,
     },
 }
 
-/// The callers' way to this duty.
+/// Sends commands to the fleet thread.
 #[derive(Debug)]
 pub struct FleetHandle(Mutex<RingSender<FleetCommand>>);
 
-/// Both ends of the ring of commands.
+/// Creates the command queue and returns both ends.
 pub fn fleet_ring() -> (FleetHandle, RingReceiver<FleetCommand>) {
-    let (sender, receiver) = bounded_ring(RING);
+    let (sender, receiver) = bounded_ring(RING_CAPACITY);
     (FleetHandle(Mutex::new(sender)), receiver)
 }
 
 const OVERLOADED: OfferFailure =
     OfferFailure { reason: RefusalReason::Overloaded, verdict: RunVerdict::NotRun };
-const LOST: OfferFailure =
+const CONNECTION_LOST: OfferFailure =
     OfferFailure { reason: RefusalReason::ConnectionLost, verdict: RunVerdict::MayHaveRun };
 
 impl FleetHandle {
@@ -101,7 +103,7 @@
         let sent = self.send(FleetCommand::Offer { target, offer: Box::new(offer), frames, reply });
         Box::pin(async move {
             sent?;
-            answer.await.unwrap_or(Err(LOST))
+            answer.await.unwrap_or(Err(CONNECTION_LOST))
         })
     }
 
@@ -116,37 +118,37 @@
         let sent = self.send(FleetCommand::Mint { target, team, count, deadline, reply });
         Box::pin(async move {
             sent?;
-            answer.await.unwrap_or(Err(LOST))
+            answer.await.unwrap_or(Err(CONNECTION_LOST))
         })
     }
 }
 
-/// What every task of the duty shares.
+/// State shared by all tasks of [`EntryFleet`].
 #[derive(Debug)]
 pub struct FleetShared {
     /// This entry's name.
     pub node: TargetName,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Shown to peers.
+    /// Key that authenticates this process to its peers.
     pub key: SharedSecret,
-    /// Configuration.
+    /// The configuration in force.
     pub config: Arc<ConfigHub>,
-    /// Routing.
+    /// The routing actor.
     pub routing: ActorRef<RoutingActor>,
-    /// What operators see.
+    /// Fleet state shown to operators.
     pub view: Arc<FleetView>,
-    /// The time.
+    /// Source of the current time.
     pub clock: Arc<dyn ClockSource>,
-    /// Counters.
+    /// Metrics of this process.
     pub metrics: Arc<MetricsHub>,
-    /// The host list.
+    /// The host list of the platform.
     pub hosts: watch::Sender<Vec<HostEntry>>,
-    /// Logs.
+    /// The logger.
     pub logger: Logger,
 }
 
-/// The duty on its thread.
+/// Connections to targets and entries, and the tasks that maintain them.
 #[derive(Clone)]
 pub struct EntryFleet {
     pub(crate) shared: Arc<FleetShared>,
@@ -161,12 +163,12 @@
 }
 
 impl EntryFleet {
-    /// The duty; it must live on a `LocalSet`.
+    /// Creates the fleet side. It spawns local tasks, so it must run on a `LocalSet`.
     pub fn new(shared: Arc<FleetShared>) -> Self {
         Self { shared, peers: Rc::default(), followed: Rc::default() }
     }
 
-    /// Serves commands until the callers' end is gone.
+    /// Serves commands until the sending end is dropped.
     pub async fn run(self, mut commands: RingReceiver<FleetCommand>) {
         tokio::task::spawn_local(self.clone().follow_hosts());
         tokio::task::spawn_local(self.clone().count_entries());
@@ -207,8 +209,8 @@
         let failed = matches!(&outcome, Some(Err(_)));
         let load = outcome.as_ref().and_then(|ended| ended.as_ref().ok()).map(|(_outcome, load)| *load);
         let message = LoadMessage { target, load, done: Some(attempt), unreachable: failed };
-        // Routing ends only with the process.
-        let _told = self.shared.routing.tell(message).await;
+        // The routing actor runs as long as the process.
+        let _sent = self.shared.routing.tell(message).await;
         let Some(ended) = outcome else { return };
         let answer = ended.map(|(outcome, _load)| outcome).map_err(|error| failure(&error));
         drop(reply.send(answer));
@@ -229,12 +231,12 @@
         drop(reply.send(minted.map_err(|error| failure(&error))));
     }
 
-    /// Keeps a task for each host on the list that this entry follows.
+    /// Runs one task for each followed host of the host list.
     async fn follow_hosts(self) {
         let mut hosts = self.shared.hosts.subscribe();
         loop {
             let list = hosts.borrow_and_update().clone();
-            self.shared.view.listed(&list);
+            self.shared.view.add_hosts(&list);
             for host in self.followed_hosts(list) {
                 if self.followed.borrow_mut().insert(host.name.clone()) {
                     tokio::task::spawn_local(self.clone().follow_host(host));
@@ -246,7 +248,7 @@
         }
     }
 
-    /// The hosts that this entry keeps a connection to: a deterministic subset where there are many.
+    /// The hosts this entry connects to: a deterministic subset if there are many.
     fn followed_hosts(&self, list: Vec<HostEntry>) -> Vec<HostEntry> {
         use porthoist_policy::membership::rendezvous_subset;
         let key = porthoist_core::offer::AnswerDigest::of(self.shared.node.as_str().as_bytes());
@@ -259,9 +261,9 @@
             chosen.insert(name.to_owned());
         }
         let own_zone = |host: &&HostEntry| host.zone == self.shared.zone && host.role == HostRole::Entry;
-        let near = list.iter().filter(own_zone).map(|host| host.name.as_str());
-        let near = near.filter(|name| *name != self.shared.node.as_str());
-        for name in rendezvous_subset(key, near, ZONE_PEERS) {
+        let zone_entries = list.iter().filter(own_zone).map(|host| host.name.as_str());
+        let zone_entries = zone_entries.filter(|name| *name != self.shared.node.as_str());
+        for name in rendezvous_subset(key, zone_entries, ZONE_PEERS) {
             chosen.insert(name.to_owned());
         }
         for name in rendezvous_subset(key, names(HostRole::Entry), PEER_SUBSET) {
@@ -279,7 +281,7 @@
         self.followed.borrow_mut().remove(&name);
     }
 
-    /// The present line of the host list for a name.
+    /// The current host list entry of `name`.
     pub(crate) fn listed(&self, name: &TargetName) -> Option<HostEntry> {
         self.shared.hosts.borrow().iter().find(|host| host.name == *name).cloned()
     }
@@ -287,9 +289,9 @@
     async fn count_entries(self) {
         loop {
             let (zone, all) = self.shared.view.live_entries(&self.shared.zone);
-            // Routing ends only with the process.
-            let _told = self.shared.routing.tell(EntriesMessage { zone, all }).await;
-            tokio::time::sleep(COUNT_TIME).await;
+            // The routing actor runs as long as the process.
+            let _sent = self.shared.routing.tell(EntriesMessage { zone, all }).await;
+            tokio::time::sleep(COUNT_INTERVAL).await;
         }
     }
 }
--- a/porthoistd/src/duty/entry_fleet/gossip.rs
+++ b/porthoistd/src/duty/entry_fleet/gossip.rs
@@ -1,7 +1,7 @@
-//! Gossip between entries: the configuration revision in force, and changes that a peer lacks.
+//! Gossip between entries: the revision of the configuration in force, and changes a peer is missing.
 
 use super::EntryFleet;
-use super::targets::{MAX_RECONNECT_TIME, MIN_RECONNECT_TIME, SILENCE_TIME, spaced};
+use super::targets::{MAX_RECONNECT_DELAY, MIN_RECONNECT_DELAY, PEER_TIMEOUT, scaled_interval};
 use crate::duty::routing::CoordinatorMessage;
 use porthoist_core::offer::TargetHello;
 use porthoist_core::{LoadReport, RequestOffer, TeamName, TicketText, UnixDeadline};
@@ -14,11 +14,11 @@
 use slog::info;
 use std::time::Duration;
 
-/// Time between two exchanges with one peer, up to [`GOSSIP_PEERS`] peers.
-pub const GOSSIP_TIME: Duration = Duration::from_secs(1);
-/// Beyond so many peers the time grows with the square of their number; changes come from the table then, and gossip
-/// only covers a zone that is cut off from it.
-pub const GOSSIP_PEERS: usize = 8;
+/// Interval between exchanges with one peer, with up to [`FULL_RATE_PEERS`] peers.
+pub const GOSSIP_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of peers above which the interval grows with its square. Changes come from the table; gossip only
+/// serves a zone that is cut off from it.
+pub const FULL_RATE_PEERS: usize = 8;
 
 impl EntryFleet {
     pub(crate) fn own_digest(&self) -> FleetDigest {
@@ -32,13 +32,13 @@
         }
     }
 
-    /// The host list for a peer that lacks it.
+    /// The host list, if the peer asked for it.
     fn hosts_for(&self, wanted: bool) -> Vec<HostEntry> {
         if wanted { self.shared.hosts.borrow().clone() } else { Vec::new() }
     }
 
-    fn take_digest(&self, digest: FleetDigest) {
-        self.shared.view.entry_heard(&digest.node, digest.revision);
+    fn apply_digest(&self, digest: FleetDigest) {
+        self.shared.view.update_entry(&digest.node, digest.revision);
         self.shared.hosts.send_if_modified(|known| {
             let lacking = known.is_empty() && !digest.hosts.is_empty();
             if lacking {
@@ -53,58 +53,58 @@
         }
     }
 
-    /// Follows another entry until it is off the host list and can't be reached.
+    /// Gossips with another entry until it has left the host list and its connection has ended.
     pub(crate) async fn follow_entry(self, first: HostEntry) {
         let name = first.name.clone();
-        let mut pause = MIN_RECONNECT_TIME;
+        let mut pause = MIN_RECONNECT_DELAY;
         loop {
             let Some(host) = self.listed(&name) else {
-                self.shared.view.gone(&name);
+                self.shared.view.remove(&name);
                 return;
             };
             if let Ok(peer) = FleetPeer::connect(&host.address, &self.shared.key).await {
                 self.peers.borrow_mut().insert(name.clone(), peer.clone());
-                let error = self.exchanges(&name, &peer).await;
+                let error = self.exchange_digests(&name, &peer).await;
                 self.peers.borrow_mut().remove(&name);
-                info!(self.shared.logger, "entry lost"; "entry" => %name, "error" => %error);
+                info!(self.shared.logger, "lost the connection to an entry"; "entry" => %name, "error" => %error);
                 peer.close();
-                pause = MIN_RECONNECT_TIME;
+                pause = MIN_RECONNECT_DELAY;
             }
-            self.shared.view.silent(&name);
+            self.shared.view.mark_unreachable(&name);
             tokio::time::sleep(pause).await;
-            pause = (pause * 2).min(MAX_RECONNECT_TIME);
+            pause = (pause * 2).min(MAX_RECONNECT_DELAY);
         }
     }
 
-    async fn exchanges(&self, name: &TargetName, peer: &FleetPeer) -> FleetError {
+    async fn exchange_digests(&self, name: &TargetName, peer: &FleetPeer) -> FleetError {
         loop {
             let own = self.own_digest();
-            let digest = match tokio::time::timeout(SILENCE_TIME, peer.gossip(&own)).await {
-                Err(_elapsed) => return FleetError::unreachable("no digest in time"),
+            let digest = match tokio::time::timeout(PEER_TIMEOUT, peer.gossip(&own)).await {
+                Err(_elapsed) => return FleetError::unreachable("no gossip digest before the timeout"),
                 Ok(Err(error)) => return error,
                 Ok(Ok(digest)) => digest,
             };
             if digest.node != *name {
-                return FleetError::unreachable(format!("{} answers in its place", digest.node));
+                return FleetError::unreachable(format!("connected to {} instead", digest.node));
             }
             let revision = digest.revision;
             let hosts = self.hosts_for(digest.wants_hosts);
-            self.take_digest(digest);
+            self.apply_digest(digest);
             if !hosts.is_empty() {
-                let told = FleetDigest { hosts, ..self.own_digest() };
-                // The next exchange tells it again if this one is lost.
-                drop(tokio::time::timeout(SILENCE_TIME, peer.gossip(&told)).await);
+                let reply = FleetDigest { hosts, ..self.own_digest() };
+                // If this exchange is lost, the next one sends the host list again.
+                drop(tokio::time::timeout(PEER_TIMEOUT, peer.gossip(&reply)).await);
             }
-            if let Err(error) = self.bring_up_to_date(peer, revision).await {
+            if let Err(error) = self.send_missing_changes(peer, revision).await {
                 return error;
             }
-            let peers = self.shared.view.entries_known();
-            tokio::time::sleep(spaced(GOSSIP_TIME, peers, GOSSIP_PEERS)).await;
+            let peers = self.shared.view.reachable_entries();
+            tokio::time::sleep(scaled_interval(GOSSIP_INTERVAL, peers, FULL_RATE_PEERS)).await;
         }
     }
 }
 
-/// An entry answers gossip and nothing else.
+/// An entry answers gossip and limit settlements; it refuses everything else.
 impl FleetHandler for EntryFleet {
     fn offer(&self, _offer: RequestOffer, _sender: FrameSender) -> HandlerFuture<(OfferOutcome, LoadReport)> {
         let (reason, verdict) = (RefusalReason::NoTarget, RunVerdict::NotRun);
@@ -132,7 +132,7 @@
     fn gossip(&self, digest: FleetDigest) -> HandlerFuture<FleetDigest> {
         let change = self.shared.config.change_since(digest.revision);
         let hosts = self.hosts_for(digest.wants_hosts);
-        self.take_digest(digest);
+        self.apply_digest(digest);
         Box::pin(std::future::ready(FleetDigest { change, hosts, ..self.own_digest() }))
     }
 }
--- a/porthoistd/src/duty/entry_fleet/view.rs
+++ b/porthoistd/src/duty/entry_fleet/view.rs
@@ -1,4 +1,4 @@
-//! What this entry knows of the fleet, shared with the operators' duty.
+//! What this entry knows about the fleet, shared with the operator endpoint.
 
 use parking_lot::{Mutex, MutexGuard};
 use porthoist_core::offer::TargetHello;
@@ -13,7 +13,7 @@
     entries: BTreeMap<TargetName, NodeStatus>,
 }
 
-/// The view.
+/// Targets and entries with their last known state.
 #[derive(Debug, Default)]
 pub struct FleetView(Mutex<ViewState>);
 
@@ -22,8 +22,8 @@
         self.0.lock()
     }
 
-    /// Takes the host list: hosts that were never heard are shown too.
-    pub fn listed(&self, hosts: &[HostEntry]) {
+    /// Adds the hosts of the host list. Hosts that were never reached are shown too.
+    pub fn add_hosts(&self, hosts: &[HostEntry]) {
         let mut state = self.state();
         for host in hosts {
             let (name, zone) = (host.name.clone(), host.zone.clone());
@@ -32,7 +32,7 @@
                     state
                         .targets
                         .entry(name)
-                        .or_insert_with_key(|target| unheard_target(target.clone(), zone));
+                        .or_insert_with_key(|target| unreached_target(target.clone(), zone));
                 }
                 HostRole::Entry => {
                     state.entries.entry(name).or_insert_with_key(|node| NodeStatus {
@@ -46,8 +46,8 @@
         }
     }
 
-    /// A target was heard.
-    pub fn target_heard(&self, target: &TargetName, hello: &TargetHello, draining: bool) {
+    /// Updates a target from its heartbeat.
+    pub fn update_target(&self, target: &TargetName, hello: &TargetHello, draining: bool) {
         if let Some(status) = self.state().targets.get_mut(target) {
             status.heard = true;
             status.incarnation = Some(hello.incarnation);
@@ -58,16 +58,16 @@
         }
     }
 
-    /// An entry was heard.
-    pub fn entry_heard(&self, node: &TargetName, revision: u64) {
+    /// Updates an entry from its gossip.
+    pub fn update_entry(&self, node: &TargetName, revision: u64) {
         if let Some(status) = self.state().entries.get_mut(node) {
             status.heard = true;
             status.revision = revision;
         }
     }
 
-    /// A process can't be heard.
-    pub fn silent(&self, name: &TargetName) {
+    /// Marks a process as unreachable.
+    pub fn mark_unreachable(&self, name: &TargetName) {
         let mut state = self.state();
         if let Some(status) = state.targets.get_mut(name) {
             status.heard = false;
@@ -77,26 +77,26 @@
         }
     }
 
-    /// A process is off the host list and not heard.
-    pub fn gone(&self, name: &TargetName) {
+    /// Removes a process that left the host list and is unreachable.
+    pub fn remove(&self, name: &TargetName) {
         let mut state = self.state();
         state.targets.remove(name);
         state.entries.remove(name);
     }
 
-    /// Other entries that are heard.
-    pub fn entries_known(&self) -> usize {
+    /// Number of other entries that are reachable.
+    pub fn reachable_entries(&self) -> usize {
         self.state().entries.values().filter(|status| status.heard).count()
     }
 
-    /// Names of the other live entries in `zone`.
+    /// Names of the other reachable entries in `zone`.
     pub fn live_peers(&self, zone: &ZoneName) -> Vec<TargetName> {
         let state = self.state();
         let live = state.entries.values().filter(|status| status.heard && status.zone == *zone);
         live.map(|status| status.node.clone()).collect()
     }
 
-    /// Live entries in `zone` and in all zones, this one included.
+    /// Number of reachable entries in `zone` and in all zones, including this one.
     pub fn live_entries(&self, zone: &ZoneName) -> (u32, u32) {
         let state = self.state();
         let heard = || state.entries.values().filter(|status| status.heard);
@@ -104,14 +104,14 @@
         (in_zone + 1, heard().count() as u32 + 1)
     }
 
-    /// The targets and the other entries.
+    /// All targets and other entries.
     pub fn snapshot(&self) -> (Vec<TargetStatus>, Vec<NodeStatus>) {
         let state = self.state();
         (state.targets.values().cloned().collect(), state.entries.values().cloned().collect())
     }
 }
 
-fn unheard_target(target: TargetName, zone: ZoneName) -> TargetStatus {
+fn unreached_target(target: TargetName, zone: ZoneName) -> TargetStatus {
     TargetStatus {
         target,
         zone,
--- a/porthoistd/src/duty/group.rs
+++ b/porthoistd/src/duty/group.rs
@@ -1,7 +1,8 @@
-//! The group duty of a target that stands beside a rank: it leads the switch to the map that the table's row names, or
-//! where the row names none to the one that the planner of rank 0 finds best.
+//! Leads map switches of a group of ranks from the target process next to each rank. The map is the one the
+//! table's policy row names or, if the row names none, the best one found by the planner of rank 0.
 //!
-//! Every rank's process may lead; the lowest rank tries first, the others later, each with a higher ballot.
+//! The process of any rank may lead. The lowest rank tries first, the others after a delay, each with a
+//! higher ballot.
 
 use crate::config::ConfigHub;
 use futures::future::BoxFuture;
@@ -22,34 +23,34 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// The row in force and the engine are looked at so often.
-const LOOK_TIME: Duration = Duration::from_millis(200);
-/// Each further rank waits so much longer before it leads.
-const RANK_PATIENCE: Duration = Duration::from_millis(1200);
-/// Name of the policy row that names the group's map.
+/// Interval at which the policy row and the engine are checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Delay before leading, multiplied by the rank.
+const LEADER_DELAY: Duration = Duration::from_millis(1200);
+/// Name of the policy row that selects the group's map.
 pub const PLACEMENT_ROW: &str = "placement";
-const MESSAGES: usize = 16;
+const LINK_CAPACITY: usize = 16;
 
-/// The duty.
+/// Leads map switches of one group.
 #[derive(Debug)]
 pub struct GroupDuty {
-    /// Fleet addresses of all ranks.
+    /// Fleet addresses of all ranks, in rank order.
     pub ranks: Vec<SocketAddr>,
-    /// Shown to their processes.
+    /// Key that authenticates this process to the others.
     pub key: SharedSecret,
-    /// The engine of the own rank.
+    /// The engine of this rank.
     pub engine: HttpGroupEngine,
-    /// Where maps lie.
+    /// Storage of the expert maps.
     pub maps: PlatformMaps,
-    /// Configuration.
+    /// The configuration in force.
     pub config: Arc<ConfigHub>,
-    /// The target's name; the number at its end is its rank.
+    /// Name of this target; the number at its end is its rank.
     pub own: TargetName,
-    /// Logs.
+    /// The logger.
     pub logger: Logger,
 }
 
-/// Expert maps of one group as objects of the platform.
+/// Expert maps of one group, stored as objects of the platform.
 #[derive(Debug)]
 pub struct PlatformMaps {
     platform: HttpPlatform,
@@ -57,7 +58,7 @@
 }
 
 impl PlatformMaps {
-    /// The maps of the group with these ranks, on the platform at `url`.
+    /// Creates access to the maps of the group with these ranks, on the platform at `url`.
     pub fn new(url: &str, ranks: &[SocketAddr]) -> Self {
         let names: Vec<String> = ranks.iter().map(ToString::to_string).collect();
         Self { platform: HttpPlatform::new(url), group: AnswerDigest::of(names.join(",").as_bytes()) }
@@ -67,7 +68,7 @@
         format!("porthoist-expert-map-{:016x}-{}", self.group, version.0)
     }
 
-    /// Writes a map, before the group switches to it.
+    /// Writes a map. This must happen before the group switches to it.
     pub async fn put(&self, version: MapVersion, map: &ExpertMap) -> Result<(), CallError> {
         let bytes = serde_json::to_vec(map).map_err(|error| CallError::not_sent(error.to_string()))?;
         self.platform.put_object(self.object(version), bytes.into()).await
@@ -83,20 +84,20 @@
     }
 }
 
-/// The rank that a target's name ends with.
+/// The rank number at the end of a target's name, or 0.
 pub fn rank_of(target: &TargetName) -> u16 {
     let digits = target.as_str().rsplit(|letter: char| !letter.is_ascii_digit()).next();
     digits.and_then(|digits| digits.parse().ok()).unwrap_or(0)
 }
 
-/// The map that a rank which holds is to go on with: the one it is armed with.
-fn planned_map(kept: &SavedRank) -> MapVersion {
-    kept.armed.map_or(kept.map, |switch| switch.map)
+/// The map a held rank continues with: that of the switch it is armed for, otherwise its current one.
+fn planned_map(saved: &SavedRank) -> MapVersion {
+    saved.armed.map_or(saved.map, |switch| switch.map)
 }
 
 type RankCall = (LeaderMessage, oneshot::Sender<Option<Option<RankReply>>>);
 
-/// The way to a rank's process: a task of the fleet duty holds the connection, which is bound to its thread.
+/// Sends messages to a rank's process. The connection is bound to its thread, so a local task owns it.
 #[derive(Debug)]
 struct FleetLink(mpsc::Sender<RankCall>);
 
@@ -110,7 +111,7 @@
     }
 }
 
-/// Connects anew for each message that finds no connection.
+/// Serves one rank's messages; reconnects when a message finds no live connection.
 async fn serve_link(address: SocketAddr, key: SharedSecret, mut calls: mpsc::Receiver<RankCall>) {
     let mut peer: Option<FleetPeer> = None;
     while let Some((message, reply)) = calls.recv().await {
@@ -121,37 +122,37 @@
             Some(peer) => peer.rank(message).await.ok(),
             None => None,
         };
-        // A leader that waits no longer needs no answer.
+        // The leader may have stopped waiting.
         let _sent = reply.send(answer);
     }
 }
 
 impl GroupDuty {
-    /// Runs for ever on the fleet duty's `LocalSet`.
+    /// Runs forever; must run on a `LocalSet`.
     pub async fn run(self) {
         let rank = rank_of(&self.own);
-        let patience = RANK_PATIENCE * u32::from(rank);
+        let delay = LEADER_DELAY * u32::from(rank);
         let mut planner = None;
         let mut links: Vec<Box<dyn RankLink>> = Vec::with_capacity(self.ranks.len());
         for address in &self.ranks {
-            let (sender, calls) = mpsc::channel(MESSAGES);
+            let (sender, calls) = mpsc::channel(LINK_CAPACITY);
             tokio::task::spawn_local(serve_link(*address, self.key.clone(), calls));
             links.push(Box::new(FleetLink(sender)));
         }
         loop {
-            tokio::time::sleep(LOOK_TIME).await;
-            if !self.due().await {
+            tokio::time::sleep(CHECK_INTERVAL).await;
+            if !self.switch_needed().await {
                 if rank == 0 {
                     self.plan(&links, &mut planner).await;
                 }
                 continue;
             }
-            tokio::time::sleep(patience).await;
-            if self.due().await
-                && let Ok(kept) = self.engine.kept().await
+            tokio::time::sleep(delay).await;
+            if self.switch_needed().await
+                && let Ok(saved) = self.engine.kept().await
             {
-                let map = if self.wanted().0 > 0 { self.wanted() } else { planned_map(&kept) };
-                self.lead(&links, kept, map).await;
+                let map = if self.requested_map().0 > 0 { self.requested_map() } else { planned_map(&saved) };
+                self.lead(&links, saved, map).await;
             }
         }
     }
@@ -164,19 +165,20 @@
         }
     }
 
-    fn wanted(&self) -> MapVersion {
+    fn requested_map(&self) -> MapVersion {
         MapVersion(self.row().map_or(0, |row| row.map))
     }
 
-    /// Takes a window and switches the group to the planned map, if the row leaves the map to the planner.
+    /// Reads a window of expert counts and, if the row leaves the map to the planner, switches the group to
+    /// the map it plans.
     async fn plan(&self, links: &[Box<dyn RankLink>], planner: &mut Option<GroupPlanner>) {
         let Some(row) = self.row().filter(|row| row.map == 0) else { return };
         let Ok(window) = self.engine.window().await else { return };
         if !window.usable() {
             return;
         }
-        let Ok(kept) = self.engine.kept().await else { return };
-        let current = kept.committed.map_or(kept.map, |switch| switch.map);
+        let Ok(saved) = self.engine.kept().await else { return };
+        let current = saved.committed.map_or(saved.map, |switch| switch.map);
         if planner.is_none() {
             let Ok(map) = self.maps.map(current).await else { return };
             *planner = Some(GroupPlanner::new(&window, map));
@@ -186,36 +188,37 @@
         };
         let version = MapVersion(current.0 + 1);
         if let Err(error) = self.maps.put(version, &next.map).await {
-            warn!(self.logger, "the planned map was not written"; "error" => %error);
+            warn!(self.logger, "failed to write the planned map"; "error" => %error);
             return;
         }
-        info!(self.logger, "a map is planned"; "map" => version.0, "moves" => next.moves.len(),
+        info!(self.logger, "planned a new map"; "map" => version.0, "moves" => next.moves.len(),
             "peak_before" => next.peak_before, "peak_after" => next.peak_after);
-        if self.lead(links, kept, version).await
+        if self.lead(links, saved, version).await
             && let Some(planner) = planner
         {
             planner.set_map(next.map);
         }
     }
 
-    /// Whether the own rank is not on its way to the wanted map, or holds for a decision that did not come.
-    async fn due(&self) -> bool {
-        let wanted = self.wanted();
-        let Ok(kept) = self.engine.kept().await else { return false };
-        let planned = kept.committed.map_or(kept.map, |switch| switch.map);
-        (wanted.0 > 0 && planned != wanted) || kept.armed.is_some()
+    /// Whether a switch must be led: this rank is not switching to the requested map, or it is armed for a
+    /// switch that was never decided.
+    async fn switch_needed(&self) -> bool {
+        let wanted = self.requested_map();
+        let Ok(saved) = self.engine.kept().await else { return false };
+        let planned = saved.committed.map_or(saved.map, |switch| switch.map);
+        (wanted.0 > 0 && planned != wanted) || saved.armed.is_some()
     }
 
-    /// Leads a switch to a map; returns whether the group switches to this one.
-    async fn lead(&self, links: &[Box<dyn RankLink>], kept: SavedRank, wanted: MapVersion) -> bool {
-        let ballot = LeaderBallot(kept.promised.0 + 1);
+    /// Leads a switch to `wanted`; returns whether the group commits to that map.
+    async fn lead(&self, links: &[Box<dyn RankLink>], saved: SavedRank, wanted: MapVersion) -> bool {
+        let ballot = LeaderBallot(saved.promised.0 + 1);
         match switch_group(links, ballot, wanted).await {
             Ok(SwitchOutcome::Committed(map)) => {
-                info!(self.logger, "the group switches"; "map" => map.0, "ballot" => ballot.0);
+                info!(self.logger, "map switch committed"; "map" => map.0, "ballot" => ballot.0);
                 return map == wanted;
             }
-            Ok(SwitchOutcome::Aborted) => info!(self.logger, "the switch is aborted"; "ballot" => ballot.0),
-            Err(error) => warn!(self.logger, "the switch is not decided"; "error" => %error),
+            Ok(SwitchOutcome::Aborted) => info!(self.logger, "map switch aborted"; "ballot" => ballot.0),
+            Err(error) => warn!(self.logger, "map switch undecided"; "error" => %error),
         }
         false
     }
--- a/porthoistd/src/duty/loads.rs
+++ b/porthoistd/src/duty/loads.rs
@@ -1,9 +1,10 @@
-//! The loads duty: asks the processes beside ranks what runs and waits at each rank, so that this process places requests by
-//! the loads of all and not only by its own.
+//! Follows the loads of rank groups, as reported by the processes next to their ranks, so that this process
+//! places requests by the load of all entries and not only its own.
 //!
-//! The process that plans for a group has all others tell its loads on. Each entry asks one of its own zone where there is
-//! one: a single process that told 149 entries 12 times a second needed twice its link of 6 Mbit/s. A service may have
-//! several groups; a target that no followed process tells of is asked, until all are told of.
+//! The process that plans for a group has the other rank processes forward its load reports. Each entry asks
+//! one of its own zone if there is one: a single process that reported to 149 entries 12 times a second
+//! needed twice its 6 Mbit/s link. A service may have several groups; targets that no followed process
+//! reports on are queried until all are covered.
 
 use porthoist_core::{ServiceName, ZoneName};
 use porthoist_fleet::{LoadsAnswer, RankPeer};
@@ -20,142 +21,148 @@
 use tokio::sync::mpsc::error::TrySendError;
 use tokio::sync::{mpsc, watch};
 
-/// Time in milliseconds within which a process that plans has something new; its rounds take up to 350.
-const ANSWER_MILLIS: u64 = 1_000;
-/// Processes that are followed for one group at most: one may stand still, and each tells as much as the others.
-const FOLLOWED: usize = 2;
-/// Pause between two looks for groups that nothing is known of, in milliseconds.
-const PAUSE_MILLIS: u64 = 300;
+/// Timeout in milliseconds of a load query. A planning process has a new report within this time; its rounds
+/// take up to 350 ms.
+const QUERY_TIMEOUT_MILLIS: u64 = 1_000;
+/// Maximum number of processes followed per group. Each reports the same; a second one covers a stalled
+/// process.
+const MAX_FOLLOWED: usize = 2;
+/// Delay in milliseconds between searches for groups without known loads.
+const SEARCH_DELAY_MILLIS: u64 = 300;
 
-/// Follows the loads of all groups.
+/// Follows the loads of all groups and forwards their reports.
 #[derive(Debug, Clone)]
 pub struct LoadsDuty {
-    /// Port on which the processes beside engines listen.
+    /// Port on which the processes next to engines listen.
     pub rank_port: u16,
     /// The availability zone of this process.
     pub zone: ZoneName,
-    /// What this process believes of services and targets.
+    /// Last known services and targets.
     pub state: watch::Receiver<ControlState>,
-    /// Takes each report of any group; one that finds it full is dropped, since a newer one follows.
+    /// Receives the reports of all groups. A report is dropped if this is full, since a newer one follows.
     pub loads: mpsc::Sender<GroupLoads>,
-    /// The log.
+    /// The logger.
     pub logger: Logger,
 }
 
-/// Hosts that each followed process tells of.
-type ToldHosts = Rc<RefCell<HashMap<SocketAddr, HashSet<Ipv4Addr>>>>;
+/// Hosts covered by the reports of each followed process.
+type ReportedHosts = Rc<RefCell<HashMap<SocketAddr, HashSet<Ipv4Addr>>>>;
 
 impl LoadsDuty {
-    /// Runs for ever.
+    /// Runs forever; must run on a `LocalSet`.
     pub async fn run(self) {
-        let told = ToldHosts::default();
+        let reported = ReportedHosts::default();
         loop {
-            let found = match self.untold_process(&told) {
+            let found = match self.unfollowed_process(&reported) {
                 Some(address) => self.find_planner(address).await,
                 None => None,
             };
             let Some(planner) = found else {
-                tokio::time::sleep(Duration::from_millis(PAUSE_MILLIS)).await;
+                tokio::time::sleep(Duration::from_millis(SEARCH_DELAY_MILLIS)).await;
                 continue;
             };
-            if told.borrow().contains_key(&planner) {
-                // It does not tell of this host yet: the group forms anew.
-                tokio::time::sleep(Duration::from_millis(PAUSE_MILLIS)).await;
+            if reported.borrow().contains_key(&planner) {
+                // Its reports do not cover this host yet: the group is forming.
+                tokio::time::sleep(Duration::from_millis(SEARCH_DELAY_MILLIS)).await;
                 continue;
             }
-            told.borrow_mut().insert(planner, HashSet::new());
-            let (duty, told) = (self.clone(), Rc::clone(&told));
+            reported.borrow_mut().insert(planner, HashSet::new());
+            let (duty, reported) = (self.clone(), Rc::clone(&reported));
             tokio::task::spawn_local(async move {
-                duty.follow_process(planner, &told).await;
-                told.borrow_mut().remove(&planner);
+                duty.follow_process(planner, &reported).await;
+                reported.borrow_mut().remove(&planner);
             });
         }
     }
 
-    /// The process beside any target of a group that nothing is known of, in this process's zone if there is one.
-    fn untold_process(&self, told: &ToldHosts) -> Option<SocketAddr> {
+    /// A random process next to a target whose group has no known loads; one of this process's zone if there
+    /// is any.
+    fn unfollowed_process(&self, reported: &ReportedHosts) -> Option<SocketAddr> {
         let state = self.state.borrow();
         let services = &state.routes.as_ref()?.services;
         let ranked = |service: &ServiceName| services.get(service).is_some_and(|spec| spec.engine.is_some());
-        let told = told.borrow();
-        let known = |host: &Ipv4Addr| told.values().any(|hosts| hosts.contains(host));
+        let reported = reported.borrow();
+        let known = |host: &Ipv4Addr| reported.values().any(|hosts| hosts.contains(host));
         let targets = state.targets.records().filter(|record| ranked(&record.service));
         let hosts = targets.filter_map(|record| match record.address.ip() {
             IpAddr::V4(host) => Some((host, record.zone == self.zone)),
             IpAddr::V6(_host) => None,
         });
-        let untold: Vec<(Ipv4Addr, bool)> = hosts.filter(|(host, _near)| !known(host)).collect();
-        let near = untold.iter().any(|(_host, near)| *near);
-        let hosts = untold.into_iter().filter(|(_host, own_zone)| *own_zone || !near);
-        let (host, _near) = hosts.choose(&mut rand::rng())?;
+        let unreported: Vec<(Ipv4Addr, bool)> = hosts.filter(|(host, _own_zone)| !known(host)).collect();
+        let any_in_own_zone = unreported.iter().any(|(_host, own_zone)| *own_zone);
+        let hosts = unreported.into_iter().filter(|(_host, own_zone)| *own_zone || !any_in_own_zone);
+        let (host, _own_zone) = hosts.choose(&mut rand::rng())?;
         Some(SocketAddr::from((host, self.rank_port)))
     }
 
-    /// A process that tells the loads of the group of the engine beside another process.
+    /// The process that reports the loads of the group at `address`: that one, or the one it redirects to.
     async fn find_planner(&self, address: SocketAddr) -> Option<SocketAddr> {
         let peer = RankPeer::new(address);
         let asked = peer.loads(LoadRevision::default());
-        // No answer is usual where a host or group is down.
-        let answer = tokio::time::timeout(Duration::from_millis(ANSWER_MILLIS), asked).await.ok()?.ok()?;
+        // A host or group that is down gives no answer.
+        let answer =
+            tokio::time::timeout(Duration::from_millis(QUERY_TIMEOUT_MILLIS), asked).await.ok()?.ok()?;
         match answer {
             LoadsAnswer::Loads(_loads) => Some(address),
             LoadsAnswer::Redirect(host) => host.map(|host| SocketAddr::from((host, self.rank_port))),
         }
     }
 
-    /// Publishes the loads that a process tells until it hears of none any more.
-    async fn follow_process(&self, address: SocketAddr, told: &ToldHosts) {
+    /// Publishes the reports of a process until it stops reporting or becomes redundant.
+    async fn follow_process(&self, address: SocketAddr, reported: &ReportedHosts) {
         let peer = RankPeer::new(address);
         let mut known = LoadRevision::default();
         let end = loop {
-            let asked = tokio::time::timeout(Duration::from_millis(ANSWER_MILLIS), peer.loads(known)).await;
+            let asked =
+                tokio::time::timeout(Duration::from_millis(QUERY_TIMEOUT_MILLIS), peer.loads(known)).await;
             match asked {
                 Ok(Ok(LoadsAnswer::Loads(loads))) => {
                     if known == LoadRevision::default() {
-                        info!(self.logger, "loads are known"; "event" => "dependency_regained",
+                        info!(self.logger, "loads available"; "event" => "dependency_regained",
                             "dependency" => "loads", "process" => address.to_string(),
                             "ranks" => loads.ranks.len());
                     }
                     known = loads.revision;
                     let hosts = loads.ranks.iter().map(|rank| rank.host).collect();
-                    told.borrow_mut().insert(address, hosts);
-                    if self.is_spare(address, &told.borrow()) {
+                    reported.borrow_mut().insert(address, hosts);
+                    if self.is_redundant(address, &reported.borrow()) {
                         return;
                     }
                     self.publish(loads);
                 }
                 Ok(Ok(LoadsAnswer::Redirect(_host))) => break None,
                 Ok(Err(error)) => break Some(error),
-                Err(_elapsed) => break Some(CallError::unknown("no loads in time")),
+                Err(_elapsed) => break Some(CallError::unknown("no load report before the timeout")),
             }
         };
         if known > LoadRevision::default() {
-            info!(self.logger, "loads are unknown"; "event" => "dependency_lost", "dependency" => "loads",
+            info!(self.logger, "loads unavailable"; "event" => "dependency_lost", "dependency" => "loads",
                 "process" => address.to_string(), "revision" => known.0,
                 "error" => end.as_ref().map(ToString::to_string));
         }
     }
 
-    /// Whether enough other processes tell of all hosts that a process tells of: while a group forms, reports lack ranks, and the
-    /// processes beside those are found too. Those of other zones are left first.
-    fn is_spare(&self, address: SocketAddr, told: &HashMap<SocketAddr, HashSet<Ipv4Addr>>) -> bool {
-        let Some(hosts) = told.get(&address) else { return false };
-        let order = |address: &SocketAddr| (!self.is_near(address), *address);
-        let same = told.iter().filter(|(other, others)| {
+    /// Whether enough other followed processes cover all hosts that this one covers. While a group forms,
+    /// reports lack ranks, and the processes next to the missing ones are followed as well. Processes of
+    /// other zones are dropped first.
+    fn is_redundant(&self, address: SocketAddr, reported: &HashMap<SocketAddr, HashSet<Ipv4Addr>>) -> bool {
+        let Some(hosts) = reported.get(&address) else { return false };
+        let order = |address: &SocketAddr| (!self.in_own_zone(address), *address);
+        let same = reported.iter().filter(|(other, others)| {
             order(other) < order(&address) && hosts.iter().all(|host| others.contains(host))
         });
-        !hosts.is_empty() && same.count() >= FOLLOWED
+        !hosts.is_empty() && same.count() >= MAX_FOLLOWED
     }
 
-    fn is_near(&self, address: &SocketAddr) -> bool {
+    fn in_own_zone(&self, address: &SocketAddr) -> bool {
         let state = self.state.borrow();
-        let mut near = state.targets.records().filter(|record| record.zone == self.zone);
-        near.any(|record| record.address.ip() == address.ip())
+        let mut records = state.targets.records().filter(|record| record.zone == self.zone);
+        records.any(|record| record.address.ip() == address.ip())
     }
 
     fn publish(&self, loads: GroupLoads) {
         if let Err(TrySendError::Full(dropped)) = self.loads.try_send(loads) {
-            warn!(self.logger, "a report of loads is dropped"; "event" => "loads_dropped",
+            warn!(self.logger, "load report dropped"; "event" => "loads_dropped",
                 "revision" => dropped.revision.0);
         }
     }
--- a/porthoistd/src/duty/offers.rs
+++ b/porthoistd/src/duty/offers.rs
@@ -1,4 +1,4 @@
-//! The offers and back-end duties of a target.
+//! Runs the offers actor and the back-end jobs of a target.
 
 use crate::config::ConfigHub;
 use kameo::actor::{ActorRef, Spawn as _};
@@ -11,28 +11,31 @@
 use std::time::Duration;
 use tokio::sync::{oneshot, watch};
 
-/// Messages that wait for the actor at most.
-const MAILBOX: usize = 8192;
-/// The queue looks for passed deadlines so often, in milliseconds.
-const TICK_MILLIS: u64 = 20;
-/// The engine's pace is asked for so often, in milliseconds.
-const PACE_MILLIS: u64 = 1000;
+/// Capacity of the actor's mailbox.
+const MAILBOX_CAPACITY: usize = 8192;
+/// Interval in milliseconds at which the queue drops requests past their deadline.
+const QUEUE_TICK_MILLIS: u64 = 20;
+/// Interval in milliseconds at which the engine's pace is read.
+const PACE_INTERVAL_MILLIS: u64 = 1000;
 
-/// Runs the actor: hands its reference over, then ticks for ever.
+/// Starts the actor, hands over its reference, and ticks its queue until it stops.
 pub async fn run_offers(settings: OffersSettings, handover: oneshot::Sender<ActorRef<OffersActor>>) {
-    let actor = OffersActor::spawn_with_mailbox(OffersActor::new(settings), kameo::mailbox::bounded(MAILBOX));
+    let actor = OffersActor::spawn_with_mailbox(
+        OffersActor::new(settings),
+        kameo::mailbox::bounded(MAILBOX_CAPACITY),
+    );
     if handover.send(actor.clone()).is_err() {
         return;
     }
     loop {
-        tokio::time::sleep(Duration::from_millis(TICK_MILLIS)).await;
+        tokio::time::sleep(Duration::from_millis(QUEUE_TICK_MILLIS)).await;
         if actor.tell(QueueTick(None)).await.is_err() {
             return;
         }
     }
 }
 
-/// Keeps the drain flag as the table's row and the signal to stop have it.
+/// Sets the actor's drain flag from the target's table row and the stop signal.
 pub async fn follow_drain(
     actor: ActorRef<OffersActor>,
     target: TargetName,
@@ -57,7 +60,7 @@
     }
 }
 
-/// Starts jobs as they come and reports their ends.
+/// Runs each job in its own task and reports its end to the actor.
 pub async fn run_backend(
     mut jobs: RingReceiver<RunJob>,
     runner: Arc<dyn BackendRunner>,
@@ -74,13 +77,13 @@
 async fn follow_pace(runner: Arc<dyn BackendRunner>, actor: ActorRef<OffersActor>) {
     loop {
         if let Ok(pace) = runner.pace().await {
-            let _told = actor.tell(QueueTick(Some(pace))).await;
+            let _sent = actor.tell(QueueTick(Some(pace))).await;
         }
-        tokio::time::sleep(Duration::from_millis(PACE_MILLIS)).await;
+        tokio::time::sleep(Duration::from_millis(PACE_INTERVAL_MILLIS)).await;
     }
 }
 
-/// Team weights from the configuration in force.
+/// Looks up team weights in the configuration in force; the default is 1.
 pub fn team_weights(config: Arc<ConfigHub>) -> porthoist_target::offers::TeamWeights {
     Arc::new(move |team: &TeamName| config.team(team).map_or(1.0, |row| row.weight))
 }
--- a/porthoistd/src/duty/operator.rs
+++ b/porthoistd/src/duty/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' duty: the operator endpoint of either role.
+//! The operator endpoint of entries and targets.
 
 use crate::config::ConfigHub;
 use crate::duty::entry_fleet::view::FleetView;
@@ -13,25 +13,25 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// What the process shows its operators.
+/// The state that the operator endpoint shows.
 pub struct ProcessView {
-    /// Its name.
+    /// Name of this process.
     pub node: TargetName,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Its life.
+    /// Identifies this run of the process.
     pub incarnation: IncarnationId,
-    /// Configuration.
+    /// The configuration in force.
     pub config: Arc<ConfigHub>,
-    /// The fleet; empty on a target.
+    /// State of the fleet; empty on a target.
     pub fleet: Arc<FleetView>,
-    /// Whether the platform answers.
+    /// Whether the platform answered the last call.
     pub platform_heard: Arc<AtomicBool>,
-    /// Decisions; empty on a target.
+    /// Decisions on recent requests; empty on a target.
     pub decisions: Arc<Mutex<DecisionLog>>,
-    /// Requests in flight.
+    /// Returns the number of requests in flight.
     pub in_flight: Box<dyn Fn() -> u64 + Send + Sync>,
-    /// Whether the process is about to end.
+    /// Set when the process starts to shut down.
     pub stopping: watch::Receiver<bool>,
 }
 
@@ -65,7 +65,7 @@
     }
 }
 
-/// Serves operators for ever.
+/// Serves the operator endpoint forever.
 pub async fn serve_operators(listener: TcpListener, server: OperatorServer) {
     let (_keep, never) = watch::channel(false);
     serve_until(listener, ServerSettings::default(), never, move |request| server.clone().handle(request))
--- a/porthoistd/src/duty/platform.rs
+++ b/porthoistd/src/duty/platform.rs
@@ -1,4 +1,4 @@
-//! The platform duty: it follows the table and the host list, and keeps this process on that list.
+//! Follows the platform's table and host list, and keeps this process registered on the list.
 
 use crate::config::ConfigHub;
 use porthoist_core::{RunVerdict, TargetName};
@@ -13,46 +13,47 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// An entry asks the table so often at today's size, in milliseconds.
+/// Base interval in milliseconds at which an entry polls the table.
 pub const ENTRY_POLL_MILLIS: u64 = 500;
-/// Added to that for each entry on the host list, so that the table's reads stay bounded at any size.
+/// Milliseconds added to the interval for each entry on the host list, which bounds the table's total read
+/// rate at any fleet size.
 pub const POLL_MILLIS_PER_ENTRY: u64 = 4;
-/// A target asks the table so often; entries tell it of changes sooner.
+/// Interval in milliseconds at which a target polls the table; entries push changes to it sooner.
 pub const TARGET_POLL_MILLIS: u64 = 10_000;
-/// A process without configuration asks again after so long; the time doubles up to [`MAX_FIRST_POLL_MILLIS`], so that
-/// a zone that starts at once does not flood the table.
+/// Initial interval in milliseconds at which a process without configuration polls. It doubles up to
+/// [`MAX_FIRST_POLL_MILLIS`], so that a zone starting all at once does not flood the table.
 const FIRST_POLL_MILLIS: u64 = 100;
-/// Longest time between two asks of a process without configuration.
+/// Maximum interval in milliseconds at which a process without configuration polls.
 const MAX_FIRST_POLL_MILLIS: u64 = 2000;
-/// A process renews its line of the host list so often.
-const REGISTER_MILLIS: u64 = 30_000;
+/// Interval in milliseconds at which a process renews its registration.
+const REGISTER_INTERVAL_MILLIS: u64 = 30_000;
 
-/// What the duty shares with others.
+/// Polls the platform and publishes the configuration and the host list.
 #[derive(Debug)]
 pub struct PlatformDuty {
     /// The platform.
     pub client: Arc<dyn PlatformClient>,
-    /// Where changes go.
+    /// Adopts configuration changes.
     pub config: Arc<ConfigHub>,
-    /// Where the host list goes.
+    /// Receives the host list.
     pub hosts: watch::Sender<Vec<HostEntry>>,
     /// Whether the platform answered the last call.
     pub heard: Arc<AtomicBool>,
-    /// This process's own line.
+    /// This process's entry on the host list.
     pub own: HostEntry,
-    /// Revision of the host list known.
+    /// Last known revision of the host list.
     pub hosts_revision: AtomicU64,
-    /// Logs.
+    /// The logger.
     pub logger: Logger,
 }
 
 impl PlatformDuty {
-    /// Runs for ever.
+    /// Runs forever.
     pub async fn run(self) {
         let mut since_register = u64::MAX;
         let mut first_poll = FIRST_POLL_MILLIS;
         loop {
-            if since_register >= REGISTER_MILLIS && self.register().await {
+            if since_register >= REGISTER_INTERVAL_MILLIS && self.register().await {
                 since_register = 0;
             }
             self.poll().await;
@@ -66,7 +67,7 @@
         }
     }
 
-    /// The time between two polls at the present size.
+    /// The poll interval at the current fleet size.
     fn poll_millis(&self) -> u64 {
         match self.own.role {
             HostRole::Target => TARGET_POLL_MILLIS,
@@ -87,13 +88,13 @@
             Ok(feed) => {
                 let (change, unreadable) = config_change(feed);
                 for key in unreadable {
-                    warn!(self.logger, "a row can't be read and is left as it is in force"; "key" => key);
+                    warn!(self.logger, "unreadable row; its previous value stays in force"; "key" => key);
                 }
                 self.adopt(change).await;
                 true
             }
             Err(error) => {
-                warn!(self.logger, "the table did not answer"; "error" => %error);
+                warn!(self.logger, "failed to read changes from the table"; "error" => %error);
                 error.verdict != RunVerdict::NotRun && error.message.starts_with("status")
             }
         };
@@ -123,7 +124,8 @@
         }
     }
 
-    /// One entry writes the snapshot: the one with the highest rendezvous score. Two writers do no harm.
+    /// Whether this process writes the snapshot: the entry with the highest rendezvous score does. Two
+    /// concurrent writers do no harm.
     fn writes_snapshot(&self) -> bool {
         let hosts = self.hosts.borrow();
         let entries = hosts.iter().filter(|host| host.role == HostRole::Entry).map(|host| &host.name);
@@ -137,7 +139,7 @@
             return;
         };
         if let Err(error) = self.client.put_object(SNAPSHOT_OBJECT.to_owned(), bytes.into()).await {
-            warn!(self.logger, "the snapshot was not written"; "error" => %error);
+            warn!(self.logger, "failed to write the configuration snapshot"; "error" => %error);
         }
     }
 
@@ -152,12 +154,12 @@
                     info!(self.logger, "configuration in force"; "revision" => revision, "source" => "snapshot");
                 }
             }
-            Err(error) => warn!(self.logger, "the snapshot can't be read"; "error" => %error),
+            Err(error) => warn!(self.logger, "failed to parse the configuration snapshot"; "error" => %error),
         }
     }
 }
 
-/// A time that differs from process to process, so that they don't ask all at once.
+/// Varies an interval by up to 25 % at random, so that processes do not poll in step.
 fn jittered(millis: u64) -> u64 {
     rand::rng().random_range(millis * 3 / 4..=millis * 5 / 4)
 }
--- a/porthoistd/src/duty/rank.rs
+++ b/porthoistd/src/duty/rank.rs
@@ -1,4 +1,5 @@
-//! The rank duty: shows the engine beside this process to the others, and plans where it is the group's first rank.
+//! Serves the engine next to this process to the processes of the other ranks, and plans for the group if the
+//! engine is its first rank.
 
 use crate::settings::rank::RankSettings;
 use porthoist_core::{ClockSource, ServiceName, UnixDeadline, ZoneName};
@@ -23,78 +24,80 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-mod telling;
+mod reporting;
 
-/// Pause between readings of counts while nothing is under way, in milliseconds: demand shifts every few seconds.
-const REST_MILLIS: u64 = 150;
-/// Pause before the window that shows a shift of demand whole, in milliseconds: a pass, of about 100, lies within it and
-/// the round.
-const SHIFT_MILLIS: u64 = 60;
-/// Pause between rounds while experts are copied, in milliseconds; one takes about 100.
-const COPY_MILLIS: u64 = 25;
-/// Pause between rounds while a group is held, in milliseconds.
-const HOLD_MILLIS: u64 = 2;
-/// Pause of a process beside a rank that does not plan, in milliseconds.
-const IDLE_MILLIS: u64 = 400;
-/// Pause of a process that is to plan and can't yet, in milliseconds: until its first map, a group that has formed anew
-/// runs at a third of its pace. It asks its own engine only.
-const WAIT_MILLIS: u64 = 80;
-/// Time in which a process must at least say which rank it stands beside: it may have to be connected to first.
-const FIND_FLOOR: Duration = Duration::from_millis(300);
-/// First pause in milliseconds before the processes beside all engines of the service are asked again for their ranks,
-/// while some rank of the group is not heard; it doubles up to [`MOST_FIND_MILLIS`].
-const FIND_MILLIS: u64 = 80;
-/// The longest such pause, in milliseconds: a rank that moved to another host is found within it.
-const MOST_FIND_MILLIS: u64 = 640;
-/// Time in milliseconds within which the engine beside this process must answer an order; it takes some milliseconds.
-/// One without an answer may be carried out all the same, and is given again.
-const ENGINE_MILLIS: u64 = 40;
-/// Time in milliseconds within which the engine beside this process must tell its state and counts, or its lists; it takes some
-/// milliseconds. It is less than the 150 that a process which plans waits for another rank's, and bounds how long a
-/// connection that fell silent keeps this process from planning; the next reading takes a new one.
-const READING_MILLIS: u64 = 120;
-/// Least time in milliseconds between two reports of the group's loads. Told much more seldom, entries send to the same
-/// ranks at once, which seem idle to all of them.
-const LOADS_MILLIS: u64 = 80;
-/// Start of the clock that versions come from, in Unix milliseconds: the beginning of 2026.
+/// Interval in milliseconds between readings of expert counts while the group is idle; demand shifts every
+/// few seconds.
+const COUNTS_INTERVAL_MILLIS: u64 = 150;
+/// Delay in milliseconds before the reading that covers a demand shift completely: the delay and the round
+/// together span a forward pass of about 100 ms.
+const SHIFT_DELAY_MILLIS: u64 = 60;
+/// Delay in milliseconds between rounds while experts are copied; copying an expert takes about 100 ms.
+const COPY_DELAY_MILLIS: u64 = 25;
+/// Delay in milliseconds between rounds while the group is held.
+const HOLD_DELAY_MILLIS: u64 = 2;
+/// Delay in milliseconds between turns of a process that does not plan.
+const IDLE_DELAY_MILLIS: u64 = 400;
+/// Delay in milliseconds between turns of a process that should plan and cannot yet. It is short because a
+/// newly formed group runs at a third of its pace until its first map, and cheap because only the own engine
+/// is read.
+const BLOCKED_DELAY_MILLIS: u64 = 80;
+/// Minimum timeout for asking a process which rank it serves; it may need to be connected to first.
+const MIN_FIND_TIMEOUT: Duration = Duration::from_millis(300);
+/// Initial delay in milliseconds before the processes next to the service's engines are asked again for their
+/// ranks while a rank of the group is unreachable. It doubles up to [`MAX_FIND_DELAY_MILLIS`].
+const MIN_FIND_DELAY_MILLIS: u64 = 80;
+/// Maximum of that delay in milliseconds; a rank that moved to another host is found within it.
+const MAX_FIND_DELAY_MILLIS: u64 = 640;
+/// Timeout in milliseconds of orders to the own engine, which answers in a few milliseconds. An order that
+/// timed out may still have been carried out, and is sent again.
+const ORDER_TIMEOUT_MILLIS: u64 = 40;
+/// Timeout in milliseconds for reading the own engine's state, counts or lists, which takes a few
+/// milliseconds. It is below the 150 ms that a planning process waits for another rank's reading, and bounds
+/// how long a dead connection blocks planning; the next reading opens a new connection.
+const READ_TIMEOUT_MILLIS: u64 = 120;
+/// Minimum interval in milliseconds between load reports of the group. With much rarer reports, all entries
+/// send to the same ranks at once because those look idle.
+const LOADS_INTERVAL_MILLIS: u64 = 80;
+/// Epoch of map versions in Unix milliseconds: the beginning of 2026.
 const VERSION_EPOCH_MILLIS: u64 = 1_767_225_600_000;
-/// Milliseconds of one version: a life of the process takes longer to begin.
+/// Milliseconds per map version. Restarting the process takes longer, so its versions never repeat.
 const VERSION_MILLIS: u64 = 100;
 
-/// The engine beside this process, with the counts that were told already.
+/// The engine next to this process, with the expert counts reported so far.
 #[derive(Debug)]
 pub struct OwnRank {
     engine: Rc<dyn LocalEngine>,
-    told: RefCell<ExpertCounts>,
+    reported: RefCell<ExpertCounts>,
 }
 
 impl OwnRank {
-    /// Wraps an engine.
+    /// Wraps an engine of which nothing has been reported yet.
     pub fn new(engine: Rc<dyn LocalEngine>) -> Self {
-        Self { engine, told: RefCell::default() }
+        Self { engine, reported: RefCell::default() }
     }
 
-    /// What was chosen since the last call, nothing at the first: what an engine counted before this process began may
-    /// be minutes old. A restarted engine counts anew.
+    /// Expert counts since the last call; zero at the first call, since counts from before this process
+    /// started may be minutes old. A restarted engine counts from zero.
     async fn new_counts(&self) -> Result<Vec<u32>, CallError> {
         let newest = self.engine.counts().await?;
-        let mut told = self.told.borrow_mut();
-        if told.counts.is_empty() {
-            told.clone_from(&newest);
+        let mut reported = self.reported.borrow_mut();
+        if reported.counts.is_empty() {
+            reported.clone_from(&newest);
         }
-        let known = told.counts.len() == newest.counts.len() && told.born == newest.born;
-        let known = known && newest.counts.iter().zip(&told.counts).all(|(now, then)| now >= then);
-        let since = |index: usize| newest.counts[index] - if known { told.counts[index] } else { 0 };
+        let known = reported.counts.len() == newest.counts.len() && reported.born == newest.born;
+        let known = known && newest.counts.iter().zip(&reported.counts).all(|(now, then)| now >= then);
+        let since = |index: usize| newest.counts[index] - if known { reported.counts[index] } else { 0 };
         let new =
             (0..newest.counts.len()).map(|index| u32::try_from(since(index)).unwrap_or(u32::MAX)).collect();
-        *told = newest;
+        *reported = newest;
         Ok(new)
     }
 }
 
 impl RankControl for OwnRank {
     fn observe(&self, counts: bool) -> RankFuture<'_, RankObservation> {
-        Box::pin(read_in_time(async move {
+        Box::pin(read_with_timeout(async move {
             let state = self.engine.state().await?;
             let counts = if counts { self.new_counts().await? } else { Vec::new() };
             Ok(RankObservation { state, counts })
@@ -102,7 +105,7 @@
     }
 
     fn lists(&self) -> RankFuture<'_, ExpertLists> {
-        Box::pin(read_in_time(self.engine.lists()))
+        Box::pin(read_with_timeout(self.engine.lists()))
     }
 
     fn order<'a>(
@@ -112,82 +115,83 @@
     ) -> RankFuture<'a, OrderAnswer> {
         Box::pin(async move {
             let answer = self.engine.order(order, map);
-            let answered = tokio::time::timeout(Duration::from_millis(ENGINE_MILLIS), answer).await;
-            let silent = || CallError::unknown("the engine did not answer the order");
-            let taken = answered.map_err(|_elapsed| silent())??;
+            let answered = tokio::time::timeout(Duration::from_millis(ORDER_TIMEOUT_MILLIS), answer).await;
+            let timed_out = || CallError::unknown("the engine did not answer the order");
+            let taken = answered.map_err(|_elapsed| timed_out())??;
             let view = self.engine.state().await.ok().map(|state| state.view);
             Ok(OrderAnswer { taken, view })
         })
     }
 }
 
-async fn read_in_time<T>(reading: impl Future<Output = Result<T, CallError>>) -> Result<T, CallError> {
-    let read = tokio::time::timeout(Duration::from_millis(READING_MILLIS), reading).await;
+async fn read_with_timeout<T>(reading: impl Future<Output = Result<T, CallError>>) -> Result<T, CallError> {
+    let read = tokio::time::timeout(Duration::from_millis(READ_TIMEOUT_MILLIS), reading).await;
     read.unwrap_or_else(|_elapsed| Err(CallError::not_sent("the engine did not tell its state in time")))
 }
 
-/// Where the ranks of the group are, as this process last found them.
+/// The hosts of the group's ranks as last found.
 #[derive(Debug)]
-struct FoundGroup {
+struct LocatedGroup {
     epoch: GroupEpoch,
-    reach: BranchedGroup,
+    group_control: BranchedGroup,
 }
 
-/// Plans for the group while this process stands beside its first rank.
+/// Plans for the group while the engine next to this process is its first rank.
 #[derive(Debug, bon::Builder)]
 pub struct RankDuty {
     settings: RankSettings,
-    /// The rank beside this process.
+    /// The rank next to this process.
     own: Rc<OwnRank>,
-    /// Follows the table service once this process is the first of its group; the others need nothing from there.
+    /// Follows the table service; started once this process plans, since other ranks need nothing from it.
     control: Option<ControlWatch>,
-    /// What this process believes of services and targets.
+    /// Last known services and targets.
     state: watch::Receiver<ControlState>,
-    /// The loads of the group while this process plans for it.
+    /// The loads of the group while this process plans for it, otherwise `None`.
     loads: watch::Sender<Option<GroupLoads>>,
-    /// The processes that it calls.
+    /// Connections to the processes next to other ranks.
     peers: Rc<PeerPool>,
     clock: Arc<dyn ClockSource>,
     logger: Logger,
     #[builder(skip)]
     loads_due: UnixDeadline,
-    /// The planner's readings when the loads were last told.
+    /// The planner's number of readings at the last load report.
     #[builder(skip)]
-    told_readings: u64,
-    /// How long the group's passes take.
+    reported_readings: u64,
+    /// Measures the duration of the group's forward passes.
     #[builder(skip)]
     passes: PassTimer,
     #[builder(skip)]
     counts_due: UnixDeadline,
-    /// Hosts that a rank of this group ran on, with their zones. Their rows may be missing for a while after an outage,
-    /// when their ranks run again already.
+    /// Hosts that ran a rank of this group, with their zones. After an outage their table rows may be missing
+    /// for a while, although their ranks run again.
     #[builder(skip)]
     members: BTreeMap<Ipv4Addr, ZoneName>,
     #[builder(skip)]
-    group: Option<FoundGroup>,
+    group: Option<LocatedGroup>,
     #[builder(skip)]
     find_due: UnixDeadline,
-    #[builder(skip = FIND_MILLIS)]
-    find_pause: u64,
-    #[builder(skip = RefCell::new(AdaptiveTimeout::new(FIND_FLOOR)))]
-    find_patience: RefCell<AdaptiveTimeout>,
+    #[builder(skip = MIN_FIND_DELAY_MILLIS)]
+    find_delay: u64,
+    #[builder(skip = RefCell::new(AdaptiveTimeout::new(MIN_FIND_TIMEOUT)))]
+    find_timeout: RefCell<AdaptiveTimeout>,
     #[builder(skip)]
-    patience: Rc<GroupTimeouts>,
+    timeouts: Rc<GroupTimeouts>,
     #[builder(skip)]
     planner: Option<ExpertMapController>,
-    /// Whether the engine beside this process answered when it was last read.
+    /// Whether the last reading of the own engine succeeded.
     #[builder(skip = true)]
-    engine_heard: bool,
-    /// Requests that make a step as long as its fixed part, by the engines' operators.
+    engine_readable: bool,
+    /// Number of requests whose cost equals the fixed cost of a step, by the engine model in the
+    /// configuration.
     #[builder(skip)]
     step_requests: f64,
 }
 
 impl RankDuty {
-    /// Runs until it should stop and no switch of its own holds the group.
+    /// Runs until `stop` is set and no switch of this process holds the group.
     pub async fn run(mut self, stop: watch::Receiver<bool>) {
         loop {
-            let pause = self.turn().await;
+            let pause = self.run_turn().await;
             let holding = self.planner.as_ref().is_some_and(ExpertMapController::holding);
             if *stop.borrow() && !holding {
                 return;
@@ -196,20 +200,20 @@
         }
     }
 
-    /// One turn; returns the pause before the next in milliseconds.
-    async fn turn(&mut self) -> u64 {
+    /// Runs one turn; returns the delay in milliseconds before the next one.
+    async fn run_turn(&mut self) -> u64 {
         let own = match self.own.observe(false).await {
             Ok(own) => own,
             Err(error) => {
-                self.note_unread(&error);
-                // A group that is held must not wait for long.
-                return if self.planner.is_some() { WAIT_MILLIS } else { IDLE_MILLIS };
+                self.log_engine_lost(&error);
+                // A held group must not wait long.
+                return if self.planner.is_some() { BLOCKED_DELAY_MILLIS } else { IDLE_DELAY_MILLIS };
             }
         };
-        self.note_read();
+        self.log_engine_regained();
         if own.state.rank != 0 || !own.state.open {
-            self.leave_group(&own.state);
-            return if own.state.rank == 0 { WAIT_MILLIS } else { IDLE_MILLIS };
+            self.stop_planning(&own.state);
+            return if own.state.rank == 0 { BLOCKED_DELAY_MILLIS } else { IDLE_DELAY_MILLIS };
         }
         if let Some(control) = self.control.take() {
             tokio::task::spawn_local(async move { control.run().await });
@@ -217,92 +221,97 @@
         self.measure_pass(&own.state);
         self.find_group(&own.state).await;
         if self.group.is_none() {
-            return WAIT_MILLIS;
+            return BLOCKED_DELAY_MILLIS;
         }
         if self.planner.is_none() {
-            let Some(shape) = self.shape(own.state.size) else { return WAIT_MILLIS };
-            info!(self.logger, "planning for the group"; "event" => "planner_start", "group" => own.state.group,
+            let Some(shape) = self.shape(own.state.size) else { return BLOCKED_DELAY_MILLIS };
+            info!(self.logger, "started planning for the group"; "event" => "planner_start", "group" => own.state.group,
                 "ranks" => own.state.size);
             self.planner = Some(ExpertMapController::new(shape, self.logger.clone()));
         }
-        let Some(outcome) = self.round().await else { return WAIT_MILLIS };
+        let Some(outcome) = self.round().await else { return BLOCKED_DELAY_MILLIS };
         if outcome != RoundOutcome::Unreachable {
             self.publish_loads();
         }
         self.pause_after(outcome)
     }
 
-    fn note_unread(&mut self, error: &CallError) {
-        if std::mem::replace(&mut self.engine_heard, false) {
-            warn!(self.logger, "the engine can't be read"; "event" => "dependency_lost", "dependency" => "engine",
+    fn log_engine_lost(&mut self, error: &CallError) {
+        if std::mem::replace(&mut self.engine_readable, false) {
+            warn!(self.logger, "failed to read the engine"; "event" => "dependency_lost", "dependency" => "engine",
                 "error" => error.to_string());
         }
     }
 
-    fn note_read(&mut self) {
-        if !std::mem::replace(&mut self.engine_heard, true) {
-            info!(self.logger, "the engine is read again"; "event" => "dependency_regained",
+    fn log_engine_regained(&mut self) {
+        if !std::mem::replace(&mut self.engine_readable, true) {
+            info!(self.logger, "engine readable again"; "event" => "dependency_regained",
                 "dependency" => "engine");
         }
     }
 
-    /// One round of the planner; it reads counts where they are due.
+    /// Runs one round of the planner, with expert counts if they are due.
     async fn round(&mut self) -> Option<RoundOutcome> {
         let fresh = self.fresh_version();
-        let reach = &self.group.as_ref()?.reach;
+        let group_control = &self.group.as_ref()?.group_control;
         let planner = self.planner.as_mut()?;
         if !self.counts_due.passed(self.clock.now()) {
-            return Some(planner.run_load_round(reach, fresh).await);
+            return Some(planner.run_load_round(group_control, fresh).await);
         }
-        let outcome = planner.run_round(reach, fresh).await;
-        self.counts_due = UnixDeadline::after(self.clock.now(), REST_MILLIS);
+        let outcome = planner.run_round(group_control, fresh).await;
+        self.counts_due = UnixDeadline::after(self.clock.now(), COUNTS_INTERVAL_MILLIS);
         Some(outcome)
     }
 
-    /// The pause before the next turn in milliseconds.
+    /// The delay before the next turn in milliseconds.
     fn pause_after(&mut self, outcome: RoundOutcome) -> u64 {
         let now = self.clock.now();
         match outcome {
-            RoundOutcome::Idle => LOADS_MILLIS.min(self.counts_due.remaining(now).as_millis() as u64),
+            RoundOutcome::Idle => {
+                LOADS_INTERVAL_MILLIS.min(self.counts_due.remaining(now).as_millis() as u64)
+            }
             RoundOutcome::Shifting => {
-                self.counts_due = UnixDeadline::after(now, SHIFT_MILLIS);
-                SHIFT_MILLIS
+                self.counts_due = UnixDeadline::after(now, SHIFT_DELAY_MILLIS);
+                SHIFT_DELAY_MILLIS
             }
-            RoundOutcome::Copying => COPY_MILLIS,
-            RoundOutcome::Holding => HOLD_MILLIS,
-            RoundOutcome::Unreachable => REST_MILLIS,
+            RoundOutcome::Copying => COPY_DELAY_MILLIS,
+            RoundOutcome::Holding => HOLD_DELAY_MILLIS,
+            RoundOutcome::Unreachable => COUNTS_INTERVAL_MILLIS,
         }
     }
 
-    /// Asks the processes beside all engines of the service for their ranks, where the group formed anew or some rank is
-    /// not heard.
+    /// Asks the processes next to all engines of the service for their ranks, if the group re-formed or a
+    /// rank is unreachable.
     async fn find_group(&mut self, own: &RankState) {
         let known = self.group.as_ref().is_some_and(|group| group.epoch == own.view.epoch);
         let missing = self.planner.as_ref().is_some_and(|planner| planner.unreachable_since().is_some())
-            || self.group.as_ref().is_none_or(|group| group.reach.hosts().iter().any(Option::is_none));
+            || self
+                .group
+                .as_ref()
+                .is_none_or(|group| group.group_control.hosts().iter().any(Option::is_none));
         if known && !missing {
-            self.find_pause = FIND_MILLIS;
+            self.find_delay = MIN_FIND_DELAY_MILLIS;
             return;
         }
         let now = self.clock.now();
         if known && !self.find_due.passed(now) {
             return;
         }
-        self.find_due = UnixDeadline::after(now, self.find_pause);
-        self.find_pause = (self.find_pause * 2).min(MOST_FIND_MILLIS);
-        let found = self.ask_for_ranks(own).await;
+        self.find_due = UnixDeadline::after(now, self.find_delay);
+        self.find_delay = (self.find_delay * 2).min(MAX_FIND_DELAY_MILLIS);
+        let found = self.query_ranks(own).await;
         if !known {
             self.group = None;
         }
-        self.take_found(own, &found);
+        self.update_hosts(own, &found);
     }
 
-    /// The hosts of the group's other ranks, as far as they answer.
-    async fn ask_for_ranks(&self, own: &RankState) -> BTreeMap<usize, Ipv4Addr> {
+    /// Hosts of the group's other ranks, by rank, as far as they answer.
+    async fn query_ranks(&self, own: &RankState) -> BTreeMap<usize, Ipv4Addr> {
         let hosts = self.candidates();
         self.peers.retain(&hosts.keys().copied().collect());
         let (states, _counts) =
-            RankBranches::new(&hosts, Rc::clone(&self.peers)).sweep(false, &self.find_patience).await;
+            RankBranches::new(&hosts, Rc::clone(&self.peers)).sweep(false, &self.find_timeout).await;
         let same = |state: &RankState| {
             state.group == own.group && state.view.epoch == own.view.epoch && state.rank != own.rank
         };
@@ -310,17 +319,18 @@
         ours.map(|(host, state)| (state.rank, host)).collect()
     }
 
-    /// Takes where ranks were found. One that said nothing is taken to be where it was in this formation.
-    fn take_found(&mut self, own: &RankState, found: &BTreeMap<usize, Ipv4Addr>) {
+    /// Updates the hosts of ranks. A rank that did not answer is assumed to be where it was earlier in this
+    /// formation.
+    fn update_hosts(&mut self, own: &RankState, found: &BTreeMap<usize, Ipv4Addr>) {
         let taken: HashSet<Ipv4Addr> = found.values().copied().collect();
         let mut hosts: Vec<Option<Ipv4Addr>> = (0..own.size).map(|rank| found.get(&rank).copied()).collect();
         let IpAddr::V4(first) = self.settings.rank_listen.ip() else { return };
         hosts[0] = Some(first);
         if let Some(group) = &self.group {
-            for (host, earlier) in hosts.iter_mut().zip(group.reach.hosts()) {
+            for (host, earlier) in hosts.iter_mut().zip(group.group_control.hosts()) {
                 *host = host.or(earlier.filter(|earlier| !taken.contains(earlier)));
             }
-            if group.reach.hosts() == hosts {
+            if group.group_control.hosts() == hosts {
                 return;
             }
         }
@@ -334,13 +344,18 @@
             hosts.iter().skip(1).flatten().map(|host| (*host, zone(host))).collect();
         self.members.clone_from(&others);
         let branches = RankBranches::new(&others, Rc::clone(&self.peers));
-        let link: Rc<dyn RankControl> = Rc::<OwnRank>::clone(&self.own);
-        let reach =
-            BranchedGroup::new(link, hosts, branches, Rc::clone(&self.patience), self.settings.link_rate);
-        self.group = Some(FoundGroup { epoch: own.view.epoch, reach });
+        let rank_control: Rc<dyn RankControl> = Rc::<OwnRank>::clone(&self.own);
+        let group_control = BranchedGroup::new(
+            rank_control,
+            hosts,
+            branches,
+            Rc::clone(&self.timeouts),
+            self.settings.link_rate,
+        );
+        self.group = Some(LocatedGroup { epoch: own.view.epoch, group_control });
     }
 
-    /// The hosts of the service's other engines, and those of the last known members of the group.
+    /// Hosts of the service's other engines and of the last known members of the group.
     fn candidates(&self) -> BTreeMap<Ipv4Addr, ZoneName> {
         let state = self.state.borrow();
         let mut hosts = self.members.clone();
--- a/porthoistd/src/duty/rank/telling.rs
+++ b/porthoistd/src/duty/rank/reporting.rs
@@ -1,13 +1,15 @@
-//! What the process that plans tells of its group: loads, pass times, and that the group is not formed.
+//! Reports on a group by the process that plans for it: loads, pass durations, and that the group has broken
+//! up.
 
-use super::{LOADS_MILLIS, RankDuty};
+use super::{LOADS_INTERVAL_MILLIS, RankDuty};
 use porthoist_core::UnixDeadline;
 use porthoist_policy::proxy::loads::{GroupLoads, LoadRevision, RankLoad, equivalent_requests};
 use porthoist_policy::proxy::pass_time::{GroupPass, GroupSample, PassTimer};
 use porthoist_policy::roll_forward::{RankState, RankView};
 
 impl RankDuty {
-    /// Measures the group's passes by the own rank, which runs each of them with all others.
+    /// Measures the group's passes by the steps of the own rank, which runs every pass together with all
+    /// others.
     pub(super) fn measure_pass(&mut self, own: &RankState) {
         let RankView { epoch, step, .. } = own.view;
         let planner = self.planner.as_ref();
@@ -17,17 +19,18 @@
         self.passes.observe(GroupSample { epoch, step, busy: working, slowest }, self.clock.now());
     }
 
-    /// Plans no more. While the group is not formed, entries are told so once; they hear of it again when it is.
-    pub(super) fn leave_group(&mut self, own: &RankState) {
+    /// Stops planning. If the group has broken up, entries are told once; they get loads again when it has
+    /// re-formed.
+    pub(super) fn stop_planning(&mut self, own: &RankState) {
         self.planner = None;
         self.passes = PassTimer::default();
         let group = self.group.take();
-        let told = self.loads.borrow().clone();
-        match (group, told) {
-            (Some(group), Some(told)) if !own.open && told.pass != GroupPass::Broken => {
-                let revision = LoadRevision(told.revision.0 + 1);
-                let broken = GroupLoads { revision, pass: GroupPass::Broken, ..told };
-                group.reach.branches().publish_loads(&broken);
+        let last_loads = self.loads.borrow().clone();
+        match (group, last_loads) {
+            (Some(group), Some(last_loads)) if !own.open && last_loads.pass != GroupPass::Broken => {
+                let revision = LoadRevision(last_loads.revision.0 + 1);
+                let broken = GroupLoads { revision, pass: GroupPass::Broken, ..last_loads };
+                group.group_control.branches().publish_loads(&broken);
                 self.loads.send_replace(Some(broken));
             }
             _ => {
@@ -36,30 +39,31 @@
         }
     }
 
-    /// Tells the entry processes what runs and waits at each rank.
+    /// Reports the running and waiting requests of each rank to the entries.
     pub(super) fn publish_loads(&mut self) {
         let now = self.clock.now();
         if !self.loads_due.passed(now) {
             return;
         }
         let (Some(planner), Some(group)) = (&self.planner, &self.group) else { return };
-        // An old reading told anew would hide what entries have sent since: they take their own requests to be in it. While
-        // passes were slow and switches long, that filled ranks of 12 slots with 23 to 39 requests.
-        if std::mem::replace(&mut self.told_readings, planner.full_reads()) == planner.full_reads() {
+        // Do not report the same reading twice: entries assume that a report includes their own requests, so
+        // it would hide what they sent since. With slow passes and long switches, that filled ranks of 12
+        // slots with 23 to 39 requests.
+        if std::mem::replace(&mut self.reported_readings, planner.full_reads()) == planner.full_reads() {
             return;
         }
-        self.loads_due = UnixDeadline::after(now, LOADS_MILLIS);
-        let ranks = group.reach.hosts().iter().enumerate().filter_map(|(rank, host)| {
+        self.loads_due = UnixDeadline::after(now, LOADS_INTERVAL_MILLIS);
+        let ranks = group.group_control.hosts().iter().enumerate().filter_map(|(rank, host)| {
             let (requests, pace) = (*planner.requests().get(rank)?, *planner.paces().get(rank)?);
             let silent = !planner.is_reachable(rank);
             let requests = equivalent_requests(requests, self.step_requests, pace);
             Some(RankLoad { host: (*host)?, requests, silent })
         });
-        // Numbers from the clock rise also from one process that plans to the next.
+        // Clock-based revisions also increase from one planning process to the next.
         let last = self.loads.borrow().as_ref().map_or(0, |loads| loads.revision.0);
         let revision = LoadRevision(now.0.max(last + 1));
         let loads = GroupLoads { revision, pass: self.passes.pass(now), ranks: ranks.collect() };
-        group.reach.branches().publish_loads(&loads);
+        group.group_control.branches().publish_loads(&loads);
         self.loads.send_replace(Some(loads));
     }
 }
--- a/porthoistd/src/duty/routing.rs
+++ b/porthoistd/src/duty/routing.rs
@@ -19,21 +19,21 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Messages that wait for the actor at most; more are refused as overload.
-const MAILBOX: usize = 8192;
-/// Retries for each first attempt.
+/// Capacity of the actor's mailbox; route requests beyond it are refused as overload.
+const MAILBOX_CAPACITY: usize = 8192;
+/// Retries allowed per first attempt.
 const RETRY_SHARE: f64 = 0.1;
-/// Retries that may be saved up.
+/// Maximum number of unused retries that accumulate.
 const RETRY_BURST: f64 = 20.0;
 
-/// The actor.
+/// Decides on admission, routes, retries and hedges for one entry.
 #[derive(Debug, Actor)]
 pub struct RoutingActor {
     router: Router,
     limiter: EntryLimiter,
     coordinator: LimitCoordinator,
-    kept_limits: HashMap<u64, TeamLimit>,
-    kept_revision: u64,
+    limits_by_hash: HashMap<u64, TeamLimit>,
+    limits_revision: u64,
     budget: RetryBudget,
     hedges: HedgePolicy,
     hedging: bool,
@@ -41,60 +41,60 @@
     clock: Arc<dyn ClockSource>,
 }
 
-/// Asks for a route.
+/// Requests a route.
 #[derive(Debug)]
 pub struct RouteMessage(pub RouteRequest);
 
-/// A load report, and the attempt that it came back with.
+/// The outcome of a contact with a target: its load report, and the attempt that ended.
 #[derive(Debug)]
 pub struct LoadMessage {
     /// The target.
     pub target: TargetName,
-    /// Its load; absent where it said nothing.
+    /// Its load, if it reported one.
     pub load: Option<LoadReport>,
-    /// The attempt that is over.
+    /// The attempt that ended.
     pub done: Option<AttemptId>,
-    /// The target could not be reached.
+    /// Whether the target was unreachable.
     pub unreachable: bool,
 }
 
-/// What the fleet duty knows of a target.
+/// A change of the set of targets.
 #[derive(Debug)]
 pub enum TargetMessage {
-    /// It is there.
+    /// Adds or updates a target.
     Upsert(RouteTarget),
-    /// Its process began a new life.
+    /// Its process restarted.
     Reset(TargetName),
-    /// It is gone.
+    /// Removes a target.
     Remove(TargetName),
 }
 
-/// The number of live entries in the zone, and of those that send to the same targets.
+/// Updates the number of live entries.
 #[derive(Debug, Clone, Copy)]
 pub struct EntriesMessage {
-    /// In the own zone.
+    /// Entries in this zone.
     pub zone: u32,
-    /// In all zones.
+    /// Entries in all zones, which send to the same targets.
     pub all: u32,
 }
 
-/// An admitted request is over.
+/// An admitted request of a team ended.
 #[derive(Debug)]
 pub struct ReleaseMessage(pub TeamName);
 
-/// Asks which teams are to be settled with their coordinators now.
+/// Requests the teams that are due for settlement.
 #[derive(Debug, Clone, Copy)]
-pub struct DueMessage;
+pub struct DueTeamsMessage;
 
-impl Message<DueMessage> for RoutingActor {
+impl Message<DueTeamsMessage> for RoutingActor {
     type Reply = Vec<(TeamName, SettleAsk)>;
 
-    async fn handle(&mut self, _msg: DueMessage, _ctx: &mut Context<Self, Self::Reply>) -> Self::Reply {
+    async fn handle(&mut self, _msg: DueTeamsMessage, _ctx: &mut Context<Self, Self::Reply>) -> Self::Reply {
         self.limiter.due(self.clock.now())
     }
 }
 
-/// What a coordinator answered, or nothing where it could not be heard.
+/// The coordinator's answers to settlement requests; `None` if it was unreachable.
 #[derive(Debug)]
 pub struct SettledMessage(pub Vec<(TeamName, SettleAsk, Option<SettleTold>)>);
 
@@ -103,16 +103,16 @@
 
     async fn handle(&mut self, msg: SettledMessage, _ctx: &mut Context<Self, Self::Reply>) -> Self::Reply {
         let now = self.clock.now();
-        for (team, ask, told) in msg.0 {
-            match told {
-                Some(told) => self.limiter.settled(now, &team, ask, told),
+        for (team, ask, reply) in msg.0 {
+            match reply {
+                Some(reply) => self.limiter.settled(now, &team, ask, reply),
                 None => self.limiter.coordinator_unreachable(now, &team),
             }
         }
     }
 }
 
-/// Another entry settles teams that this one keeps.
+/// Settlement requests for teams that this entry coordinates.
 #[derive(Debug)]
 pub struct CoordinatorMessage(pub Vec<SettleAsk>);
 
@@ -125,17 +125,17 @@
         _ctx: &mut Context<Self, Self::Reply>,
     ) -> Self::Reply {
         let now = self.clock.now();
-        let mut told = Vec::with_capacity(msg.0.len());
+        let mut replies = Vec::with_capacity(msg.0.len());
         for ask in msg.0 {
             if let Some(limit) = self.limit_of(ask.team) {
-                told.push(self.coordinator.settle(now, ask, limit));
+                replies.push(self.coordinator.settle(now, ask, limit));
             }
         }
-        told
+        replies
     }
 }
 
-/// The first frame of an attempt came back.
+/// An attempt returned its first frame.
 #[derive(Debug)]
 pub struct FirstFrameMessage {
     /// The target.
@@ -152,12 +152,12 @@
     }
 }
 
-/// A first token took so long, in milliseconds.
+/// An observed time to first token, in milliseconds.
 #[derive(Debug, Clone, Copy)]
 pub struct FirstTokenMessage(pub u64);
 
 impl RoutingActor {
-    /// Starts the actor on the present runtime.
+    /// Starts the actor on the current runtime.
     pub fn start(
         settings: RouterSettings,
         hedging: bool,
@@ -168,24 +168,25 @@
             router: Router::new(settings),
             limiter: EntryLimiter::new(1),
             coordinator: LimitCoordinator::new(),
-            kept_limits: HashMap::new(),
-            kept_revision: 0,
+            limits_by_hash: HashMap::new(),
+            limits_revision: 0,
             budget: RetryBudget::new(RETRY_SHARE, RETRY_BURST),
             hedges: HedgePolicy::default(),
             hedging,
             config,
             clock,
         };
-        Self::spawn_with_mailbox(actor, kameo::mailbox::bounded(MAILBOX))
+        Self::spawn_with_mailbox(actor, kameo::mailbox::bounded(MAILBOX_CAPACITY))
     }
 
-    /// The limits of the team with this hash, in the configuration in force.
+    /// The limits of the team with hash `team`, from the configuration in force.
     fn limit_of(&mut self, team: u64) -> Option<TeamLimit> {
-        if self.kept_revision != self.config.revision() {
-            self.kept_revision = self.config.revision();
-            self.kept_limits = self.config.limits().map(|(name, limit)| (team_key(&name), limit)).collect();
+        if self.limits_revision != self.config.revision() {
+            self.limits_revision = self.config.revision();
+            self.limits_by_hash =
+                self.config.limits().map(|(name, limit)| (team_key(&name), limit)).collect();
         }
-        self.kept_limits.get(&team).copied()
+        self.limits_by_hash.get(&team).copied()
     }
 
     fn admit(&mut self, now: UnixMillis, team: &TeamName) -> Result<(), CallerRefusal> {
@@ -233,7 +234,7 @@
         }
     }
 
-    /// A request that gets no route holds no concurrency.
+    /// Releases the concurrency slot of a request that gets no route.
     fn undo_admission(&mut self, ask: &RouteRequest) {
         if ask.admit {
             self.limiter.release(&ask.team);
@@ -241,11 +242,11 @@
     }
 }
 
-/// A refusal for want of a target is worth another try after a moment.
-const RETRY_MILLIS: u64 = 1000;
+/// Milliseconds after which a request without a route is worth retrying.
+const NO_ROUTE_RETRY_MILLIS: u64 = 1000;
 
 fn no_route(now: UnixMillis, reason: RefusalReason, detail: &str) -> CallerRefusal {
-    let retry_at = Some(now.plus(RETRY_MILLIS));
+    let retry_at = Some(now.plus(NO_ROUTE_RETRY_MILLIS));
     CallerRefusal { reason, verdict: RunVerdict::NotRun, retry_at, detail: detail.to_owned() }
 }
 
@@ -313,7 +314,7 @@
     }
 }
 
-/// The callers' way to the actor.
+/// Sends the caller server's messages to the actor.
 #[derive(Debug, Clone)]
 pub struct RoutingHandle(pub ActorRef<RoutingActor>);
 
@@ -321,7 +322,7 @@
     fn route(&self, ask: RouteRequest) -> BoxFuture<'_, Result<RouteReply, CallerRefusal>> {
         Box::pin(async move {
             match self.0.ask(RouteMessage(ask)).try_send().await {
-                Ok(told) => Ok(told),
+                Ok(route) => Ok(route),
                 Err(SendError::HandlerError(refusal)) => Err(refusal),
                 Err(_full) => {
                     Err(CallerRefusal::not_run(RefusalReason::Overloaded, "this entry is overloaded"))
@@ -331,23 +332,24 @@
     }
 
     fn release(&self, team: TeamName) {
-        self.tell_bounded(ReleaseMessage(team));
+        self.send_reliably(ReleaseMessage(team));
     }
 
     fn first_frame(&self, target: TargetName, attempt: AttemptId) {
-        // A lost observation costs nothing.
-        let _told = self.0.tell(FirstFrameMessage { target, attempt }).try_send();
+        // Losing an observation is harmless.
+        let _sent = self.0.tell(FirstFrameMessage { target, attempt }).try_send();
     }
 
     fn first_token(&self, millis: u64) {
-        // A lost observation costs nothing.
-        let _told = self.0.tell(FirstTokenMessage(millis)).try_send();
+        // Losing an observation is harmless.
+        let _sent = self.0.tell(FirstTokenMessage(millis)).try_send();
     }
 }
 
 impl RoutingHandle {
-    /// A message that must not be lost, or a concurrency slot would leak: it waits in a task when the mailbox is full.
-    fn tell_bounded(&self, message: ReleaseMessage) {
+    /// Sends a message that must not be lost, because its concurrency slot would leak. If the mailbox is
+    /// full, a task waits until it is accepted.
+    fn send_reliably(&self, message: ReleaseMessage) {
         let actor = self.0.clone();
         if let Err(SendError::MailboxFull(message)) = actor.tell(message).try_send() {
             tokio::spawn(async move { actor.tell(message).await });
--- a/porthoistd/src/duty/status.rs
+++ b/porthoistd/src/duty/status.rs
@@ -1,4 +1,4 @@
-//! The status duty: tells the balancer whether the process takes new connections, and serves metrics.
+//! Readiness checks of the load balancer, and metrics.
 
 use hyper::{Request, StatusCode};
 use porthoist_core::ClockSource;
@@ -13,43 +13,43 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// Path of the metrics.
+/// Path of the metrics endpoint.
 pub const METRICS_PATH: &str = "/metrics";
 
-/// Answers the balancer and whoever collects metrics.
+/// Serves the readiness and metrics endpoints.
 #[derive(Debug)]
 pub struct StatusDuty {
-    /// Path of the balancer's question.
+    /// Path of the readiness endpoint.
     pub ready_path: &'static str,
-    /// What the process believes.
+    /// Last known services and targets.
     pub state: watch::Receiver<ControlState>,
-    /// Whether it stops.
+    /// Set when the process starts to shut down.
     pub stopping: watch::Receiver<bool>,
-    /// Whether requests need proof that the configuration is the newest.
+    /// Rule on whether requests need proof that the configuration is the newest.
     pub proof: FreshnessRule,
-    /// Deaths that are held against requests.
+    /// Crashes attributed to requests.
     pub crashes: watch::Receiver<CrashSnapshot>,
-    /// The present time.
+    /// Source of the current time.
     pub clock: Arc<dyn ClockSource>,
-    /// What is counted.
+    /// Metrics of this process.
     pub metrics: Arc<MetricsHub>,
-    /// For the log.
+    /// The logger.
     pub logger: Logger,
-    /// The last answer, to log changes only.
+    /// The last answer, so that only changes are logged.
     pub last_ready: AtomicBool,
 }
 
 impl StatusDuty {
-    /// Serves both listeners for ever.
+    /// Serves both listeners forever.
     pub async fn run(self: Arc<Self>, ready: StdListener, metrics: StdListener) {
         let never = watch::Sender::new(false);
-        let questions = Arc::clone(&self);
+        let checks = Arc::clone(&self);
         let ready = serve_until(
             TcpListener::from_std(ready).expect("a bound listener fits the runtime"),
             ServerSettings::default(),
             never.subscribe(),
             move |request| {
-                let answer = questions.ready(&request);
+                let answer = checks.ready(&request);
                 async move { answer }
             },
         );
@@ -82,7 +82,7 @@
         if !state.targets_listed {
             return Some("no targets listed");
         }
-        // A process that starts must not send on what others know to kill targets.
+        // A starting process must not send requests that other entries know to crash targets.
         if !self.crashes.borrow().listed {
             return Some("no deaths listed");
         }
@@ -91,7 +91,7 @@
     }
 }
 
-/// Serves metrics for ever.
+/// Serves metrics forever.
 pub async fn serve_metrics(listener: StdListener, metrics: Arc<MetricsHub>) {
     let never = watch::Sender::new(false);
     let listener = TcpListener::from_std(listener).expect("a bound listener fits the runtime");
--- a/porthoistd/src/duty/target_fleet.rs
+++ b/porthoistd/src/duty/target_fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet duty of a target: it answers entries' offers, ticket requests and heartbeats.
+//! The fleet side of a target: answers entries' offers, ticket requests and heartbeats.
 
 use crate::config::ConfigHub;
 use bytes::Bytes;
@@ -22,32 +22,32 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use tokio::sync::watch;
 
-/// The handler.
+/// Answers the calls of other processes.
 #[derive(Debug, Clone)]
 pub struct TargetHandler {
-    /// The target's name.
+    /// Name of the target.
     pub target: TargetName,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// This life of the process.
+    /// Identifies this run of the process.
     pub incarnation: IncarnationId,
     /// The services that the back end runs.
     pub services: Rc<[ServiceName]>,
-    /// The actor with the last word.
+    /// Decides on each offer.
     pub offers: ActorRef<OffersActor>,
-    /// Its load.
+    /// Current load of the target.
     pub load: watch::Receiver<LoadReport>,
-    /// Configuration.
+    /// The configuration in force.
     pub config: Arc<ConfigHub>,
-    /// Offers whose answer is not out yet.
+    /// Number of offers whose answer is not fully sent.
     pub open: Arc<AtomicU64>,
-    /// The driver of the rank beside the process.
+    /// Drives the rank next to this process.
     pub rank: Arc<RankDriver>,
-    /// Counters.
+    /// Metrics of this process.
     pub metrics: Arc<MetricsHub>,
 }
 
-/// Counts an open offer, and tells the actor when its follower is gone.
+/// Counts an open offer; dropping it tells the actor that nobody follows the answer any more.
 struct OpenOffer {
     follower: Option<LogFollower>,
     attempt: AttemptId,
@@ -59,8 +59,8 @@
     fn drop(&mut self) {
         self.open.fetch_sub(1, Ordering::Relaxed);
         if self.follower.take().is_some() {
-            // When the mailbox is full the request stays in the queue until its turn or deadline.
-            let _told = self.offers.tell(OfferAbandoned(self.attempt)).try_send();
+            // If the mailbox is full, the request stays queued until its turn or deadline.
+            let _sent = self.offers.tell(OfferAbandoned(self.attempt)).try_send();
         }
     }
 }
@@ -72,7 +72,7 @@
         let mut open =
             OpenOffer { follower: None, attempt, offers: self.offers.clone(), open: Arc::clone(&self.open) };
         let outcome = match self.ask(offer).await {
-            Ok(follower) => follow(open.follower.insert(follower), attempt, &sender).await,
+            Ok(follower) => relay_answer(open.follower.insert(follower), attempt, &sender).await,
             Err(OfferRefusal { reason, verdict, retry_at }) => {
                 OfferOutcome::Refused { reason, verdict, retry_at }
             }
@@ -86,7 +86,8 @@
     async fn ask(&self, offer: RequestOffer) -> Result<LogFollower, OfferRefusal> {
         let keyed = offer.ticket.is_some();
         let request = self.offers.ask(OfferRequest(Arc::new(offer)));
-        // A refusal here would not spend the ticket, so an offer with one waits for the actor.
+        // A refusal at this point would leave the ticket valid, so an offer with a ticket waits for the
+        // actor.
         let asked = if keyed { request.send().await } else { request.try_send().await };
         asked.map_err(|error| match error {
             SendError::HandlerError(refusal) => refusal,
@@ -100,7 +101,7 @@
     OfferRefusal { reason, verdict: RunVerdict::NotRun, retry_at: None }
 }
 
-async fn follow(follower: &mut LogFollower, attempt: AttemptId, sender: &FrameSender) -> OfferOutcome {
+async fn relay_answer(follower: &mut LogFollower, attempt: AttemptId, sender: &FrameSender) -> OfferOutcome {
     let mut frames = 0;
     let mut digest = AnswerDigest::default();
     loop {
@@ -153,7 +154,7 @@
     }
 
     fn settle(&self, _asks: Vec<SettleAsk>) -> HandlerFuture<Vec<SettleTold>> {
-        // Limits are kept by entries.
+        // Only entries settle limits.
         Box::pin(std::future::ready(Vec::new()))
     }
 
--- a/porthoistd/src/lib.rs
+++ b/porthoistd/src/lib.rs
@@ -1,6 +1,6 @@
 //! The daemon as a library: load its settings into a [`Daemon`], then run it.
 //!
-//! Each duty is a thread with a runtime of its own; bounded rings and mailboxes join them.
+//! Each duty runs on a thread with its own runtime; bounded rings and mailboxes connect them.
 
 pub mod config;
 pub mod duty;
@@ -23,12 +23,12 @@
 }
 
 impl Daemon {
-    /// Takes checked settings.
+    /// Creates a daemon from validated settings.
     pub fn load(settings: DaemonSettings, logger: Logger) -> miette::Result<Self> {
         Ok(Self { settings, logger })
     }
 
-    /// Runs until a signal ends it, and returns when nothing is in flight any more.
+    /// Runs until a signal stops it and no request is in flight.
     pub fn run(self) -> miette::Result<()> {
         let Self { settings, logger } = self;
         match settings.role {
@@ -41,7 +41,7 @@
 }
 
 impl DaemonCommand {
-    /// Checks the command's settings and runs its role until a signal ends it.
+    /// Validates the command's settings and runs its role until a signal stops it.
     pub fn run(self) -> miette::Result<()> {
         let environment = |name: &str| std::env::var(name).ok();
         match self {
@@ -59,7 +59,7 @@
     }
 }
 
-/// Runs a role whose settings are valid, unless they were only to be checked.
+/// Runs a role, or only reports that its settings are valid if `check` is set.
 fn run_checked<R>(check: bool, level: Level, role: R) -> miette::Result<()>
 where
     R: FnOnce(&Logger) -> io::Result<()>,
--- a/porthoistd/src/logging.rs
+++ b/porthoistd/src/logging.rs
@@ -1,18 +1,18 @@
-//! Structured logs: JSON lines on standard output, or lines for a terminal on standard error.
+//! Structured logs: JSON lines on standard output, or text for a terminal on standard error.
 //!
-//! Logging never blocks the thread that logs, and a process writes a bounded number of lines a second.
+//! Logging never blocks the calling thread, and the number of lines per second is bounded.
 
 use crate::settings::LogFormat;
 use slog::{Drain, Level, LevelFilter, Logger, Never, OwnedKVList, Record, o};
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Records that wait for a slow reader of the log; more are dropped and counted by slog.
+/// Records buffered for a slow log reader; more are dropped and counted by slog.
 const LOG_BACKLOG: usize = 4096;
-/// Lines a second that a process writes at most. At the users' rates an entry writes about 60.
-const LINES_A_SECOND: u32 = 500;
+/// Maximum number of log lines per second. An entry under production load writes about 60.
+const MAX_LINES_PER_SECOND: u32 = 500;
 
-/// A logger that never blocks the thread that logs.
+/// Creates a logger that never blocks the calling thread.
 pub fn logger(format: LogFormat, level: Level) -> Logger {
     let drain: Box<dyn Drain<Ok = (), Err = Never> + Send> = match format {
         LogFormat::Json => Box::new(slog_json::Json::default(std::io::stdout()).ignore_res()),
@@ -22,11 +22,11 @@
         }
     };
     let drain = slog_async::Async::new(drain).chan_size(LOG_BACKLOG).build().ignore_res();
-    let drain = BoundedDrain::new(drain, LINES_A_SECOND);
+    let drain = BoundedDrain::new(drain, MAX_LINES_PER_SECOND);
     Logger::root(LevelFilter::new(drain, level).ignore_res(), o!())
 }
 
-/// Passes a bounded number of lines a second on, and says how many it dropped.
+/// Limits the lines per second, and logs how many were dropped.
 #[derive(Debug)]
 pub struct BoundedDrain<D> {
     drain: D,
@@ -42,13 +42,13 @@
 }
 
 impl<D> BoundedDrain<D> {
-    /// A bound of `limit` lines a second before a drain.
+    /// Limits `drain` to `limit` lines per second.
     pub fn new(drain: D, limit: u32) -> Self {
         let second = LogSecond { end: Instant::now(), lines: 0, dropped: 0 };
         Self { drain, limit, second: Mutex::new(second) }
     }
 
-    /// Whether one more line may pass, and how many were dropped in the second before.
+    /// Whether one more line may pass, and how many were dropped in the previous second.
     fn admit(&self) -> (bool, u32) {
         let now = Instant::now();
         let mut second = self.second.lock().unwrap_or_else(PoisonError::into_inner);
@@ -74,10 +74,10 @@
         let (admitted, dropped) = self.admit();
         if dropped > 0 {
             let location = record.location();
-            let told = slog::RecordStatic { location, tag: "", level: Level::Warning };
+            let warning = slog::RecordStatic { location, tag: "", level: Level::Warning };
             let text = format_args!("log lines dropped");
             let pairs = slog::b!("event" => "log_lines_dropped", "count" => dropped);
-            self.drain.log(&Record::new(&told, &text, pairs), values)?;
+            self.drain.log(&Record::new(&warning, &text, pairs), values)?;
         }
         if admitted { self.drain.log(record, values) } else { Ok(()) }
     }
--- a/porthoistd/src/role.rs
+++ b/porthoistd/src/role.rs
@@ -1,4 +1,4 @@
-//! The roles of a process: which duties it has and how they are joined.
+//! The roles of a process: which duties each runs and how they are connected.
 
 pub mod entry;
 pub mod local;
@@ -18,7 +18,7 @@
 use std::sync::Arc;
 use tokio::net::TcpListener;
 
-/// A listener that a duty's thread takes over.
+/// Binds a non-blocking listener that can be moved to another thread.
 pub(crate) fn bind(address: SocketAddr) -> io::Result<(StdListener, SocketAddr)> {
     let listener = StdListener::bind(address)
         .map_err(|error| io::Error::new(error.kind(), format!("can't listen on {address}: {error}")))?;
@@ -27,7 +27,7 @@
     Ok((listener, bound))
 }
 
-/// Starts the operators' duty.
+/// Starts the operator endpoint.
 pub(crate) fn start_operators(
     settings: &DaemonSettings,
     listener: StdListener,
--- a/porthoistd/src/role/entry.rs
+++ b/porthoistd/src/role/entry.rs
@@ -1,4 +1,4 @@
-//! The entry role.
+//! The entry role: takes callers' requests and offers them to targets.
 
 use super::{bind, host_entry, random_incarnation, start_operators};
 use crate::config::ConfigHub;
@@ -34,15 +34,15 @@
 /// Addresses that an entry listens on.
 #[derive(Debug, Clone, Copy)]
 pub struct EntryAddresses {
-    /// For callers.
+    /// The callers' listener.
     pub callers: SocketAddr,
-    /// For operators.
+    /// The operator endpoint.
     pub operator: SocketAddr,
-    /// For our own processes.
+    /// The listener for other porthoist processes.
     pub fleet: SocketAddr,
 }
 
-/// Runs an entry until it is told to stop and nothing is in flight.
+/// Runs an entry until it is stopped and no request is in flight.
 pub fn run(settings: DaemonSettings, logger: &Logger) -> io::Result<()> {
     let stopping = watch::Sender::new(false);
     let (addresses, callers) = start(settings, logger, stopping)?;
@@ -50,7 +50,7 @@
     callers.join().map_err(|_panic| io::Error::other("the callers' duty panicked"))
 }
 
-/// Starts an entry's duties; the returned thread ends when the entry has stopped gracefully.
+/// Starts an entry's threads; the returned one ends when the entry has shut down gracefully.
 pub fn start(
     settings: DaemonSettings,
     logger: &Logger,
@@ -82,7 +82,7 @@
     Ok((addresses, callers))
 }
 
-/// What the duties of one entry share.
+/// State shared by the threads of one entry.
 struct EntryProcess {
     settings: DaemonSettings,
     incarnation: IncarnationId,
@@ -140,7 +140,7 @@
         let (config, clock) = (Arc::clone(&self.config), Arc::clone(&self.clock));
         spawn_duty("routing", move || async move {
             let actor = RoutingActor::start(router, hedging, config, clock);
-            // The receiver waits below; the actor then lives as long as its thread.
+            // The receiver waits below. The actor lives as long as its thread.
             drop(handover.send(actor.clone()));
             actor.wait_for_shutdown().await;
         })?;
--- a/porthoistd/src/role/local.rs
+++ b/porthoistd/src/role/local.rs
@@ -1,4 +1,4 @@
-//! The local role: entry, target and stand-ins as threads of one process, for a first request.
+//! The local role: entry, targets and stand-ins as threads of one process, to try porthoist out.
 
 use super::{entry, target};
 use crate::duty::spawn_duty;
@@ -18,7 +18,7 @@
 const STEP_MILLIS: u64 = 20;
 const ANY_PORT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
-/// Rows that the local table starts with.
+/// Initial rows of the local table.
 pub fn default_rows() -> Vec<(String, Value)> {
     let row = |cells: Value| json!({ "cells": cells, "edit": "start" });
     vec![
@@ -31,7 +31,7 @@
     ]
 }
 
-/// Runs everything until it is told to stop.
+/// Runs all processes until it is stopped.
 pub fn run(settings: DaemonSettings, logger: &Logger) -> io::Result<()> {
     let platform = PlatformStandin::with_items(default_rows());
     let engine = EngineStandin::new(true);
--- a/porthoistd/src/role/proxy.rs
+++ b/porthoistd/src/role/proxy.rs
@@ -1,11 +1,11 @@
-//! The proxy role: passes requests on as they are, by routes and targets of the platform's table service.
+//! The proxy role: forwards requests unchanged, by the routes and targets of the platform's table service.
 
 use super::bind;
 use crate::duty::loads::LoadsDuty;
-use crate::duty::news::ZonePeers;
 use crate::duty::signals::{watch_reloads, watch_signals};
 use crate::duty::spawn_duty;
 use crate::duty::status::StatusDuty;
+use crate::duty::zone_peers::ZonePeers;
 use crate::settings::proxy::ProxySettings;
 use porthoist_core::{AnchoredClock, ClockSource};
 use porthoist_fleet::{ControlTraffic, PeerPool};
@@ -33,46 +33,47 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
 
-/// Kept from the time within which a key that was taken away must run nothing, in milliseconds: the local clock is
-/// placed on the table service's with an error of some milliseconds.
+/// Margin in milliseconds subtracted from the time within which a revoked key must stop working: the local
+/// clock follows the table service's with an error of some milliseconds.
 const PROOF_MARGIN_MILLIS: u64 = 400;
-/// Milliseconds after the signal to stop in which the balancer still sends new connections: it takes a process out
-/// after two questions, a second apart.
+/// Milliseconds after the stop signal during which the load balancer still sends new connections: it removes
+/// a process after two failed checks, one second apart.
 const STOP_LAG_MILLIS: u64 = 2_600;
-/// Kept from the time to stop, in milliseconds, so that the last log lines are written.
+/// Margin in milliseconds subtracted from the shutdown grace period, so that the last log lines are written.
 const GRACE_MARGIN_MILLIS: u64 = 300;
-/// Part of the repeats for each request that a process sends by itself; the rest covers processes that restart.
-const RATIO_PART: f64 = 0.8;
-/// Processes that the slack is divided between: twice the most that any deployment runs now.
+/// Share of the retry ratio that one process uses; the rest covers restarting processes.
+const PROCESS_RATIO_SHARE: f64 = 0.8;
+/// Number of processes that share the retry slack: twice the largest current deployment.
 const SLACK_PROCESSES: f64 = 100.0;
 
-/// Reports of loads that wait for the callers' duty at most: each of some ten groups sends twelve a second, and the duty
-/// takes them within milliseconds.
-const LOADS_RING: usize = 64;
-/// Deaths that wait for the control duty at most: those under all requests of ten targets, noted within milliseconds.
-const CRASHES_RING: usize = 256;
-/// Time between two looks for deaths that no longer count; they count for minutes.
-const LAPSE_LOOK: Duration = Duration::from_secs(5);
+/// Capacity of the queue of load reports: each of about ten groups sends twelve a second, and the callers
+/// thread takes them within milliseconds.
+const LOADS_CAPACITY: usize = 64;
+/// Capacity of the queue of crashes to write, enough for all requests of ten targets; they are written within
+/// milliseconds.
+const CRASHES_CAPACITY: usize = 256;
+/// Interval at which expired crashes are removed; crashes count for minutes.
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Addresses that a proxy listens on.
 #[derive(Debug, Clone, Copy)]
 pub struct ProxyAddresses {
-    /// For callers.
+    /// The callers' listener.
     pub callers: SocketAddr,
-    /// For the balancer.
+    /// The readiness endpoint of the load balancer.
     pub ready: SocketAddr,
-    /// For metrics.
+    /// The metrics endpoint.
     pub metrics: SocketAddr,
 }
 
-/// Runs a proxy until it is told to stop and nothing is in flight.
+/// Runs a proxy until it is stopped and no request is in flight.
 pub fn run(settings: ProxySettings, logger: &Logger) -> io::Result<()> {
     let stopping = watch::Sender::new(false);
     let (_addresses, callers) = start(settings, logger, stopping)?;
     callers.join().map_err(|_panic| io::Error::other("the callers' duty panicked"))
 }
 
-/// Starts a proxy's duties; the returned thread ends when the proxy has stopped gracefully.
+/// Starts a proxy's threads; the returned one ends when the proxy has shut down gracefully.
 pub fn start(
     settings: ProxySettings,
     logger: &Logger,
@@ -91,7 +92,7 @@
         clock: Arc::new(AnchoredClock::new()),
         state: watch::Sender::new(ControlState::default()),
         crashes: watch::Sender::new(CrashSnapshot::default()),
-        place: watch::Sender::new(None),
+        position: watch::Sender::new(None),
         own_notes: watch::Sender::new(Vec::new()),
         zone_notes: watch::Sender::new(Vec::new()),
         proof: FreshnessRule {
@@ -109,16 +110,16 @@
     Ok((addresses, callers))
 }
 
-/// What the duties of one proxy share.
+/// State shared by the threads of one proxy.
 struct ProxyProcess {
     settings: ProxySettings,
     metrics: Arc<MetricsHub>,
     clock: Arc<dyn ClockSource>,
     state: watch::Sender<ControlState>,
     crashes: watch::Sender<CrashSnapshot>,
-    /// This process's place among the entries of its zone.
-    place: watch::Sender<Option<EntryPosition>>,
-    /// What this process has heard of targets in need, and what others of its zone have.
+    /// This process's position among the entries of its zone.
+    position: watch::Sender<Option<EntryPosition>>,
+    /// Notes of this process on targets under pressure, and those of the zone's other entries.
     own_notes: watch::Sender<Vec<TargetNote>>,
     zone_notes: watch::Sender<Vec<TargetNote>>,
     proof: FreshnessRule,
@@ -127,25 +128,27 @@
 }
 
 impl ProxyProcess {
-    /// Follows the platform's tables; returns where deaths that are held against requests go to be written.
+    /// Follows the platform's tables; returns the queue of crashes to write.
     fn start_control(&self) -> io::Result<mpsc::Sender<CrashChange>> {
         let (table, metrics) = (self.settings.table, Arc::clone(&self.metrics));
         let (state, clock, logger) = (self.state.clone(), Arc::clone(&self.clock), self.logger.clone());
         let (bound, zone, rank_port) =
             (self.settings.bound, self.settings.zone.clone(), self.settings.rank_port);
-        let (crashes, place, host) = (self.crashes.clone(), self.place.clone(), self.settings.host.clone());
+        let (crashes, position, host) =
+            (self.crashes.clone(), self.position.clone(), self.settings.host.clone());
         let (own_notes, zone_notes) = (self.own_notes.subscribe(), self.zone_notes.clone());
-        let (changes, noted) = mpsc::channel(CRASHES_RING);
+        let (changes, crash_changes) = mpsc::channel(CRASHES_CAPACITY);
         spawn_duty("control", move || async move {
             let store = Rc::new(StoreClient::new(table, Arc::clone(&metrics), logger.clone()));
-            let journal = CrashWriter::builder().writer(Rc::<StoreClient>::clone(&store)).changes(noted);
-            let journal = journal.metrics(Arc::clone(&metrics)).logger(logger.clone()).build();
+            let crash_writer =
+                CrashWriter::builder().writer(Rc::<StoreClient>::clone(&store)).changes(crash_changes);
+            let crash_writer = crash_writer.metrics(Arc::clone(&metrics)).logger(logger.clone()).build();
             let store: Rc<dyn RowSource> = store;
             let rows = match rank_port {
                 Some(port) => {
                     let peers = PeerPool::new(port, ControlTraffic::default());
                     let zone_peers = ZonePeers::builder().zone(zone).host(host).state(state.subscribe());
-                    let zone_peers = zone_peers.peers(peers).clock(Arc::clone(&clock)).place(place);
+                    let zone_peers = zone_peers.peers(peers).clock(Arc::clone(&clock)).position(position);
                     let zone_peers = zone_peers.own_notes(own_notes).zone_notes(zone_notes).build();
                     PeerRowSource::new(
                         store,
@@ -157,20 +160,20 @@
                 }
                 None => store,
             };
-            let deaths = CrashWatch::builder().source(Rc::clone(&rows)).crashes(crashes);
-            let deaths =
-                deaths.state(state.subscribe()).clock(Arc::clone(&clock)).logger(logger.clone()).build();
+            let crash_watch = CrashWatch::builder().source(Rc::clone(&rows)).crashes(crashes);
+            let crash_watch =
+                crash_watch.state(state.subscribe()).clock(Arc::clone(&clock)).logger(logger.clone()).build();
             let source = TuristSource::new(rows, Arc::clone(&clock), logger.clone());
             let watch = ControlWatch::builder().bound(bound).source(Rc::new(source)).state(state);
             let watch = watch.clock(clock).metrics(metrics).logger(logger).build();
-            tokio::join!(watch.run(), deaths.run(), journal.run());
+            tokio::join!(watch.run(), crash_watch.run(), crash_writer.run());
         })?;
         Ok(changes)
     }
 
-    /// Follows the loads of groups, where the processes beside their engines are to be found.
+    /// Follows the loads of groups, if the port of the processes next to engines is known.
     fn start_loads(&self) -> io::Result<mpsc::Receiver<GroupLoads>> {
-        let (loads, reports) = mpsc::channel(LOADS_RING);
+        let (loads, reports) = mpsc::channel(LOADS_CAPACITY);
         let Some(rank_port) = self.settings.rank_port else { return Ok(reports) };
         let (zone, state) = (self.settings.zone.clone(), self.state.subscribe());
         let duty = LoadsDuty { rank_port, zone, state, loads, logger: self.logger.clone() };
@@ -201,10 +204,10 @@
         crash_changes: mpsc::Sender<CrashChange>,
     ) -> io::Result<JoinHandle<()>> {
         spawn_duty("callers", move || async move {
-            let course = self.course(crash_changes);
-            let counted = Rc::clone(&course);
+            let handler = self.proxy_handler(crash_changes);
+            let counted = Rc::clone(&handler);
             let server = ProxyServer {
-                handler: Rc::clone(&course),
+                handler: Rc::clone(&handler),
                 stopping: self.stopping.subscribe(),
                 stop_lag_millis: STOP_LAG_MILLIS,
                 grace_millis: self.settings.grace_millis.saturating_sub(GRACE_MARGIN_MILLIS),
@@ -215,26 +218,26 @@
             tokio::task::spawn_local(watch_signals(self.stopping.clone(), self.logger.clone(), move || {
                 counted.in_flight()
             }));
-            tokio::task::spawn_local(follow_targets(Rc::clone(&course), self.state.subscribe()));
-            tokio::task::spawn_local(follow_crashes(Rc::clone(&course), self.crashes.subscribe()));
-            tokio::task::spawn_local(follow_place(Rc::clone(&course), self.place.subscribe()));
-            tokio::task::spawn_local(follow_notes(Rc::clone(&course), self.zone_notes.subscribe()));
-            tokio::task::spawn_local(follow_loads(course, loads));
+            tokio::task::spawn_local(follow_targets(Rc::clone(&handler), self.state.subscribe()));
+            tokio::task::spawn_local(follow_crashes(Rc::clone(&handler), self.crashes.subscribe()));
+            tokio::task::spawn_local(follow_position(Rc::clone(&handler), self.position.subscribe()));
+            tokio::task::spawn_local(follow_notes(Rc::clone(&handler), self.zone_notes.subscribe()));
+            tokio::task::spawn_local(follow_loads(handler, loads));
             let listener = TcpListener::from_std(listener).expect("a bound listener fits the runtime");
             serve_proxy(listener, server).await;
         })
     }
 
-    fn course(&self, crash_changes: mpsc::Sender<CrashChange>) -> Rc<ProxyHandler> {
-        let board = BalancerSettings::builder()
+    fn proxy_handler(&self, crash_changes: mpsc::Sender<CrashChange>) -> Rc<ProxyHandler> {
+        let balancer = BalancerSettings::builder()
             .zone(self.settings.zone.clone())
             .per_rank(self.settings.per_rank)
             .rank_limit(self.settings.rank_limit)
             .maybe_entries(Some(self.settings.entries).filter(|entries| *entries > 0))
             .seed(xxhash_rust::xxh3::xxh3_64(self.settings.host.as_str().as_bytes()))
             .build();
-        let share = RetryShareSettings {
-            ratio: self.settings.retry_ratio * RATIO_PART,
+        let retry_share = RetryShareSettings {
+            ratio: self.settings.retry_ratio * PROCESS_RATIO_SHARE,
             slack: self.settings.retry_slack / SLACK_PROCESSES,
             window_millis: self.settings.retry_window_millis,
         };
@@ -246,12 +249,12 @@
             .metrics(Arc::clone(&self.metrics))
             .logger(self.logger.clone())
             .build();
-        let settings = ProxyHandlerSettings::builder().proof(self.proof).share(share).build();
+        let settings = ProxyHandlerSettings::builder().proof(self.proof).share(retry_share).build();
         ProxyHandler::builder()
             .settings(settings)
             .codec(Rc::new(TuristCodec))
             .state(self.state.subscribe())
-            .dispatcher(RequestDispatcher::new(board, Arc::clone(&self.clock)))
+            .dispatcher(RequestDispatcher::new(balancer, Arc::clone(&self.clock)))
             .quarantine(quarantine)
             .notes(self.own_notes.clone())
             .clock(Arc::clone(&self.clock))
@@ -261,53 +264,54 @@
     }
 }
 
-/// Tells the course of the targets now, and of each change. What was listed before this task began counts too.
-async fn follow_targets(course: Rc<ProxyHandler>, mut state: watch::Receiver<ControlState>) {
+/// Passes the targets to the request handler, now and at each change. Targets listed before this task started
+/// are included.
+async fn follow_targets(handler: Rc<ProxyHandler>, mut state: watch::Receiver<ControlState>) {
     loop {
         state.mark_unchanged();
-        course.sync_targets();
+        handler.sync_targets();
         if state.changed().await.is_err() {
             return;
         }
     }
 }
 
-/// Tells the course of deaths that are held against requests, and lets it remove those that no longer count.
-async fn follow_crashes(course: Rc<ProxyHandler>, mut crashes: watch::Receiver<CrashSnapshot>) {
+/// Passes crashes to the request handler, and lets it remove expired ones.
+async fn follow_crashes(handler: Rc<ProxyHandler>, mut crashes: watch::Receiver<CrashSnapshot>) {
     loop {
         crashes.mark_unchanged();
-        course.update_crashes();
-        let changed = tokio::time::timeout(LAPSE_LOOK, crashes.changed()).await;
+        handler.update_crashes();
+        let changed = tokio::time::timeout(EXPIRY_INTERVAL, crashes.changed()).await;
         if matches!(changed, Ok(Err(_))) {
             return;
         }
-        course.remove_expired_crashes();
+        handler.remove_expired_crashes();
     }
 }
 
-/// Tells the course which place this process has among the entries of its zone. What was told before this task began counts
-/// too.
-async fn follow_place(course: Rc<ProxyHandler>, mut place: watch::Receiver<Option<EntryPosition>>) {
+/// Passes this process's position among the zone's entries to the request handler. A position known before
+/// this task started is included.
+async fn follow_position(handler: Rc<ProxyHandler>, mut position: watch::Receiver<Option<EntryPosition>>) {
     loop {
-        let newest = *place.borrow_and_update();
-        course.set_entry_position(newest);
-        if place.changed().await.is_err() {
+        let newest = *position.borrow_and_update();
+        handler.set_entry_position(newest);
+        if position.changed().await.is_err() {
             return;
         }
     }
 }
 
-/// Tells the course what other entries of the zone have heard of targets in need.
-async fn follow_notes(course: Rc<ProxyHandler>, mut notes: watch::Receiver<Vec<TargetNote>>) {
+/// Passes other entries' notes on targets under pressure to the request handler.
+async fn follow_notes(handler: Rc<ProxyHandler>, mut notes: watch::Receiver<Vec<TargetNote>>) {
     while notes.changed().await.is_ok() {
         let newest = notes.borrow_and_update().clone();
-        course.apply_notes(&newest);
+        handler.apply_notes(&newest);
     }
 }
 
-/// Tells the course of the loads that groups report.
-async fn follow_loads(course: Rc<ProxyHandler>, mut loads: mpsc::Receiver<GroupLoads>) {
+/// Passes the load reports of groups to the request handler.
+async fn follow_loads(handler: Rc<ProxyHandler>, mut loads: mpsc::Receiver<GroupLoads>) {
     while let Some(newest) = loads.recv().await {
-        course.update_loads(&newest);
+        handler.update_loads(&newest);
     }
 }
--- a/porthoistd/src/role/rank.rs
+++ b/porthoistd/src/role/rank.rs
@@ -1,4 +1,5 @@
-//! The rank role: stands beside one rank of a group, and plans the group's expert maps where it is the first.
+//! The rank role: runs next to one rank of a group, and plans the group's expert maps if that is its first
+//! rank.
 
 use super::bind;
 use crate::duty::rank::{OwnRank, RankDuty};
@@ -20,7 +21,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// Runs the role until it is told to stop.
+/// Runs the role until it is stopped.
 pub fn run(settings: RankSettings, logger: &Logger) -> io::Result<()> {
     let (rank_listener, rank_address) = bind(settings.rank_listen)?;
     let (metrics_listener, _metrics_address) = bind(settings.metrics_listen)?;
@@ -41,13 +42,13 @@
         let loads = watch::Sender::new(None);
         let traffic = ControlTraffic::default();
         let peers = Rc::new(PeerPool::new(rank_address.port(), traffic.clone()));
-        let link: Rc<dyn RankControl> = Rc::<OwnRank>::clone(&own);
+        let rank_control: Rc<dyn RankControl> = Rc::<OwnRank>::clone(&own);
         let publisher = LoadsPublisher::new(loads.subscribe());
         let store: Rc<dyn RowSource> =
             Rc::new(StoreClient::new(settings.table, Arc::clone(&metrics), logger.clone()));
         let reader = TableReader::new(Rc::clone(&store), Arc::clone(&clock), logger.clone());
         let serving = RankService::builder()
-            .link(link)
+            .link(rank_control)
             .publisher(publisher)
             .peers(Rc::clone(&peers))
             .traffic(traffic.clone())
@@ -81,14 +82,14 @@
     duty.join().map_err(|_panic| io::Error::other("the rank duty panicked"))
 }
 
-/// Pause between two readings of what passed between processes, in milliseconds.
-const TRAFFIC_MILLIS: u64 = 1_000;
+/// Interval in milliseconds at which the traffic counter is updated.
+const TRAFFIC_INTERVAL_MILLIS: u64 = 1_000;
 
-/// Keeps the counter of bytes between processes current.
+/// Adds the bytes exchanged with other processes to the metrics.
 async fn record_traffic(traffic: ControlTraffic, metrics: Arc<MetricsHub>) {
     let mut counted = 0;
     loop {
-        tokio::time::sleep(Duration::from_millis(TRAFFIC_MILLIS)).await;
+        tokio::time::sleep(Duration::from_millis(TRAFFIC_INTERVAL_MILLIS)).await;
         let all = traffic.sent() + traffic.received();
         metrics.control_bytes(all - counted);
         counted = all;
--- a/porthoistd/src/role/target.rs
+++ b/porthoistd/src/role/target.rs
@@ -1,4 +1,4 @@
-//! The target role.
+//! The target role: runs next to a back end and decides on entries' offers.
 
 use super::{bind, host_entry, random_incarnation, start_operators};
 use crate::config::ConfigHub;
@@ -31,23 +31,23 @@
 use tokio::net::TcpListener;
 use tokio::sync::{oneshot, watch};
 
-/// Jobs that wait for the back-end duty at most.
+/// Capacity of the queue of back-end jobs.
 const JOB_RING: usize = 4096;
-/// Requests in flight are looked at so often while the process stops.
-const DRAIN_POLL: Duration = Duration::from_millis(20);
-/// Drained so long without an offer, the process ends: entries have seen the drain flag by then.
-const QUIET_TIME: Duration = Duration::from_millis(1500);
+/// Interval at which shutdown checks whether requests are still in flight.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Time without any offer after which a drained target exits; entries have seen the drain flag by then.
+const QUIET_PERIOD: Duration = Duration::from_millis(1500);
 
 /// Addresses that a target listens on.
 #[derive(Debug, Clone, Copy)]
 pub struct TargetAddresses {
-    /// For our own processes.
+    /// The listener for other porthoist processes.
     pub fleet: SocketAddr,
-    /// For operators.
+    /// The operator endpoint.
     pub operator: SocketAddr,
 }
 
-/// Runs a target until it is told to stop and nothing is in flight.
+/// Runs a target until it is stopped and no request is in flight.
 pub fn run(settings: DaemonSettings, logger: &Logger) -> io::Result<()> {
     let stopping = watch::Sender::new(false);
     let (addresses, fleet) = start(settings, logger, stopping)?;
@@ -55,7 +55,7 @@
     fleet.join().map_err(|_panic| io::Error::other("the fleet duty panicked"))
 }
 
-/// Starts a target's duties; the returned thread ends when the target has stopped gracefully.
+/// Starts a target's threads; the returned one ends when the target has shut down gracefully.
 pub fn start(
     settings: DaemonSettings,
     logger: &Logger,
@@ -72,7 +72,7 @@
     Ok((TargetAddresses { fleet, operator }, thread))
 }
 
-/// What the duties of one target share.
+/// State shared by the threads of one target.
 struct TargetProcess {
     settings: DaemonSettings,
     incarnation: IncarnationId,
@@ -199,20 +199,20 @@
             let in_flight = move || counted.load(Ordering::Relaxed);
             tokio::task::spawn_local(watch_signals(stopping, logger.clone(), in_flight));
             if stop_seen.wait_for(|stop| *stop).await.is_ok() {
-                drained(&open, &load).await;
+                wait_until_drained(&open, &load).await;
             }
-            info!(logger, "nothing is in flight any more");
+            info!(logger, "all in-flight requests finished");
         })
     }
 }
 
-/// Waits until nothing runs, waits or is being sent, and has not for a while.
-async fn drained(open: &AtomicU64, load: &watch::Receiver<LoadReport>) {
+/// Waits until nothing has been running, queued or being sent for [`QUIET_PERIOD`].
+async fn wait_until_drained(open: &AtomicU64, load: &watch::Receiver<LoadReport>) {
     let mut quiet = Duration::ZERO;
-    while quiet < QUIET_TIME {
-        tokio::time::sleep(DRAIN_POLL).await;
+    while quiet < QUIET_PERIOD {
+        tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         let report = *load.borrow();
         let busy = open.load(Ordering::Relaxed) > 0 || report.running + report.queued > 0;
-        quiet = if busy { Duration::ZERO } else { quiet + DRAIN_POLL };
+        quiet = if busy { Duration::ZERO } else { quiet + DRAIN_POLL_INTERVAL };
     }
 }
--- a/porthoistd/src/settings.rs
+++ b/porthoistd/src/settings.rs
@@ -1,6 +1,7 @@
-//! Settings in flags and environment variables; a flag wins.
+//! Settings from flags and environment variables; a flag takes precedence.
 //!
-//! Every setting is checked before anything starts, and an error names it, what was given and what is expected.
+//! Every setting is validated before anything starts. An error names the setting, the given value and what is
+//! expected.
 
 pub mod proxy;
 pub mod rank;
@@ -21,13 +22,13 @@
 /// The daemon of porthoist. Every flag has an environment variable: `--fleet-key` is `PORTHOIST_FLEET_KEY`.
 #[derive(Debug, Default, FromArgs)]
 pub struct DaemonArgs {
-    /// only check the settings
+    /// only validate the settings, then exit
     #[argh(switch)]
     pub check: bool,
-    /// entry, target or local
+    /// role of the process: entry, target or local
     #[argh(option)]
     pub role: Option<String>,
-    /// name of this process: the target's name, or the entry's
+    /// name of this process: the name of the target or the entry
     #[argh(option)]
     pub name: Option<String>,
     /// name of the host
@@ -39,10 +40,10 @@
     /// address for callers, IP:PORT (entry, local)
     #[argh(option)]
     pub callers_listen: Option<String>,
-    /// address for our own processes, IP:PORT
+    /// address for other porthoist processes, IP:PORT
     #[argh(option)]
     pub fleet_listen: Option<String>,
-    /// address under which peers reach the fleet listener, IP:PORT (default: where it listens)
+    /// address under which peers reach the fleet listener, IP:PORT (default: the listen address)
     #[argh(option)]
     pub fleet_advertise: Option<String>,
     /// address for operators and metrics, IP:PORT
@@ -51,40 +52,40 @@
     /// URL of the platform, http://IP:PORT
     #[argh(option)]
     pub platform: Option<String>,
-    /// URL of the engine or service beside the process, http://IP:PORT (target)
+    /// URL of the engine or service next to the process, http://IP:PORT (target)
     #[argh(option)]
     pub backend: Option<String>,
-    /// services that the back end runs, joined by commas (target)
+    /// services that the back end runs, separated by commas (target)
     #[argh(option)]
     pub services: Option<String>,
-    /// fleet addresses of all ranks of the group in the order of their ranks, IP:PORT joined by commas (target)
+    /// fleet addresses of all ranks of the group in rank order, IP:PORT separated by commas (target)
     #[argh(option)]
     pub group: Option<String>,
-    /// requests that the back end runs at once (target)
+    /// number of requests that the back end runs concurrently (target)
     #[argh(option)]
     pub slots: Option<String>,
-    /// requests that wait at most (target)
+    /// maximum number of queued requests (target)
     #[argh(option)]
     pub queue: Option<String>,
-    /// key shared by our own processes, 16 bytes or more
+    /// key shared by all porthoist processes, 16 bytes or more
     #[argh(option)]
     pub fleet_key: Option<String>,
-    /// token of operators, 16 bytes or more
+    /// operator token, 16 bytes or more
     #[argh(option)]
     pub operator_token: Option<String>,
-    /// deadline in milliseconds of a request that names none (entry, local)
+    /// default deadline of a request in milliseconds (entry, local)
     #[argh(option)]
     pub deadline_ms: Option<String>,
-    /// time in milliseconds between the signal to stop and the close of the callers' listener (entry)
+    /// time in milliseconds between the stop signal and closing the callers' listener (entry)
     #[argh(option)]
     pub stop_lag_ms: Option<String>,
-    /// second attempts beside slow ones: on or off (entry, local)
+    /// hedged second attempts for slow requests: on or off (entry, local)
     #[argh(option)]
     pub hedge: Option<String>,
-    /// json or terminal
+    /// log format: json or terminal
     #[argh(option)]
     pub log: Option<String>,
-    /// debug, info, warning or error
+    /// log level: debug, info, warning or error
     #[argh(option)]
     pub log_level: Option<String>,
     #[argh(subcommand)]
@@ -92,81 +93,81 @@
     pub command: Option<DaemonCommand>,
 }
 
-/// Roles with settings of their own.
+/// Subcommands: roles with settings of their own.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 #[expect(clippy::large_enum_variant, reason = "there is one, read at the start")]
 pub enum DaemonCommand {
-    /// Passes requests on as they are.
+    /// Forwards requests unchanged.
     Proxy(ProxyArgs),
-    /// Stands beside a rank of a group.
+    /// Runs next to a rank of a group.
     Rank(RankArgs),
 }
 
-/// What the process is.
+/// Role of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DaemonRole {
     /// Takes callers' requests.
     Entry,
-    /// Stands beside a back end.
+    /// Runs next to a back end.
     Target,
-    /// Everything, with stand-ins, in one process.
+    /// Runs an entry, targets and stand-ins in one process.
     Local,
 }
 
-/// How logs look.
+/// Log format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogFormat {
-    /// A JSON object a line.
+    /// One JSON object per line.
     Json,
-    /// For people.
+    /// Text for a terminal.
     Terminal,
 }
 
-/// Checked settings.
+/// Validated settings of the entry, target and local roles.
 #[derive(Debug, Clone)]
 pub struct DaemonSettings {
-    /// What the process is.
+    /// Role of the process.
     pub role: DaemonRole,
-    /// Its name.
+    /// Name of the process.
     pub name: TargetName,
-    /// Its host.
+    /// Name of the host.
     pub host: HostName,
-    /// Its availability zone.
+    /// Availability zone of the host.
     pub zone: ZoneName,
-    /// For callers.
+    /// Address for callers.
     pub callers_listen: SocketAddr,
-    /// For our own processes.
+    /// Address for other porthoist processes.
     pub fleet_listen: SocketAddr,
-    /// Where peers reach it.
+    /// Address under which peers reach the fleet listener, if it differs.
     pub fleet_advertise: Option<SocketAddr>,
-    /// For operators.
+    /// Address for operators and metrics.
     pub operator_listen: SocketAddr,
-    /// The platform.
+    /// URL of the platform.
     pub platform: String,
-    /// The back end.
+    /// URL of the back end; empty if there is none.
     pub backend: String,
-    /// What it runs.
+    /// Services that the back end runs.
     pub services: Vec<ServiceName>,
-    /// Fleet addresses of the group's ranks.
+    /// Fleet addresses of the group's ranks, in rank order.
     pub group: Vec<SocketAddr>,
-    /// Requests that run at once.
+    /// Number of requests that the back end runs concurrently.
     pub slots: u32,
-    /// Requests that wait.
+    /// Maximum number of queued requests.
     pub queue: usize,
-    /// Shared by our own processes.
+    /// Key shared by all porthoist processes.
     pub fleet_key: SharedSecret,
-    /// Of operators.
+    /// Token of operators.
     pub operator_token: SharedSecret,
-    /// Default deadline.
+    /// Default deadline of a request in milliseconds.
     pub deadline_millis: u64,
-    /// Lag before the callers' listener closes.
+    /// Time in milliseconds between the stop signal and closing the callers' listener.
     pub stop_lag_millis: u64,
-    /// Whether slow attempts are hedged.
+    /// Whether slow attempts are hedged with a second one.
     pub hedge: bool,
-    /// How logs look.
+    /// Log format.
     pub log_format: LogFormat,
-    /// What is logged.
+    /// Log level.
     pub log_level: Level,
 }
 
@@ -213,7 +214,7 @@
 pub(super) const MILLIS: &str = "a whole number of milliseconds";
 
 impl DaemonSettings {
-    /// Reads and checks all settings; `environment` looks a variable up.
+    /// Reads and validates all settings; `environment` looks up a variable.
     pub fn load<E>(args: DaemonArgs, environment: E) -> Result<Self, SettingError>
     where
         E: Fn(&str) -> Option<String>,
--- a/porthoistd/src/settings/proxy.rs
+++ b/porthoistd/src/settings/proxy.rs
@@ -8,11 +8,11 @@
 use slog::Level;
 use std::net::SocketAddr;
 
-/// Pass requests on as they are, by the routes of the platform's table service.
+/// Forward requests unchanged, by the routes of the platform's table service.
 #[derive(Debug, Default, FromArgs)]
 #[argh(subcommand, name = "proxy")]
 pub struct ProxyArgs {
-    /// only check the settings
+    /// only validate the settings, then exit
     #[argh(switch)]
     pub check: bool,
     /// name of the host
@@ -24,7 +24,7 @@
     /// address for callers, IP:PORT
     #[argh(option)]
     pub callers_listen: Option<String>,
-    /// address for the balancer's question whether the process is ready, IP:PORT
+    /// address of the load balancer's readiness checks, IP:PORT
     #[argh(option)]
     pub ready_listen: Option<String>,
     /// address for metrics, IP:PORT
@@ -33,85 +33,88 @@
     /// address of the platform's table service, IP:PORT
     #[argh(option)]
     pub table: Option<String>,
-    /// milliseconds within which a key that was taken away must run nothing any more
+    /// milliseconds within which a revoked key must stop working
     #[argh(option)]
     pub revoke_ms: Option<String>,
-    /// milliseconds within which a host must notice that its connections are gone
+    /// milliseconds within which a host must detect the loss of its connections
     #[argh(option)]
     pub notice_ms: Option<String>,
-    /// milliseconds after which a target that leaves must get nothing new
+    /// milliseconds after which a leaving target must get no new requests
     #[argh(option)]
     pub leaving_ms: Option<String>,
-    /// true: refuse requests with a key while the configuration held may be out of date; false: go on with it
+    /// true: refuse requests with a key while the configuration may be out of date; false: keep using it
     #[argh(option)]
     pub refuse_unproven: Option<String>,
-    /// seconds between the signal to stop and the end of the process at the latest
+    /// maximum number of seconds between the stop signal and the exit of the process
     #[argh(option)]
     pub grace_s: Option<String>,
-    /// repeats that all processes together may send for each request
+    /// retries that all processes together may send per request
     #[argh(option)]
     pub retry_ratio: Option<String>,
-    /// seconds over which repeats are counted
+    /// length in seconds of the window in which retries are counted
     #[argh(option)]
     pub retry_window_s: Option<String>,
-    /// repeats in a window that all processes together may send beside the ratio
+    /// retries per window that all processes together may send in addition to the ratio
     #[argh(option)]
     pub retry_slack: Option<String>,
-    /// requests of this process that a rank of a group runs at once while the others' are not known
+    /// requests of this process that a rank runs at once while the load of other processes is unknown
     #[argh(option)]
     pub per_rank: Option<String>,
-    /// requests of all processes that a rank of a group runs at once while they are known
+    /// requests of all processes that a rank runs at once while the load of all processes is known
     #[argh(option)]
     pub rank_limit: Option<String>,
-    /// port of the processes beside engines, which tell the loads of a group; without it, they are not known
+    /// port of the processes next to engines, which report the loads of groups; without it, loads stay
+    /// unknown
     #[argh(option)]
     pub rank_port: Option<String>,
-    /// entry processes that send to the same targets, for limits that targets name, while no process beside an engine counts them
+    /// number of entry processes that send to the same targets, for limits named by targets; used while no
+    /// process next to an engine counts them
     #[argh(option)]
     pub entries: Option<String>,
-    /// debug, info, warning or error
+    /// log level: debug, info, warning or error
     #[argh(option)]
     pub log_level: Option<String>,
 }
 
-/// Checked settings of the proxy role.
+/// Validated settings of the proxy role.
 #[derive(Debug, Clone)]
 pub struct ProxySettings {
-    /// Its host.
+    /// Name of the host.
     pub host: HostName,
-    /// Its availability zone.
+    /// Availability zone of the host.
     pub zone: ZoneName,
-    /// For callers.
+    /// Address for callers.
     pub callers_listen: SocketAddr,
-    /// For the balancer.
+    /// Address of the readiness endpoint.
     pub ready_listen: SocketAddr,
-    /// For metrics.
+    /// Address of the metrics endpoint.
     pub metrics_listen: SocketAddr,
-    /// The table service.
+    /// Address of the table service.
     pub table: SocketAddr,
-    /// Time in milliseconds within which a key that was taken away must run nothing any more.
+    /// Time in milliseconds within which a revoked key must stop working.
     pub revoke_millis: u64,
-    /// How old what is believed of targets may be.
+    /// Maximum age of what is known about targets.
     pub bound: StalenessBound,
-    /// Whether requests with a key are refused while the configuration held may be out of date.
+    /// Whether requests with a key are refused while the configuration may be out of date.
     pub refuse_unproven: bool,
-    /// Time in milliseconds from the signal to stop to the end.
+    /// Maximum time in milliseconds from the stop signal to the exit.
     pub grace_millis: u64,
-    /// Repeats of all processes for each request.
+    /// Retries of all processes per request.
     pub retry_ratio: f64,
-    /// Window in milliseconds over which they are counted.
+    /// Length in milliseconds of the window in which retries are counted.
     pub retry_window_millis: u64,
-    /// Repeats of all processes in a window beside the ratio.
+    /// Retries of all processes per window in addition to the ratio.
     pub retry_slack: f64,
-    /// Requests of this process that a rank runs at once while the others' are not known.
+    /// Requests of this process that a rank runs at once while the load of other processes is unknown.
     pub per_rank: u32,
-    /// Requests of all processes that a rank runs at once while they are known.
+    /// Requests of all processes that a rank runs at once while the load of all processes is known.
     pub rank_limit: u32,
-    /// Port of the processes beside engines.
+    /// Port of the processes next to engines, if they are to be queried for loads.
     pub rank_port: Option<u16>,
-    /// Entry processes that send to the same targets, while nobody counts them.
+    /// Number of entry processes that send to the same targets, used while no process counts them; 0 if
+    /// unknown.
     pub entries: u32,
-    /// What is logged.
+    /// Log level.
     pub log_level: Level,
 }
 
@@ -122,7 +125,7 @@
 }
 
 impl ProxySettings {
-    /// Reads and checks all settings; `environment` looks a variable up.
+    /// Reads and validates all settings; `environment` looks up a variable.
     pub fn load<E>(args: ProxyArgs, environment: E) -> Result<Self, SettingError>
     where
         E: Fn(&str) -> Option<String>,
--- a/porthoistd/src/settings/rank.rs
+++ b/porthoistd/src/settings/rank.rs
@@ -8,11 +8,12 @@
 use slog::Level;
 use std::net::SocketAddr;
 
-/// Stand beside a rank of a group: plan and switch its expert maps with the processes beside the other ranks.
+/// Run next to a rank of a group: plan and switch its expert maps together with the processes next to the
+/// other ranks.
 #[derive(Debug, Default, FromArgs)]
 #[argh(subcommand, name = "rank")]
 pub struct RankArgs {
-    /// only check the settings
+    /// only validate the settings, then exit
     #[argh(switch)]
     pub check: bool,
     /// name of the host
@@ -21,7 +22,7 @@
     /// availability zone of the host
     #[argh(option)]
     pub zone: Option<String>,
-    /// address of the engine beside the process, IP:PORT
+    /// address of the engine next to the process, IP:PORT
     #[argh(option)]
     pub engine: Option<String>,
     /// address for the processes of the other ranks, IP:PORT; they listen on the same port
@@ -33,47 +34,47 @@
     /// address of the platform's table service, IP:PORT
     #[argh(option)]
     pub table: Option<String>,
-    /// part of one rank's mean load that a replica must win for the group to be copied
+    /// minimum gain of a replica for the group to copy it, as a fraction of one rank's mean load
     #[argh(option)]
     pub move_price: Option<String>,
-    /// what the host's link carries, in Mbit/s
+    /// capacity of the host's link in Mbit/s
     #[argh(option)]
     pub link_mbps: Option<String>,
-    /// experts that one switch copies to a rank at most
+    /// maximum number of experts that one switch copies to a rank
     #[argh(option)]
     pub new_a_rank: Option<String>,
-    /// debug, info, warning or error
+    /// log level: debug, info, warning or error
     #[argh(option)]
     pub log_level: Option<String>,
 }
 
-/// Checked settings of the rank role.
+/// Validated settings of the rank role.
 #[derive(Debug, Clone)]
 pub struct RankSettings {
-    /// Its host.
+    /// Name of the host.
     pub host: HostName,
-    /// Its availability zone.
+    /// Availability zone of the host.
     pub zone: ZoneName,
-    /// The engine.
+    /// Address of the engine next to the process.
     pub engine: SocketAddr,
-    /// For the other ranks' processes.
+    /// Address for the processes of the other ranks.
     pub rank_listen: SocketAddr,
-    /// For metrics.
+    /// Address of the metrics endpoint.
     pub metrics_listen: SocketAddr,
-    /// The table service.
+    /// Address of the table service.
     pub table: SocketAddr,
-    /// Part of one rank's mean load that a replica must win for the group.
+    /// Minimum gain of a replica for the group to copy it, as a fraction of one rank's mean load.
     pub move_price: f64,
-    /// What the host's link carries.
+    /// Capacity of the host's link.
     pub link_rate: LinkRate,
-    /// Experts that one switch copies to a rank at most.
+    /// Maximum number of experts that one switch copies to a rank.
     pub new_a_rank: usize,
-    /// What is logged.
+    /// Log level.
     pub log_level: Level,
 }
 
 impl RankSettings {
-    /// Reads and checks all settings; `environment` looks a variable up.
+    /// Reads and validates all settings; `environment` looks up a variable.
     pub fn load<E>(args: RankArgs, environment: E) -> Result<Self, SettingError>
     where
         E: Fn(&str) -> Option<String>,
--- a/porthoistd/src/settings/reader.rs
+++ b/porthoistd/src/settings/reader.rs
@@ -1,4 +1,4 @@
-//! Reads single settings: a flag, its environment variable, or a default, checked by its type.
+//! Reads single settings from a flag, its environment variable, or a default, and parses them to their type.
 
 use super::DaemonRole;
 use miette::Diagnostic;
@@ -7,10 +7,10 @@
 use std::net::SocketAddr;
 use std::str::FromStr;
 
-/// The longest time that a setting may name, in milliseconds: an hour. Sums of some stay far from the largest number.
-const MOST_MILLIS: u64 = 3_600_000;
+/// Maximum value of time settings in milliseconds: one hour, so that sums of several do not overflow.
+const MAX_MILLIS: u64 = 3_600_000;
 
-/// A setting that can't be used.
+/// A missing or invalid setting.
 #[derive(Debug, thiserror::Error, Diagnostic)]
 #[error("setting --{flag} ({variable}): {given}")]
 #[diagnostic(code(porthoist::settings), help("expected {expected}"))]
@@ -21,12 +21,12 @@
     expected: &'static str,
 }
 
-/// Shortest secret in bytes.
+/// Minimum length of a secret in bytes.
 const MIN_SECRET_BYTES: usize = 16;
-/// Secret of the local role, where everything is in one process on loopback.
+/// Default secret of the local role, which runs in one process on loopback.
 const LOCAL_SECRET: &str = "local-only-secret";
 
-/// Looks settings up in flags and environment.
+/// Looks up settings in flags and environment variables.
 pub(super) struct SettingReader<E> {
     pub(super) role: DaemonRole,
     pub(super) environment: E,
@@ -59,7 +59,7 @@
         text.parse().map_err(|_parse| Self::error(flag, format!("{text:?} given"), expected))
     }
 
-    /// A time in milliseconds of up to [`MOST_MILLIS`].
+    /// A time in milliseconds, at most [`MAX_MILLIS`].
     pub(super) fn millis(
         &self,
         flag: &'static str,
@@ -68,11 +68,11 @@
     ) -> Result<u64, SettingError> {
         let expected = "milliseconds from 0 to 3600000";
         let text = self.text(flag, given).unwrap_or_else(|| default.to_owned());
-        let in_range = text.parse().ok().filter(|millis| *millis <= MOST_MILLIS);
+        let in_range = text.parse().ok().filter(|millis| *millis <= MAX_MILLIS);
         in_range.ok_or_else(|| Self::error(flag, format!("{text:?} given"), expected))
     }
 
-    /// A setting that may be left out.
+    /// An optional setting.
     pub(super) fn optional<T: FromStr>(
         &self,
         flag: &'static str,
@@ -120,7 +120,7 @@
     }
 
     pub(super) fn group(&self, given: Option<String>) -> Result<Vec<SocketAddr>, SettingError> {
-        let (flag, expected) = ("group", "addresses of the form IP:PORT joined by commas");
+        let (flag, expected) = ("group", "addresses of the form IP:PORT separated by commas");
         let text: String = self.value(flag, given, Some(""), expected)?;
         let addresses: Result<Vec<SocketAddr>, _> =
             text.split(',').filter(|address| !address.is_empty()).map(str::parse).collect();
@@ -128,7 +128,7 @@
     }
 
     pub(super) fn services(&self, given: Option<String>) -> Result<Vec<ServiceName>, SettingError> {
-        let (flag, expected) = ("services", "service names joined by commas");
+        let (flag, expected) = ("services", "service names separated by commas");
         let default = (self.role != DaemonRole::Target).then_some("");
         let text: String = self.value(flag, given, default, expected)?;
         let names: Result<Vec<ServiceName>, _> =
--- a/porthoistd/tests/loads.rs
+++ b/porthoistd/tests/loads.rs
@@ -1,4 +1,4 @@
-//! The loads duty over processes on loopback addresses that tell the loads of several groups.
+//! Following the loads of several groups over processes on loopback addresses.
 
 use porthoist_core::{ServiceName, StartMillis};
 use porthoist_fleet::{ControlTraffic, LoadsPublisher, PeerPool, RankService, serve_ranks};
@@ -21,13 +21,13 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::LocalSet;
 
-/// Only a hang exceeds this.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Only a hang takes longer.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 const GROUPS: u8 = 3;
-/// Ranks of a group; the process beside its first rank plans.
+/// Ranks of a group; the process next to its first rank plans.
 const RANKS: u8 = 2;
 
-/// A rank that is only asked for loads.
+/// A rank that answers load queries only.
 #[derive(Debug)]
 struct LoadsOnly;
 
@@ -143,25 +143,27 @@
     };
     let local = LocalSet::new();
     let whole = local.run_until(played);
-    tokio::time::timeout(PATIENCE, whole).await.expect("all groups are told of");
+    tokio::time::timeout(TEST_TIMEOUT, whole).await.expect("all groups are reported");
 }
 
-/// Rounds in which each process tells a new report.
+/// Number of rounds; in each, every process has a new report.
 const ROUNDS: u64 = 50;
-/// Pause between two of them.
-const ROUND: Duration = Duration::from_millis(50);
+/// Interval between rounds.
+const ROUND_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What operators saw: each of 531 entries followed 11 processes that told of 4 groups, 30 KB a second of the same.
+/// Guards against following too many processes per group: each of 531 entries followed 11 processes that
+/// reported on 4 groups, which cost 30 KB/s of duplicate reports.
 ///
-/// Cause: while a group forms, reports lack ranks, and an entry asked the processes beside those as well; it followed all for ever.
+/// While a group forms, reports lack ranks. An entry then also queried the processes next to those ranks, and
+/// kept following all of them.
 #[tokio::test]
 async fn a_group_is_not_followed_at_more_than_two_processes() {
     let played = async {
         let bound = listeners().await;
         let rank_port = bound[0].2.local_addr().expect("a bound address").port();
         let all: Vec<Ipv4Addr> = bound.iter().map(|(group, rank, _listener)| host(*group, *rank)).collect();
-        // The group forms: the first reports lack ranks, whose processes are asked too.
-        let told = |revision: u64| {
+        // The group is forming: the first reports lack ranks, whose processes are queried as well.
+        let report = |revision: u64| {
             let ranks = all.iter().take(1 + revision as usize / 8).map(|host| RankLoad {
                 host: *host,
                 requests: 1,
@@ -169,7 +171,7 @@
             });
             GroupLoads { revision: LoadRevision(revision), ranks: ranks.collect(), ..GroupLoads::default() }
         };
-        let loads = watch::Sender::new(Some(told(1)));
+        let loads = watch::Sender::new(Some(report(1)));
         for (_group, _rank, listener) in bound {
             let loads_publisher = LoadsPublisher::new(loads.subscribe());
             let peers = Rc::new(PeerPool::new(rank_port, ControlTraffic::default()));
@@ -188,8 +190,8 @@
         tokio::task::spawn_local(duty.run());
         let mut counts = Vec::new();
         for revision in 2..2 + 2 * ROUNDS {
-            loads.send_replace(Some(told(revision)));
-            tokio::time::sleep(ROUND).await;
+            loads.send_replace(Some(report(revision)));
+            tokio::time::sleep(ROUND_INTERVAL).await;
             counts.push(std::iter::from_fn(|| reports.try_recv().ok()).count());
         }
         let later: usize = counts[ROUNDS as usize..].iter().sum();
--- a/porthoistd/tests/logging.rs
+++ b/porthoistd/tests/logging.rs
@@ -1,4 +1,4 @@
-//! The log is bounded and never holds anybody up.
+//! The log is bounded and never blocks the caller.
 
 use porthoistd::logging::BoundedDrain;
 use slog::{Drain, Logger, Never, OwnedKVList, Record, info, o};
--- a/porthoistd/tests/process.rs
+++ b/porthoistd/tests/process.rs
@@ -1,6 +1,6 @@
-//! The process-level suite: real processes on loopback, killed, paused, drained and cut off.
+//! The process-level suite: real processes on loopback that are killed, paused, drained and disconnected.
 //!
-//! Every wait is for an event, within a patience that only a hang exceeds; no test depends on speed.
+//! Every wait is for an event, with a timeout that only a hang exceeds; no test depends on speed.
 
 #[path = "process/harness.rs"]
 mod harness;
--- a/porthoistd/tests/process/bad_input.rs
+++ b/porthoistd/tests/process/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input: a clear refusal with the verdict "not run", counted, and nothing lost.
+//! Bad input is refused with a clear reason and the verdict "not run", is counted, and never runs.
 
 use crate::harness::{Call, Fleet, completion};
 use hyper::Method;
--- a/porthoistd/tests/process/group.rs
+++ b/porthoistd/tests/process/group.rs
@@ -1,4 +1,5 @@
-//! One expert map per step: switches of a group of three ranks, under kills of the processes beside them.
+//! All ranks of a group use one expert map per step while maps switch and the processes next to the ranks are
+//! killed.
 
 use crate::harness::{Fleet, eventually};
 use nix::sys::signal::Signal;
@@ -12,7 +13,7 @@
     fleet.client.json(hyper::Method::GET, &url, None::<&()>).await.unwrap().1
 }
 
-/// Checks every step that more than one rank has started, and returns the maps used.
+/// Checks every step that all ranks have started, and returns the maps used.
 async fn one_map_per_step(fleet: &Fleet) -> BTreeSet<u32> {
     let mut records = Vec::new();
     for rank in 0..fleet.targets.len() {
@@ -47,7 +48,7 @@
 async fn a_group_switches_maps_at_one_step() {
     let mut fleet = Fleet::start(1, 0, 0).await;
     fleet.add_group(3);
-    fleet.hears_all(0).await;
+    fleet.reaches_all(0).await;
     for map in 1..=4 {
         want(&fleet, map);
         all_use(&fleet, map).await;
@@ -61,7 +62,7 @@
 async fn kills_and_freezes_beside_the_ranks_never_split_a_step() {
     let mut fleet = Fleet::start(1, 0, 0).await;
     fleet.add_group(3);
-    fleet.hears_all(0).await;
+    fleet.reaches_all(0).await;
     for map in 1..=4_u32 {
         want(&fleet, map);
         let victim = (map % 3) as usize;
@@ -81,10 +82,10 @@
 async fn the_planner_answers_a_jump_of_popularity() {
     let mut fleet = Fleet::start(1, 0, 0).await;
     fleet.add_group(3);
-    fleet.hears_all(0).await;
+    fleet.reaches_all(0).await;
     let set = fleet.tool(0, &["table", "set", "policy/placement", "skew_weight=4", "move_weight=1"]);
     assert!(set.status.success());
-    // 6 experts on 3 ranks with 3 slots each; first alike, then expert 5 becomes the hot one.
+    // 6 experts on 3 ranks with 3 slots each; at first all are equally popular, then expert 5 becomes hot.
     let window = |hot: f64| {
         serde_json::json!({
             "tokens": [1000.0, 1000.0, 1000.0, 1000.0, 1000.0, hot], "speeds": [1.0, 1.0, 1.0], "slots": 3,
--- a/porthoistd/tests/process/harness.rs
+++ b/porthoistd/tests/process/harness.rs
@@ -14,17 +14,17 @@
 use std::sync::atomic::{AtomicU16, Ordering};
 use std::time::{Duration, Instant};
 
-/// Only a hang exceeds this.
-pub const PATIENCE: Duration = Duration::from_mins(1);
+/// Only a hang takes longer.
+pub const TEST_TIMEOUT: Duration = Duration::from_mins(1);
 pub const FLEET_KEY: &str = "test-fleet-key-0123456789";
 pub const TOKEN: &str = "test-operator-token-0123";
-/// Time for which the callers' listener stays open after the signal, in milliseconds.
+/// Time in milliseconds for which the callers' listener stays open after the stop signal.
 pub const STOP_LAG_MS: &str = "300";
 
-/// A process that ends with the test.
+/// A child process that is killed at the end of the test.
 pub struct Process {
     child: Child,
-    /// Lines of the form NAME ADDRESS that it printed at its start.
+    /// Lines of the form NAME ADDRESS printed at startup.
     addresses: Vec<(String, String)>,
 }
 
@@ -56,9 +56,9 @@
         self.child.wait().unwrap();
     }
 
-    /// Waits until the process has ended by itself.
+    /// Waits until the process exits on its own.
     pub async fn ended(&mut self) -> std::process::ExitStatus {
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status;
@@ -71,7 +71,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended already.
+        // The process may have exited already.
         let _killed = self.child.kill();
         let _status = self.child.wait();
     }
@@ -99,8 +99,8 @@
     Process::start(command, 1)
 }
 
-/// A loopback address of its own for each process: a port that is free while a process is dead can't be taken by
-/// another listener, or by a connection, before the process listens on it again.
+/// A separate loopback address for each process, so that no other listener or connection can take the port of
+/// a dead process before it restarts.
 fn own_address() -> std::net::Ipv4Addr {
     static NEXT: AtomicU16 = AtomicU16::new(1);
     let [high, low] = NEXT.fetch_add(1, Ordering::Relaxed).to_be_bytes();
@@ -123,7 +123,7 @@
     Process::start(command, lines)
 }
 
-/// Rows that every test starts with.
+/// Initial table rows of every test.
 fn rows() -> Value {
     let row = |cells: Value| json!({ "cells": cells, "edit": "start" });
     json!({
@@ -136,7 +136,7 @@
     })
 }
 
-/// A target process with the back end beside it.
+/// A target process and its back end.
 pub struct TargetPair {
     pub name: String,
     pub zone: String,
@@ -145,7 +145,7 @@
     pub daemon: Process,
 }
 
-/// Two zones, some entries and targets, and the platform.
+/// Entries and targets in two zones, and the platform.
 pub struct Fleet {
     pub platform: Process,
     pub entries: Vec<Process>,
@@ -154,12 +154,12 @@
     group: String,
 }
 
-/// Answer of a caller's request.
+/// The answer to a caller's request.
 #[derive(Debug, Clone)]
 pub struct Answer {
     pub status: u16,
     pub headers: hyper::HeaderMap,
-    /// The body, and whether it came to its proper end.
+    /// The body, and whether it was received to its end.
     pub body: String,
     pub whole: bool,
 }
@@ -208,7 +208,7 @@
     json!({ "model": "refunds", "prompt": prompt, "max_tokens": tokens, "stream": stream }).to_string()
 }
 
-/// The words of a completion's stream.
+/// The words of a streamed completion.
 pub fn stream_words(body: &str) -> Vec<String> {
     let data = body.lines().filter_map(|line| line.strip_prefix("data: "));
     let events = data.filter(|data| *data != "[DONE]");
@@ -219,7 +219,7 @@
         .collect()
 }
 
-/// The words that the stand-in engine gives.
+/// The words that the stand-in engine answers.
 pub fn expected_words(prompt: &str, tokens: u64) -> Vec<String> {
     (1..=tokens).map(|position| porthoist_standin::engine::answer_word(prompt, position).to_owned()).collect()
 }
@@ -253,7 +253,7 @@
             fleet.entries.push(entry);
         }
         for index in 0..entries {
-            fleet.hears_all(index).await;
+            fleet.reaches_all(index).await;
         }
         fleet
     }
@@ -295,7 +295,7 @@
         self.targets.push(TargetPair { name, zone, service, backend, daemon });
     }
 
-    /// Adds the ranks of a group, each a target's process beside an engine of its own.
+    /// Adds the ranks of a group, each a target process with its own engine.
     pub fn add_group(&mut self, ranks: usize) {
         let ports: Vec<_> =
             (0..ranks).map(|_| std::net::TcpListener::bind((own_address(), 0)).unwrap()).collect();
@@ -313,7 +313,7 @@
         }
     }
 
-    /// Starts a target's process again at its old address, beside the same back end.
+    /// Restarts a target's process at its previous address with the same back end.
     pub fn restart_target(&mut self, index: usize) {
         let pair = &self.targets[index];
         let address = pair.daemon.address("fleet").to_owned();
@@ -345,7 +345,7 @@
             .header("authorization", format!("Bearer {TOKEN}"))
             .body(Full::new(Bytes::new()))
             .unwrap();
-        // A new connection, since the entry may have been restarted.
+        // Uses a new connection, since the entry may have been restarted.
         let answer = HttpClient::new().fetch(request).await.unwrap();
         serde_json::from_slice(answer.body()).unwrap_or_default()
     }
@@ -356,7 +356,7 @@
         String::from_utf8(self.client.fetch(request).await.unwrap().body().to_vec()).unwrap()
     }
 
-    /// Value of a counter by reason, 0 if it is missing.
+    /// Value of a counter for `reason`, or 0 if it is missing.
     pub async fn counter(&self, entry: usize, name: &str, reason: &str) -> u64 {
         let label = format!("reason=\"{reason}\"");
         let text = self.metrics(entry).await;
@@ -364,10 +364,10 @@
         line.and_then(|line| line.rsplit(' ').next()).and_then(|value| value.parse().ok()).unwrap_or(0)
     }
 
-    /// Waits until an entry hears every target and entry.
-    pub async fn hears_all(&self, entry: usize) {
+    /// Waits until an entry reaches every target and entry.
+    pub async fn reaches_all(&self, entry: usize) {
         let (targets, entries) = (self.targets.len(), self.entries.len() - 1);
-        eventually("the entry hears everyone", || async {
+        eventually("the entry reaches everyone", || async {
             let status = self.status(entry).await;
             let heard = |list: &Value| {
                 list.as_array().map_or(0, |list| list.iter().filter(|one| one["heard"] == true).count())
@@ -381,14 +381,15 @@
         self.try_call(entry, &call).await.expect("the entry answers")
     }
 
-    /// Sends a caller's request; nothing if the entry could not be reached or broke off before the head.
+    /// Sends a caller's request; `None` if the entry was unreachable or disconnected before the response
+    /// head.
     pub async fn try_call(&self, entry: usize, call: &Call<'_>) -> Option<Answer> {
         let base = self.entries[entry].address("callers").to_owned();
         let response = self.client.send(call.request(&base)).await.ok()?;
         Some(read_answer(response).await)
     }
 
-    /// Runs the operators' tool against an entry.
+    /// Runs the operator command-line tool against an entry.
     pub fn tool(&self, entry: usize, arguments: &[&str]) -> Output {
         let operator = format!("http://{}", self.entries[entry].address("operator"));
         let mut command = Command::new(tool_path());
@@ -397,7 +398,7 @@
     }
 
     pub async fn fault(&self, address: &str, faults: Value) {
-        // Over a connection of its own: an idle one may be closed by its other end just then.
+        // Uses a new connection: an idle one may just be closed by the other end.
         let (status, _answer): (_, Value) = HttpClient::new()
             .json(Method::POST, &format!("http://{address}/standin/faults"), Some(&faults))
             .await
@@ -414,7 +415,7 @@
         self.client.json(Method::GET, &url, None::<&()>).await.unwrap().1
     }
 
-    /// How often the back ends of a service ran a request with this body.
+    /// How often the back ends ran a request with this body.
     pub async fn runs(&self, body: &str) -> usize {
         let mut runs = 0;
         for target in 0..self.targets.len() {
@@ -423,7 +424,7 @@
         runs
     }
 
-    /// Tickets for a service through an entry.
+    /// Requests tickets for a service through an entry.
     pub async fn tickets(&self, entry: usize, service: &str, count: u32) -> Vec<String> {
         let body = json!({ "service": service, "count": count }).to_string();
         let answer = self.call(entry, Call::post("/porthoist/v1/tickets", body)).await;
@@ -459,9 +460,9 @@
     F: Fn() -> R,
     R: Future<Output = bool>,
 {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + TEST_TIMEOUT;
     while !condition().await {
-        assert!(Instant::now() < deadline, "not in time: {what}");
+        assert!(Instant::now() < deadline, "timed out waiting for: {what}");
         tokio::time::sleep(Duration::from_millis(25)).await;
     }
 }
--- a/porthoistd/tests/process/once.rs
+++ b/porthoistd/tests/process/once.rs
@@ -1,4 +1,5 @@
-//! At most once, and the true "not run": kills and freezes under load, with repeats through another entry.
+//! Requests run at most once, and "not run" is only reported for requests that did not run: kills and freezes
+//! under load, with retries through another entry.
 
 use crate::harness::{Call, Fleet, eventually};
 use bytes::Bytes;
@@ -10,23 +11,23 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// What the callers were told, by body.
+/// Outcomes that callers got; requests are identified by their bodies.
 #[derive(Debug, Default)]
-struct Told {
+struct Outcomes {
     answered: usize,
     not_run: Vec<String>,
     unknown: usize,
     sent: usize,
 }
 
-/// One request with its key, as a caller repeats it.
+/// A request with its idempotency key, as a caller repeats it.
 struct KeyedRequest {
     body: String,
     key: Option<String>,
 }
 
-const TRIES: usize = 8;
-const TRY_TIME: Duration = Duration::from_secs(4);
+const MAX_TRIES: usize = 8;
+const TRY_TIMEOUT: Duration = Duration::from_secs(4);
 
 async fn send_once(client: &HttpClient, base: &str, request: &KeyedRequest) -> Option<(u16, String, String)> {
     let mut builder = Request::post(format!("http://{base}/services/vouchers/issue"))
@@ -36,18 +37,23 @@
         builder = builder.header("idempotency-key", key);
     }
     let message = builder.body(Full::new(Bytes::from(request.body.clone()))).unwrap();
-    let answer = tokio::time::timeout(TRY_TIME, client.fetch(message)).await.ok()?.ok()?;
+    let answer = tokio::time::timeout(TRY_TIMEOUT, client.fetch(message)).await.ok()?.ok()?;
     let header =
         |name: &str| answer.headers().get(name).map_or("", |value| value.to_str().unwrap()).to_owned();
     let text = String::from_utf8(answer.body().to_vec()).unwrap();
     Some((answer.status().as_u16(), header("porthoist-verdict"), text))
 }
 
-/// Sends each request, and repeats it through the other entry until something definite is said.
-async fn callers(client: HttpClient, entries: Vec<String>, requests: Vec<KeyedRequest>, told: &mut Told) {
+/// Sends each request, and repeats it through the other entry until the outcome is definite.
+async fn callers(
+    client: HttpClient,
+    entries: Vec<String>,
+    requests: Vec<KeyedRequest>,
+    outcomes: &mut Outcomes,
+) {
     for (index, request) in requests.iter().enumerate() {
-        told.sent += 1;
-        let tries = if request.key.is_some() { TRIES } else { 1 };
+        outcomes.sent += 1;
+        let tries = if request.key.is_some() { MAX_TRIES } else { 1 };
         let mut definite = false;
         for attempt in 0..tries {
             let base = &entries[(index + attempt) % entries.len()];
@@ -55,25 +61,25 @@
                 Some((200, _, text)) => {
                     assert!(
                         text.contains(&format!("\"body\":\"{}\"", request.body)),
-                        "a foreign answer: {text}"
+                        "an answer to another request: {text}"
                     );
-                    told.answered += 1;
+                    outcomes.answered += 1;
                     definite = true;
                     break;
                 }
                 Some((_, verdict, _)) if verdict == "not-run" => {
-                    told.not_run.push(request.body.clone());
+                    outcomes.not_run.push(request.body.clone());
                     definite = true;
                     break;
                 }
                 _ => tokio::time::sleep(Duration::from_millis(50)).await,
             }
         }
-        told.unknown += usize::from(!definite);
+        outcomes.unknown += usize::from(!definite);
     }
 }
 
-async fn check_journals(fleet: &Fleet, told: &Told) {
+async fn check_journals(fleet: &Fleet, outcomes: &Outcomes) {
     let mut runs: HashMap<String, usize> = HashMap::new();
     for target in 0..fleet.targets.len() {
         for run in fleet.journal(target).await {
@@ -82,14 +88,14 @@
     }
     let doubled: Vec<_> = runs.iter().filter(|(_, count)| **count > 1).collect();
     assert!(doubled.is_empty(), "run more than once: {doubled:?}");
-    let untrue: Vec<_> = told.not_run.iter().filter(|body| runs.contains_key(*body)).collect();
+    let untrue: Vec<_> = outcomes.not_run.iter().filter(|body| runs.contains_key(*body)).collect();
     assert!(untrue.is_empty(), "said not-run, yet in the journal: {untrue:?}");
     println!(
         "sent {}, answered {}, not-run {}, may-have-run {}, runs {}, doubled 0, foreign 0",
-        told.sent,
-        told.answered,
-        told.not_run.len(),
-        told.unknown,
+        outcomes.sent,
+        outcomes.answered,
+        outcomes.not_run.len(),
+        outcomes.unknown,
         runs.len()
     );
 }
@@ -98,7 +104,7 @@
     fleet.entries.iter().map(|entry| entry.address("callers").to_owned()).collect()
 }
 
-/// Kills, freezes and restarts targets and an entry while requests go on.
+/// Kills, freezes and restarts targets and entries while requests are sent.
 async fn faults(fleet: &mut Fleet) {
     let pause = || tokio::time::sleep(Duration::from_millis(400));
     pause().await;
@@ -122,26 +128,26 @@
     fleet.restart_target(1);
 }
 
-async fn run_under_faults(fleet: &mut Fleet, batches: Vec<Vec<KeyedRequest>>) -> Told {
+async fn run_under_faults(fleet: &mut Fleet, batches: Vec<Vec<KeyedRequest>>) -> Outcomes {
     let entries = entry_addresses(fleet);
     let mut tasks = Vec::new();
     for batch in batches {
         let entries = entries.clone();
         let client = HttpClient::new();
         tasks.push(tokio::spawn(async move {
-            let mut told = Told::default();
-            callers(client, entries, batch, &mut told).await;
-            told
+            let mut outcomes = Outcomes::default();
+            callers(client, entries, batch, &mut outcomes).await;
+            outcomes
         }));
     }
     faults(fleet).await;
-    let mut all = Told::default();
+    let mut all = Outcomes::default();
     for task in tasks {
-        let told = task.await.unwrap();
-        all.sent += told.sent;
-        all.answered += told.answered;
-        all.unknown += told.unknown;
-        all.not_run.extend(told.not_run);
+        let outcomes = task.await.unwrap();
+        all.sent += outcomes.sent;
+        all.answered += outcomes.answered;
+        all.unknown += outcomes.unknown;
+        all.not_run.extend(outcomes.not_run);
     }
     all
 }
@@ -162,9 +168,9 @@
         let keyed = |(index, ticket)| KeyedRequest { body: format!("t{batch}-{index}"), key: Some(ticket) };
         batches.push(tickets.into_iter().enumerate().map(keyed).collect());
     }
-    let told = run_under_faults(&mut fleet, batches).await;
-    check_journals(&fleet, &told).await;
-    assert!(told.answered > 0);
+    let outcomes = run_under_faults(&mut fleet, batches).await;
+    check_journals(&fleet, &outcomes).await;
+    assert!(outcomes.answered > 0);
 }
 
 #[tokio::test]
@@ -178,9 +184,9 @@
         };
         (0..60).map(keyed).collect()
     });
-    let told = run_under_faults(&mut fleet, batches.collect()).await;
-    check_journals(&fleet, &told).await;
-    assert!(told.answered > 0);
+    let outcomes = run_under_faults(&mut fleet, batches.collect()).await;
+    check_journals(&fleet, &outcomes).await;
+    assert!(outcomes.answered > 0);
 }
 
 #[tokio::test]
@@ -190,9 +196,9 @@
     let batches = (0..6).map(|batch| {
         (0..100).map(|index| KeyedRequest { body: format!("u{batch}-{index}"), key: None }).collect()
     });
-    let told = run_under_faults(&mut fleet, batches.collect()).await;
-    check_journals(&fleet, &told).await;
-    assert!(told.answered > 0);
+    let outcomes = run_under_faults(&mut fleet, batches.collect()).await;
+    check_journals(&fleet, &outcomes).await;
+    assert!(outcomes.answered > 0);
 }
 
 #[tokio::test]
--- a/porthoistd/tests/process/path.rs
+++ b/porthoistd/tests/process/path.rs
@@ -1,4 +1,4 @@
-//! The whole path: two zones, two entries, three targets.
+//! End to end: two zones, two entries, three targets.
 
 use crate::harness::{Call, Fleet, completion, expected_words, stream_words};
 
@@ -39,8 +39,8 @@
     let fleet = Fleet::start(1, 1, 0).await;
     let answer = fleet.call(0, Call::post("/v1/completions", completion("why", 3, false))).await;
     let request = answer.headers["porthoist-request"].to_str().unwrap();
-    let told = fleet.tool(0, &["explain", request]);
-    let text = String::from_utf8(told.stdout).unwrap();
+    let explained = fleet.tool(0, &["explain", request]);
+    let text = String::from_utf8(explained.stdout).unwrap();
     assert!(text.contains("offered to model-0"), "{text}");
     assert!(text.contains("answered whole"), "{text}");
 }
--- a/porthoistd/tests/process/shutdown.rs
+++ b/porthoistd/tests/process/shutdown.rs
@@ -1,11 +1,11 @@
-//! Leaving targets and graceful stops.
+//! Draining targets and graceful shutdown.
 
 use crate::harness::{Call, Fleet, completion, eventually, expected_words, stream_words};
 use nix::sys::signal::Signal;
 use std::time::Duration;
 use tokio::task::JoinHandle;
 
-/// Starts streams through an entry; each checks its own answer.
+/// Starts streams through an entry; each task checks its answer.
 fn open_streams(fleet: &Fleet, entry: usize, count: usize) -> Vec<JoinHandle<()>> {
     let base = fleet.entries[entry].address("callers").to_owned();
     let stream = |index: usize| {
--- a/porthoistd/tests/process/table.rs
+++ b/porthoistd/tests/process/table.rs
@@ -1,4 +1,4 @@
-//! The operators' table: racing edits, import whole or not at all, and an edit whose answer was lost.
+//! The operators' table: concurrent edits, atomic import, and an edit whose answer was lost.
 
 use crate::harness::Fleet;
 use serde_json::json;
@@ -33,7 +33,7 @@
     let path = folder.path().join("sheet.csv");
     let file = path.to_str().unwrap();
 
-    // A row with as many cells as the sheet has columns.
+    // A row with one cell for each column of the sheet.
     let columns = sheet.lines().next().unwrap().split(',').count();
     let new_row = format!("team,new,1,5/s{}\n", ",".repeat(columns - 4));
     let broken = sheet.replace("border,,100000/s", "border,5,many") + &new_row;
--- a/porthoistd/tests/process/whole.rs
+++ b/porthoistd/tests/process/whole.rs
@@ -1,4 +1,5 @@
-//! The whole answer to one's own request: broken, repeated and swapped events, and a target killed in mid-answer.
+//! Every caller gets its complete and correct answer although events are lost, repeated or swapped, or a
+//! target is killed during the answer.
 
 use crate::harness::{Call, Fleet, completion, eventually, expected_words, stream_words};
 use serde_json::json;
--- a/porthoistd/tests/rank.rs
+++ b/porthoistd/tests/rank.rs
@@ -1,4 +1,4 @@
-//! The process beside an engine, over an engine in memory.
+//! The process next to an engine, with in-memory engines.
 
 use futures::FutureExt as _;
 use porthoist_core::{AnchoredClock, ClockSource, ServiceName, StartMillis};
@@ -26,15 +26,15 @@
 use tokio::sync::watch;
 use tokio::task::LocalSet;
 
-/// Longest time in milliseconds that an unanswered order may keep its sender, with the way there: a third of a group's
-/// orders may be lost, and every round of repeats takes so long.
-const UNANSWERED_MILLIS: u128 = 50;
+/// Maximum time in milliseconds that an unanswered order may block its sender, including the way there: a
+/// third of a group's orders may be lost, and every round of retries takes this long.
+const MAX_ORDER_MILLIS: u128 = 50;
 
-/// Longest time in milliseconds that an unanswered reading may keep its reader: less than the 150 that a process which plans
-/// waits for another rank's.
-const READING_MILLIS: u128 = 140;
+/// Maximum time in milliseconds that an unanswered reading may block its reader; less than the 150 ms that a
+/// planning process waits for another rank's reading.
+const MAX_READING_MILLIS: u128 = 140;
 
-/// Carries nothing out and answers nothing.
+/// An engine that never answers.
 #[derive(Debug)]
 struct SilentEngine;
 
@@ -67,7 +67,7 @@
     let order = EngineOrder::Hold { epoch: GroupEpoch(1), step: StepNumber(7) };
     let answer = tokio::time::timeout(Duration::from_secs(10), rank.order(order, None)).await;
     let error = answer.expect("the order is given up").expect_err("nothing was answered");
-    assert!(began.elapsed().as_millis() <= UNANSWERED_MILLIS);
+    assert!(began.elapsed().as_millis() <= MAX_ORDER_MILLIS);
     assert_eq!(
         error.to_string(),
         "the engine did not answer the order (may-have-run)",
@@ -75,8 +75,8 @@
     );
 }
 
-/// A read that its engine never answers, as over a connection that fell silent, kept the process beside it from planning
-/// for good: nothing but the end of the connection ended the wait.
+/// Guards against a reading that never ends: when an engine's connection fell silent, the process next to it
+/// stopped planning until the connection was closed.
 #[tokio::test(start_paused = true)]
 async fn a_reading_of_a_silent_engine_is_given_up() {
     let rank = OwnRank::new(Rc::new(SilentEngine));
@@ -90,15 +90,15 @@
         };
         let read = tokio::time::timeout(Duration::from_secs(10), read).await;
         assert!(read.expect("the reading is given up").is_err(), "nothing was answered");
-        assert!(began.elapsed().as_millis() <= READING_MILLIS, "{reading}: {:?}", began.elapsed());
+        assert!(began.elapsed().as_millis() <= MAX_READING_MILLIS, "{reading}: {:?}", began.elapsed());
     }
 }
 
-/// An engine in memory; from some reading on it says nothing more.
+/// An in-memory engine that stops answering after a number of readings.
 #[derive(Debug)]
 struct CountedEngine {
     rank: usize,
-    /// Readings that it answers.
+    /// Remaining readings that it answers.
     answers: Cell<u32>,
 }
 
@@ -150,12 +150,12 @@
     }
 }
 
-/// Readings of a sound rank that show that the group is read on.
+/// Readings of a healthy rank that show that the group is still being read.
 const READINGS: u32 = 20;
 const RANKS: usize = 3;
 const EXPERTS: usize = 6;
 
-/// Passes connections on to an address and counts them.
+/// Forwards connections to an address and counts them.
 async fn count_connections(listener: TcpListener, to: SocketAddr, count: Rc<Cell<u32>>) {
     while let Ok((mut caller, _address)) = listener.accept().await {
         count.set(count.get() + 1);
@@ -167,7 +167,7 @@
     }
 }
 
-/// Serves an engine behind an address; returns how many connections were made to it.
+/// Serves an engine at an address; returns the number of connections made to it.
 async fn serve_engine(address: SocketAddr, engine: Rc<CountedEngine>) -> Rc<Cell<u32>> {
     let outer = TcpListener::bind(address).await.expect("a free port");
     let inner = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
@@ -182,7 +182,7 @@
     count
 }
 
-/// A group of [`RANKS`] ranks on loopback addresses, as the table shows it.
+/// A group of [`RANKS`] ranks on loopback addresses, as listed in the table.
 fn group_state() -> ControlState {
     let service: ServiceName = "s".parse().expect("a name");
     let engine = EngineModel {
@@ -220,11 +220,11 @@
     (Ipv4Addr::new(127, 0, 0, 11 + rank as u8), 9).into()
 }
 
-/// A source that never answers: the state is given.
+/// A source that never answers; the state is given to the planner directly.
 #[derive(Debug)]
-struct NoSource;
+struct SilentSource;
 
-impl ControlSource for NoSource {
+impl ControlSource for SilentSource {
     fn list_routes(&self) -> SourceFuture<'_, OperatorUpdate> {
         futures::future::pending().boxed_local()
     }
@@ -246,7 +246,8 @@
     }
 }
 
-/// A rank that falls silent must cost the others neither their connections nor the map that was sent over them.
+/// Guards against losing connections, and the map already sent over them, to healthy ranks when another rank
+/// stops answering.
 #[tokio::test]
 async fn a_silent_rank_costs_the_others_no_connection() {
     let played = async {
@@ -269,7 +270,7 @@
         let clock: Arc<dyn ClockSource> = Arc::new(AnchoredClock::new());
         let state = watch::Sender::new(group_state());
         let control = ControlWatch::builder()
-            .source(Rc::new(NoSource))
+            .source(Rc::new(SilentSource))
             .state(state.clone())
             .clock(Arc::clone(&clock))
             .metrics(Arc::new(MetricsHub::new().expect("metrics")))
@@ -291,17 +292,17 @@
         while silent_engine.answers.get() > 0 {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        // The others are read on, though one says nothing.
+        // The other ranks are still read while one does not answer.
         let answered = sound_engine.answers.get();
         while answered - sound_engine.answers.get() < READINGS {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         running.abort();
-        assert_eq!(sound.get(), 1, "the process beside the sound rank keeps its connection");
+        assert_eq!(sound.get(), 1, "the process next to the healthy rank keeps its connection");
         assert_eq!(
             silent.get(),
             1,
-            "so does the one beside a silent engine: it says itself that there is no reading"
+            "so does the one next to the silent engine: it answers that there is no reading"
         );
     };
     LocalSet::new().run_until(played).await;
--- a/porthoistd/tests/settings.rs
+++ b/porthoistd/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings in flags and environment variables.
+//! Settings from flags and environment variables.
 
 use porthoistd::settings::proxy::{ProxyArgs, ProxySettings};
 use porthoistd::settings::{DaemonArgs, DaemonSettings};
@@ -53,7 +53,7 @@
     assert_eq!(error.unwrap_err().to_string(), "setting --backend (PORTHOIST_BACKEND): not given");
 }
 
-/// Times near the largest number added up to a small one, or ended the process.
+/// Guards against overflow: times near `u64::MAX` wrapped around to a small sum, or panicked.
 #[test_case("notice-ms", ProxyArgs { notice_ms: Some(u64::MAX.to_string()), ..proxy_args() }; "notice")]
 #[test_case("leaving-ms", ProxyArgs { leaving_ms: Some((u64::MAX - 1).to_string()), ..proxy_args() }; "leaving")]
 #[test_case("revoke-ms", ProxyArgs { revoke_ms: Some("3600001".to_owned()), ..proxy_args() }; "revoke")]
