--- a/porthoist-cli/src/cmd/entries.rs
+++ b/porthoist-cli/src/cmd/entries.rs
@@ -43,7 +43,7 @@
     pub routes_age: Option<u64>,
     /// Milliseconds since the targets were last confirmed as the newest; `None` if they never were.
     pub targets_age: Option<u64>,
-    /// Queries sent to the table service that other processes could have answered.
+    /// Queries that this entry sent to the table service although other processes could have answered them.
     pub queries: u64,
     /// Number of targets considered cold.
     pub cold: u64,
@@ -106,14 +106,14 @@
         (rank, *address)
     });
     let mut text =
-        "entry                  version  routes (ms)  targets (ms)  own questions  cold  emptied zones\n"
+        "entry                  version  routes (ms)  targets (ms)  own queries  cold  emptied zones\n"
             .to_owned();
     for (address, state) in &entries {
         let line = match state {
             Ok(state) => entry_line(state, now),
             Err(problem) => problem.clone(),
         };
-        writeln!(text, "{:<21}  {line}", address.to_string()).expect("a string takes all");
+        writeln!(text, "{:<21}  {line}", address.to_string()).expect("writing to a string can't fail");
     }
     text
 }
@@ -128,5 +128,5 @@
     let emptied = if emptied.is_empty() { "-".to_owned() } else { emptied.join(", ") };
     let EntryState { version, routes_age, targets_age, queries, cold, .. } = state;
     let (routes, targets) = (age(*routes_age), age(*targets_age));
-    format!("{version:>7}  {routes:>11}  {targets:>12}  {queries:>13}  {cold:>4}  {emptied}")
+    format!("{version:>7}  {routes:>11}  {targets:>12}  {queries:>11}  {cold:>4}  {emptied}")
 }
--- a/porthoist-cli/src/cmd/quarantine.rs
+++ b/porthoist-cli/src/cmd/quarantine.rs
@@ -106,7 +106,7 @@
     lines.sort();
     let mut text = "request       level       crashes  left (s)  crashed targets\n".to_owned();
     for (_deaths, line) in lines {
-        writeln!(text, "{line}").expect("a string takes all");
+        writeln!(text, "{line}").expect("writing to a string can't fail");
     }
     text
 }
--- a/porthoist-cli/src/log_lines.rs
+++ b/porthoist-cli/src/log_lines.rs
@@ -110,9 +110,10 @@
     for line in selected {
         let about = if line.request.is_some() { ' ' } else { '.' };
         let LogLine { host, message, .. } = line;
-        write!(text, "{:>+7} ms {about} {host}  {message}", line.millis - first).expect("a string takes all");
+        write!(text, "{:>+7} ms {about} {host}  {message}", line.millis - first)
+            .expect("writing to a string can't fail");
         for (name, value) in line.fields.iter().filter(|(name, _value)| !HIDDEN.contains(&name.as_str())) {
-            write!(text, "  {name}={value}").expect("a string takes all");
+            write!(text, "  {name}={value}").expect("writing to a string can't fail");
         }
         text.push('\n');
     }
--- a/porthoist-cli/src/report/text.rs
+++ b/porthoist-cli/src/report/text.rs
@@ -13,9 +13,9 @@
     let mut text = String::new();
     for (service, seconds) in &report.services {
         let total = report.total(service);
-        writeln!(text, "service {service}: {}", totals(&total)).expect("a string takes all");
+        writeln!(text, "service {service}: {}", totals(&total)).expect("writing to a string can't fail");
         for (cause, count) in total.causes().into_iter().take(MAX_CAUSES) {
-            writeln!(text, "  {count:>6} {cause}").expect("a string takes all");
+            writeln!(text, "  {count:>6} {cause}").expect("writing to a string can't fail");
         }
         text.push_str(" second admitted in time pause first refused again broken left  refused by reason\n");
         for (second, row) in seconds {
@@ -63,11 +63,11 @@
 
 fn group_text(text: &mut String, host: &str, group: &GroupReport) {
     writeln!(text, "group {} of {} ranks, planned for by {host}", group.group, group.ranks)
-        .expect("a string takes all");
+        .expect("writing to a string can't fail");
     for span in &group.deaf {
         let until = span.until.map_or_else(|| "the end".to_owned(), |until| until.to_string());
         writeln!(text, "  a rank was unreachable from second {} to {until}", span.from)
-            .expect("a string takes all");
+            .expect("writing to a string can't fail");
     }
     text.push_str(" second passes/s skew before after moves force ms requests most\n");
     for plan in &group.plans {
@@ -78,6 +78,6 @@
             "{:>7} {passes:>8} {:>11.2} {:>5.2} {:>5} {force:>8} {:>8} {:>4}",
             plan.second, plan.skew_before, plan.skew_after, plan.moves, plan.requests, plan.most_requests,
         )
-        .expect("a string takes all");
+        .expect("writing to a string can't fail");
     }
 }
--- a/porthoistd/src/duty/group.rs
+++ b/porthoistd/src/duty/group.rs
@@ -203,19 +203,19 @@
     /// Whether a switch must be led: this rank is not switching to the requested map, or it is armed for a
     /// switch that was never decided.
     async fn switch_needed(&self) -> bool {
-        let wanted = self.requested_map();
+        let requested = self.requested_map();
         let Ok(saved) = self.engine.kept().await else { return false };
         let planned = saved.committed.map_or(saved.map, |switch| switch.map);
-        (wanted.0 > 0 && planned != wanted) || saved.armed.is_some()
+        (requested.0 > 0 && planned != requested) || saved.armed.is_some()
     }
 
-    /// Leads a switch to `wanted`; returns whether the group commits to that map.
-    async fn lead(&self, links: &[Box<dyn RankLink>], saved: SavedRank, wanted: MapVersion) -> bool {
+    /// Leads a switch to `requested`; returns whether the group commits to that map.
+    async fn lead(&self, links: &[Box<dyn RankLink>], saved: SavedRank, requested: MapVersion) -> bool {
         let ballot = LeaderBallot(saved.promised.0 + 1);
-        match switch_group(links, ballot, wanted).await {
+        match switch_group(links, ballot, requested).await {
             Ok(SwitchOutcome::Committed(map)) => {
                 info!(self.logger, "map switch committed"; "map" => map.0, "ballot" => ballot.0);
-                return map == wanted;
+                return map == requested;
             }
             Ok(SwitchOutcome::Aborted) => info!(self.logger, "map switch aborted"; "ballot" => ballot.0),
             Err(error) => warn!(self.logger, "map switch undecided"; "error" => %error),
--- a/porthoistd/src/duty/rank.rs
+++ b/porthoistd/src/duty/rank.rs
@@ -146,7 +146,7 @@
     control: Option<ControlWatch>,
     /// Last known services and targets.
     state: watch::Receiver<ControlState>,
-    /// The loads of the group while this process plans for it, otherwise `None`.
+    /// The last load report of the group, while this process plans for it.
     loads: watch::Sender<Option<GroupLoads>>,
     /// Connections to the processes next to other ranks.
     peers: Rc<PeerPool>,
--- a/porthoistd/src/duty/status.rs
+++ b/porthoistd/src/duty/status.rs
@@ -45,7 +45,7 @@
         let never = watch::Sender::new(false);
         let checks = Arc::clone(&self);
         let ready = serve_until(
-            TcpListener::from_std(ready).expect("a bound listener fits the runtime"),
+            TcpListener::from_std(ready).expect("the listener is bound and non-blocking"),
             ServerSettings::default(),
             never.subscribe(),
             move |request| {
@@ -94,7 +94,7 @@
 /// Serves metrics forever.
 pub async fn serve_metrics(listener: StdListener, metrics: Arc<MetricsHub>) {
     let never = watch::Sender::new(false);
-    let listener = TcpListener::from_std(listener).expect("a bound listener fits the runtime");
+    let listener = TcpListener::from_std(listener).expect("the listener is bound and non-blocking");
     serve_until(listener, ServerSettings::default(), never.subscribe(), move |request| {
         let answer = if request.uri().path() == METRICS_PATH {
             text_response(StatusCode::OK, metrics.text())
--- a/porthoistd/src/role.rs
+++ b/porthoistd/src/role.rs
@@ -39,7 +39,7 @@
     spawn_duty("operator", move || async move {
         let editor = TableEditor::new(Arc::new(HttpPlatform::new(url)));
         let operators = OperatorServer::new(token, Arc::new(process), editor, metrics);
-        let listener = TcpListener::from_std(listener).expect("a bound listener fits the runtime");
+        let listener = TcpListener::from_std(listener).expect("the listener is bound and non-blocking");
         serve_operators(listener, operators).await;
     })?;
     Ok(())
--- a/porthoistd/src/role/entry.rs
+++ b/porthoistd/src/role/entry.rs
@@ -169,7 +169,7 @@
         });
         spawn_duty("fleet", move || async move {
             let duty = EntryFleet::new(shared);
-            let listener = TcpListener::from_std(listener).expect("a bound listener fits the runtime");
+            let listener = TcpListener::from_std(listener).expect("the listener is bound and non-blocking");
             tokio::task::spawn_local(serve_fleet(listener, key, Rc::new(duty.clone())));
             duty.run(commands).await;
         })?;
@@ -206,7 +206,7 @@
         spawn_duty("callers", move || async move {
             let counted = server.clone();
             tokio::task::spawn_local(watch_signals(stopping, logger.clone(), move || counted.in_flight()));
-            let listener = TcpListener::from_std(listener).expect("a bound listener fits the runtime");
+            let listener = TcpListener::from_std(listener).expect("the listener is bound and non-blocking");
             info!(logger, "accepting callers"; "address" => listener.local_addr().ok().map(|address| address.to_string()));
             serve_callers(listener, server, stop_seen, stop_lag, logger).await;
         })
--- a/porthoistd/src/role/proxy.rs
+++ b/porthoistd/src/role/proxy.rs
@@ -223,7 +223,7 @@
             tokio::task::spawn_local(follow_position(Rc::clone(&handler), self.position.subscribe()));
             tokio::task::spawn_local(follow_notes(Rc::clone(&handler), self.zone_notes.subscribe()));
             tokio::task::spawn_local(follow_loads(handler, loads));
-            let listener = TcpListener::from_std(listener).expect("a bound listener fits the runtime");
+            let listener = TcpListener::from_std(listener).expect("the listener is bound and non-blocking");
             serve_proxy(listener, server).await;
         })
     }
--- a/porthoistd/src/role/rank.rs
+++ b/porthoistd/src/role/rank.rs
@@ -38,7 +38,7 @@
     let stop = stopping.subscribe();
     let duty = spawn_duty("rank", move || async move {
         let own = Rc::new(OwnRank::new(Rc::new(TuristEngine::new(settings.engine))));
-        let listener = TcpListener::from_std(rank_listener).expect("a bound listener fits the runtime");
+        let listener = TcpListener::from_std(rank_listener).expect("the listener is bound and non-blocking");
         let loads = watch::Sender::new(None);
         let traffic = ControlTraffic::default();
         let peers = Rc::new(PeerPool::new(rank_address.port(), traffic.clone()));
--- a/porthoistd/src/role/target.rs
+++ b/porthoistd/src/role/target.rs
@@ -32,7 +32,7 @@
 use tokio::sync::{oneshot, watch};
 
 /// Capacity of the queue of back-end jobs.
-const JOB_RING: usize = 4096;
+const JOB_QUEUE_CAPACITY: usize = 4096;
 /// Interval at which shutdown checks whether requests are still in flight.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Time without any offer after which a drained target exits; entries have seen the drain flag by then.
@@ -114,7 +114,7 @@
     }
 
     fn start_offers(&self) -> io::Result<(ActorRef<OffersActor>, watch::Receiver<LoadReport>)> {
-        let (jobs, job_receiver) = bounded_ring(JOB_RING);
+        let (jobs, job_receiver) = bounded_ring(JOB_QUEUE_CAPACITY);
         let load = watch::Sender::new(LoadReport::default());
         let load_seen = load.subscribe();
         let settings = &self.settings;
@@ -177,7 +177,7 @@
                 )),
                 metrics,
             };
-            let listener = TcpListener::from_std(listener).expect("a bound listener fits the runtime");
+            let listener = TcpListener::from_std(listener).expect("the listener is bound and non-blocking");
             info!(logger, "accepting offers"; "address" => listener.local_addr().ok().map(|address| address.to_string()), "incarnation" => %incarnation);
             if !settings.group.is_empty() {
                 let maps = PlatformMaps::new(&settings.platform, &settings.group);
--- a/porthoistd/src/settings.rs
+++ b/porthoistd/src/settings.rs
@@ -96,7 +96,7 @@
 /// Subcommands: roles with settings of their own.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
-#[expect(clippy::large_enum_variant, reason = "there is one, read at the start")]
+#[expect(clippy::large_enum_variant, reason = "only one value exists, parsed at startup")]
 pub enum DaemonCommand {
     /// Forwards requests unchanged.
     Proxy(ProxyArgs),
--- a/porthoistd/tests/loads.rs
+++ b/porthoistd/tests/loads.rs
@@ -113,7 +113,7 @@
 
 #[tokio::test]
 async fn the_loads_of_all_groups_of_a_service_are_known() {
-    let played = async {
+    let scenario = async {
         let bound = listeners().await;
         let rank_port = bound[0].2.local_addr().expect("a bound address").port();
         let mut published = Vec::new();
@@ -142,7 +142,7 @@
         }
     };
     let local = LocalSet::new();
-    let whole = local.run_until(played);
+    let whole = local.run_until(scenario);
     tokio::time::timeout(TEST_TIMEOUT, whole).await.expect("all groups are reported");
 }
 
@@ -158,7 +158,7 @@
 /// kept following all of them.
 #[tokio::test]
 async fn a_group_is_not_followed_at_more_than_two_processes() {
-    let played = async {
+    let scenario = async {
         let bound = listeners().await;
         let rank_port = bound[0].2.local_addr().expect("a bound address").port();
         let all: Vec<Ipv4Addr> = bound.iter().map(|(group, rank, _listener)| host(*group, *rank)).collect();
@@ -197,5 +197,5 @@
         let later: usize = counts[ROUNDS as usize..].iter().sum();
         assert!((ROUNDS as usize / 2..=2 * ROUNDS as usize + 2).contains(&later), "{counts:?}");
     };
-    LocalSet::new().run_until(played).await;
+    LocalSet::new().run_until(scenario).await;
 }
--- a/porthoistd/tests/logging.rs
+++ b/porthoistd/tests/logging.rs
@@ -5,11 +5,11 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Keeps the messages that reach it.
+/// Collects the messages that reach it.
 #[derive(Debug, Clone, Default)]
-struct KeptMessages(Arc<Mutex<Vec<String>>>);
+struct MessageCollector(Arc<Mutex<Vec<String>>>);
 
-impl Drain for KeptMessages {
+impl Drain for MessageCollector {
     type Ok = ();
     type Err = Never;
 
@@ -21,13 +21,13 @@
 
 #[test]
 fn lines_beyond_the_bound_are_dropped_and_said() {
-    let kept = KeptMessages::default();
-    let logger = Logger::root(BoundedDrain::new(kept.clone(), 3).fuse(), o!());
+    let collected = MessageCollector::default();
+    let logger = Logger::root(BoundedDrain::new(collected.clone(), 3).fuse(), o!());
     for line in 0..10 {
         info!(logger, "line {}", line);
     }
-    assert_eq!(*kept.0.lock().unwrap(), ["line 0", "line 1", "line 2"]);
+    assert_eq!(*collected.0.lock().unwrap(), ["line 0", "line 1", "line 2"]);
     std::thread::sleep(Duration::from_millis(1_010));
     info!(logger, "line 10");
-    assert_eq!(kept.0.lock().unwrap()[3..], ["log lines dropped", "line 10"]);
+    assert_eq!(collected.0.lock().unwrap()[3..], ["log lines dropped", "line 10"]);
 }
--- a/porthoistd/tests/process/config.rs
+++ b/porthoistd/tests/process/config.rs
@@ -17,7 +17,7 @@
     let fleet = Fleet::start(2, 2, 1).await;
     let mut slowest = Duration::ZERO;
     for round in 1..=5 {
-        let began = Instant::now();
+        let started = Instant::now();
         let set =
             fleet.tool(round % 2, &["table", "set", "team/border", &format!("rate={}00/s", 900 + round)]);
         assert!(set.status.success(), "{}", String::from_utf8_lossy(&set.stderr));
@@ -27,7 +27,7 @@
             revisions(&fleet.status(0).await).iter().all(|seen| *seen >= revision)
         })
         .await;
-        slowest = slowest.max(began.elapsed());
+        slowest = slowest.max(started.elapsed());
     }
     println!("5 rows in force everywhere, the slowest after {} ms", slowest.as_millis());
 }
--- a/porthoistd/tests/process/group.rs
+++ b/porthoistd/tests/process/group.rs
@@ -39,7 +39,7 @@
     .await;
 }
 
-fn want(fleet: &Fleet, map: u32) {
+fn request_map(fleet: &Fleet, map: u32) {
     let set = fleet.tool(0, &["table", "set", "policy/placement", &format!("map={map}")]);
     assert!(set.status.success(), "{}", String::from_utf8_lossy(&set.stderr));
 }
@@ -50,7 +50,7 @@
     fleet.add_group(3);
     fleet.reaches_all(0).await;
     for map in 1..=4 {
-        want(&fleet, map);
+        request_map(&fleet, map);
         all_use(&fleet, map).await;
     }
     assert!(one_map_per_step(&fleet).await.is_superset(&(1..=4).collect()));
@@ -64,7 +64,7 @@
     fleet.add_group(3);
     fleet.reaches_all(0).await;
     for map in 1..=4_u32 {
-        want(&fleet, map);
+        request_map(&fleet, map);
         let victim = (map % 3) as usize;
         tokio::time::sleep(Duration::from_millis(u64::from(map) * 150)).await;
         fleet.targets[victim].daemon.kill();
--- a/porthoistd/tests/process/harness.rs
+++ b/porthoistd/tests/process/harness.rs
@@ -78,7 +78,7 @@
 }
 
 fn built(package: &str, binary: &str) -> std::path::PathBuf {
-    // The profile of the tests, so that nothing is built twice.
+    // Uses the profile of the tests, so that nothing is built twice.
     let build = escargot::CargoBuild::new().package(package).bin(binary).current_release();
     build.run().expect("the binary builds").path().to_owned()
 }
--- a/porthoistd/tests/rank.rs
+++ b/porthoistd/tests/rank.rs
@@ -63,11 +63,11 @@
 #[tokio::test(start_paused = true)]
 async fn an_unanswered_order_is_given_up_at_once() {
     let rank = OwnRank::new(Rc::new(SilentEngine));
-    let began = tokio::time::Instant::now();
+    let started = tokio::time::Instant::now();
     let order = EngineOrder::Hold { epoch: GroupEpoch(1), step: StepNumber(7) };
     let answer = tokio::time::timeout(Duration::from_secs(10), rank.order(order, None)).await;
     let error = answer.expect("the order is given up").expect_err("nothing was answered");
-    assert!(began.elapsed().as_millis() <= MAX_ORDER_MILLIS);
+    assert!(started.elapsed().as_millis() <= MAX_ORDER_MILLIS);
     assert_eq!(
         error.to_string(),
         "the engine did not answer the order (may-have-run)",
@@ -81,7 +81,7 @@
 async fn a_reading_of_a_silent_engine_is_given_up() {
     let rank = OwnRank::new(Rc::new(SilentEngine));
     for reading in ["state", "state and counts", "lists"] {
-        let began = tokio::time::Instant::now();
+        let started = tokio::time::Instant::now();
         let read = async {
             match reading {
                 "lists" => rank.lists().await.map(|_lists| ()),
@@ -90,25 +90,25 @@
         };
         let read = tokio::time::timeout(Duration::from_secs(10), read).await;
         assert!(read.expect("the reading is given up").is_err(), "nothing was answered");
-        assert!(began.elapsed().as_millis() <= MAX_READING_MILLIS, "{reading}: {:?}", began.elapsed());
+        assert!(started.elapsed().as_millis() <= MAX_READING_MILLIS, "{reading}: {:?}", started.elapsed());
     }
 }
 
 /// An in-memory engine that stops answering after a number of readings.
 #[derive(Debug)]
-struct CountedEngine {
+struct LimitedEngine {
     rank: usize,
     /// Remaining readings that it answers.
     answers: Cell<u32>,
 }
 
-impl CountedEngine {
+impl LimitedEngine {
     fn new(rank: usize, answers: u32) -> Rc<Self> {
         Rc::new(Self { rank, answers: Cell::new(answers) })
     }
 }
 
-impl LocalEngine for CountedEngine {
+impl LocalEngine for LimitedEngine {
     fn state(&self) -> RankFuture<'_, RankState> {
         let left = self.answers.get();
         if left == 0 {
@@ -168,7 +168,7 @@
 }
 
 /// Serves an engine at an address; returns the number of connections made to it.
-async fn serve_engine(address: SocketAddr, engine: Rc<CountedEngine>) -> Rc<Cell<u32>> {
+async fn serve_engine(address: SocketAddr, engine: Rc<LimitedEngine>) -> Rc<Cell<u32>> {
     let outer = TcpListener::bind(address).await.expect("a free port");
     let inner = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let to = inner.local_addr().expect("a bound address");
@@ -250,13 +250,13 @@
 /// stops answering.
 #[tokio::test]
 async fn a_silent_rank_costs_the_others_no_connection() {
-    let played = async {
+    let scenario = async {
         let first = TcpListener::bind((engine_address(1).ip(), 0)).await.expect("a free port");
         let port = first.local_addr().expect("a bound address").port();
         drop(first);
         let place = |rank: usize| SocketAddr::new(engine_address(rank).ip(), port);
-        let (sound_engine, silent_engine) = (CountedEngine::new(1, u32::MAX), CountedEngine::new(2, 4));
-        let sound = serve_engine(place(1), Rc::clone(&sound_engine)).await;
+        let (healthy_engine, silent_engine) = (LimitedEngine::new(1, u32::MAX), LimitedEngine::new(2, 4));
+        let healthy = serve_engine(place(1), Rc::clone(&healthy_engine)).await;
         let silent = serve_engine(place(2), Rc::clone(&silent_engine)).await;
         let args = RankArgs {
             zone: Some("a".to_owned()),
@@ -276,7 +276,7 @@
             .metrics(Arc::new(MetricsHub::new().expect("metrics")))
             .logger(logger.clone())
             .build();
-        let own = Rc::new(OwnRank::new(CountedEngine::new(0, u32::MAX)));
+        let own = Rc::new(OwnRank::new(LimitedEngine::new(0, u32::MAX)));
         let loads = watch::Sender::new(None);
         let duty = RankDuty::builder()
             .settings(settings)
@@ -293,17 +293,17 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         // The other ranks are still read while one does not answer.
-        let answered = sound_engine.answers.get();
-        while answered - sound_engine.answers.get() < READINGS {
+        let answered = healthy_engine.answers.get();
+        while answered - healthy_engine.answers.get() < READINGS {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         running.abort();
-        assert_eq!(sound.get(), 1, "the process next to the healthy rank keeps its connection");
+        assert_eq!(healthy.get(), 1, "the process next to the healthy rank keeps its connection");
         assert_eq!(
             silent.get(),
             1,
             "so does the one next to the silent engine: it answers that there is no reading"
         );
     };
-    LocalSet::new().run_until(played).await;
+    LocalSet::new().run_until(scenario).await;
 }
