--- a/porthoist-cli/src/cmd/quarantine.rs
+++ b/porthoist-cli/src/cmd/quarantine.rs
@@ -14,7 +14,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Show the requests that crashed targets, and how long they are withheld from targets; or release one.
+/// Show the requests that crashed targets, and how long they are withheld from targets; or lift one.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "quarantine")]
 pub struct QuarantineArgs {
@@ -62,7 +62,7 @@
     let crashes = changes.len();
     store.write(changes).await.map_err(|error| unreachable(&error))?;
     Ok(format!(
-        "released {}, removed {crashes} crashes; takes effect at the entries within seconds\n",
+        "lifted the quarantine of {}, removed {crashes} crashes; takes effect at the entries within seconds\n",
         mark.short()
     ))
 }
