--- a/porthoist-cli/src/cmd/entries.rs
+++ b/porthoist-cli/src/cmd/entries.rs
@@ -106,7 +106,7 @@
         (rank, *address)
     });
     let mut text =
-        "entry                  version  routes (ms)  targets (ms)  own queries  cold  emptied zones\n"
+        "entry                  version  routes (ms)  targets (ms)  own questions  cold  emptied zones\n"
             .to_owned();
     for (address, state) in &entries {
         let line = match state {
@@ -128,5 +128,5 @@
     let emptied = if emptied.is_empty() { "-".to_owned() } else { emptied.join(", ") };
     let EntryState { version, routes_age, targets_age, queries, cold, .. } = state;
     let (routes, targets) = (age(*routes_age), age(*targets_age));
-    format!("{version:>7}  {routes:>11}  {targets:>12}  {queries:>11}  {cold:>4}  {emptied}")
+    format!("{version:>7}  {routes:>11}  {targets:>12}  {queries:>13}  {cold:>4}  {emptied}")
 }
--- a/porthoist-cli/src/cmd/explain.rs
+++ b/porthoist-cli/src/cmd/explain.rs
@@ -71,7 +71,7 @@
         DecisionKind::Failed { attempt, reason, verdict } => {
             format!("attempt {attempt}: failed, {reason} ({verdict})")
         }
-        DecisionKind::Retried { reason } => format!("retried: {reason}"),
+        DecisionKind::Retried { reason } => format!("tried again: {reason}"),
         DecisionKind::Answered { first_byte_millis } => {
             format!("answered whole, first byte after {first_byte_millis} ms")
         }
--- a/porthoist-cli/src/cmd/quarantine.rs
+++ b/porthoist-cli/src/cmd/quarantine.rs
@@ -97,14 +97,14 @@
         let Some(block) = tracker.status(&mark, now) else { continue };
         let seconds = block.until.0.since(now).div_ceil(1_000);
         let (level, crashes) = (block.level.as_str(), targets.len());
-        let line = format!("{}  {level:<11} {crashes:>7}  {seconds:>8}  {}", mark.short(), targets.join(" "));
+        let line = format!("{}  {level:<11} {crashes:>6}  {seconds:>8}  {}", mark.short(), targets.join(" "));
         lines.push((std::cmp::Reverse(crashes), line));
     }
     if lines.is_empty() {
         return "no request is held or quarantined\n".to_owned();
     }
     lines.sort();
-    let mut text = "request       level       crashes  left (s)  crashed targets\n".to_owned();
+    let mut text = "request       level       deaths  kept (s)  targets that died\n".to_owned();
     for (_deaths, line) in lines {
         writeln!(text, "{line}").expect("writing to a string can't fail");
     }
--- a/porthoist-cli/src/cmd/status.rs
+++ b/porthoist-cli/src/cmd/status.rs
@@ -28,7 +28,7 @@
 /// Formats the report as text.
 pub fn report_text(report: &StatusReport) -> String {
     let mut text = String::new();
-    let platform = if report.platform_heard { "reachable" } else { "UNREACHABLE" };
+    let platform = if report.platform_heard { "heard" } else { "NOT HEARD" };
     push(
         &mut text,
         format_args!(
@@ -38,10 +38,10 @@
     );
     for (zone, status) in report.zones() {
         let revision =
-            status.revision.map_or("none reachable".to_owned(), |revision| format!("revision {revision}"));
-        push(&mut text, format_args!("zone {zone}: {revision}, {} processes reachable", status.heard));
+            status.revision.map_or("none heard".to_owned(), |revision| format!("revision {revision}"));
+        push(&mut text, format_args!("zone {zone}: {revision}, {} processes heard", status.heard));
         if !status.silent.is_empty() {
-            push(&mut text, format_args!("  UNREACHABLE: {}", status.silent.join(", ")));
+            push(&mut text, format_args!("  NOT HEARD: {}", status.silent.join(", ")));
         }
     }
     for entry in &report.entries {
@@ -66,13 +66,13 @@
 }
 
 fn revision_text(heard: bool, revision: u64) -> String {
-    if heard { format!("revision {revision}") } else { "UNREACHABLE".to_owned() }
+    if heard { format!("revision {revision}") } else { "NOT HEARD".to_owned() }
 }
 
 fn target_line(target: &TargetStatus) -> String {
     let services: Vec<_> = target.services.iter().map(ToString::to_string).collect();
     let state = if target.draining { ", draining" } else { "" };
-    let life = target.incarnation.map_or("never reached".to_owned(), |life| format!("incarnation {life}"));
+    let life = target.incarnation.map_or("never heard".to_owned(), |life| format!("incarnation {life}"));
     let load = &target.load;
     format!(
         "target {} in {}: {}{state}, {life}, {} running of {}, {} queued, step {} us, services {}",
--- a/porthoist-cli/src/cmd/table/set.rs
+++ b/porthoist-cli/src/cmd/table/set.rs
@@ -119,12 +119,12 @@
         let state = match status.revision {
             Some(_) if adopted => "in force".to_owned(),
             Some(lowest) => format!("not yet, revision {lowest} is"),
-            None => "unreachable".to_owned(),
+            None => "can't be heard".to_owned(),
         };
         let silent = if status.silent.is_empty() {
             String::new()
         } else {
-            format!("; cannot reach {}", status.silent.join(", "))
+            format!("; can't hear {}", status.silent.join(", "))
         };
         writeln!(text, "zone {zone}: {state}{silent}").expect("writing to a string can't fail");
     }
--- a/porthoist-cli/src/log_lines.rs
+++ b/porthoist-cli/src/log_lines.rs
@@ -56,7 +56,7 @@
     }
 }
 
-/// Parses the lines of a log. Also returns the numbers, from 1, of lines that are not JSON objects with a
+/// Parses the lines of a log. Also returns the numbers (from 1) of lines that are not JSON objects with a
 /// time.
 pub fn read_log(text: &str) -> (Vec<LogLine>, Vec<usize>) {
     let mut lines = Vec::new();
--- a/porthoist-cli/src/report/text.rs
+++ b/porthoist-cli/src/report/text.rs
@@ -66,7 +66,7 @@
         .expect("writing to a string can't fail");
     for span in &group.deaf {
         let until = span.until.map_or_else(|| "the end".to_owned(), |until| until.to_string());
-        writeln!(text, "  a rank was unreachable from second {} to {until}", span.from)
+        writeln!(text, "  a rank was not heard from second {} to {until}", span.from)
             .expect("writing to a string can't fail");
     }
     text.push_str(" second passes/s skew before after moves force ms requests most\n");
--- a/porthoistd/src/duty/rank.rs
+++ b/porthoistd/src/duty/rank.rs
@@ -29,8 +29,8 @@
 /// Interval in milliseconds between readings of expert counts while the group is idle; demand shifts every
 /// few seconds.
 const COUNTS_INTERVAL_MILLIS: u64 = 150;
-/// Delay in milliseconds before the reading that covers a demand shift completely: the delay and the round
-/// together span a forward pass of about 100 ms.
+/// Delay in milliseconds before the reading that covers a demand shift completely: a forward pass, of about
+/// 100, lies within the delay and the round.
 const SHIFT_DELAY_MILLIS: u64 = 60;
 /// Delay in milliseconds between rounds while experts are copied; copying an expert takes about 100 ms.
 const COPY_DELAY_MILLIS: u64 = 25;
--- a/porthoistd/src/duty/zone_peers.rs
+++ b/porthoistd/src/duty/zone_peers.rs
@@ -54,7 +54,7 @@
             ControlTable::Targets => self.own_notes.borrow().iter().map(|note| note.aged(now)).collect(),
             ControlTable::Routes | ControlTable::Crashes => Vec::new(),
         };
-        // 0 means no entry.
+        // Never 0, which means no entry.
         EntryReport { entry: EntryId(xxh3_64(self.host.as_str().as_bytes()).max(1)), notes }
     }
 
