--- a/porthoist-cli/src/cmd/status.rs
+++ b/porthoist-cli/src/cmd/status.rs
@@ -7,11 +7,11 @@
 use porthoist_operator::{StatusReport, TargetStatus};
 use std::fmt::Write as _;
 
-/// Show zones, entries and targets as the asked entry sees them, and what it can't hear.
+/// Show zones, entries and targets as the queried entry sees them, and what it cannot reach.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "status")]
 pub struct StatusArgs {
-    /// text or json
+    /// output format: text or json
     #[argh(option, default = "OutputFormat::Text")]
     format: OutputFormat,
 }
@@ -25,7 +25,7 @@
     }
 }
 
-/// The report for people.
+/// Formats the report as text.
 pub fn report_text(report: &StatusReport) -> String {
     let mut text = String::new();
     let platform = if report.platform_heard { "heard" } else { "NOT HEARD" };
@@ -47,7 +47,12 @@
     for entry in &report.entries {
         push(
             &mut text,
-            format_args!("entry {} in {}: {}", entry.node, entry.zone, heard(entry.heard, entry.revision)),
+            format_args!(
+                "entry {} in {}: {}",
+                entry.node,
+                entry.zone,
+                revision_text(entry.heard, entry.revision)
+            ),
         );
     }
     for target in &report.targets {
@@ -60,7 +65,7 @@
     writeln!(text, "{line}").expect("writing to a string can't fail");
 }
 
-fn heard(heard: bool, revision: u64) -> String {
+fn revision_text(heard: bool, revision: u64) -> String {
     if heard { format!("revision {revision}") } else { "NOT HEARD".to_owned() }
 }
 
@@ -73,7 +78,7 @@
         "target {} in {}: {}{state}, {life}, {} running of {}, {} queued, step {} us, services {}",
         target.target,
         target.zone,
-        heard(target.heard, target.revision),
+        revision_text(target.heard, target.revision),
         load.running,
         load.slots,
         load.queued,
--- a/porthoistd/tests/process/group.rs
+++ b/porthoistd/tests/process/group.rs
@@ -1,4 +1,5 @@
-//! One expert map per step: switches of a group of three ranks, under kills of the processes beside them.
+//! All ranks of a group use one expert map per step while maps switch and the processes next to the ranks are
+//! killed.
 
 use crate::harness::{Fleet, eventually};
 use nix::sys::signal::Signal;
@@ -12,7 +13,7 @@
     fleet.client.json(hyper::Method::GET, &url, None::<&()>).await.unwrap().1
 }
 
-/// Checks every step that more than one rank has started, and returns the maps used.
+/// Checks every step that all ranks have started, and returns the maps used.
 async fn one_map_per_step(fleet: &Fleet) -> BTreeSet<u32> {
     let mut records = Vec::new();
     for rank in 0..fleet.targets.len() {
@@ -38,7 +39,7 @@
     .await;
 }
 
-fn want(fleet: &Fleet, map: u32) {
+fn request_map(fleet: &Fleet, map: u32) {
     let set = fleet.tool(0, &["table", "set", "policy/placement", &format!("map={map}")]);
     assert!(set.status.success(), "{}", String::from_utf8_lossy(&set.stderr));
 }
@@ -47,9 +48,9 @@
 async fn a_group_switches_maps_at_one_step() {
     let mut fleet = Fleet::start(1, 0, 0).await;
     fleet.add_group(3);
-    fleet.hears_all(0).await;
+    fleet.reaches_all(0).await;
     for map in 1..=4 {
-        want(&fleet, map);
+        request_map(&fleet, map);
         all_use(&fleet, map).await;
     }
     assert!(one_map_per_step(&fleet).await.is_superset(&(1..=4).collect()));
@@ -61,9 +62,9 @@
 async fn kills_and_freezes_beside_the_ranks_never_split_a_step() {
     let mut fleet = Fleet::start(1, 0, 0).await;
     fleet.add_group(3);
-    fleet.hears_all(0).await;
+    fleet.reaches_all(0).await;
     for map in 1..=4_u32 {
-        want(&fleet, map);
+        request_map(&fleet, map);
         let victim = (map % 3) as usize;
         tokio::time::sleep(Duration::from_millis(u64::from(map) * 150)).await;
         fleet.targets[victim].daemon.kill();
@@ -81,10 +82,10 @@
 async fn the_planner_answers_a_jump_of_popularity() {
     let mut fleet = Fleet::start(1, 0, 0).await;
     fleet.add_group(3);
-    fleet.hears_all(0).await;
+    fleet.reaches_all(0).await;
     let set = fleet.tool(0, &["table", "set", "policy/placement", "skew_weight=4", "move_weight=1"]);
     assert!(set.status.success());
-    // 6 experts on 3 ranks with 3 slots each; first alike, then expert 5 becomes the hot one.
+    // 6 experts on 3 ranks with 3 slots each; at first all are equally popular, then expert 5 becomes hot.
     let window = |hot: f64| {
         serde_json::json!({
             "tokens": [1000.0, 1000.0, 1000.0, 1000.0, 1000.0, hot], "speeds": [1.0, 1.0, 1.0], "slots": 3,
