--- a/crates/porthoist-core/src/deadline.rs
+++ b/crates/porthoist-core/src/deadline.rs
@@ -1,4 +1,4 @@
-//! Points in time and the clock that gives them.
+//! Timestamps, deadlines and the clock that supplies them.
 //!
 //! Deadlines are stored as points in time, never as durations, so that a delayed message can't extend one.
 
@@ -13,13 +13,13 @@
 pub struct UnixMillis(pub u64);
 
 impl UnixMillis {
-    /// This point plus a number of milliseconds.
+    /// Returns this time plus `millis`, saturating.
     #[must_use]
     pub fn plus(self, millis: u64) -> Self {
         Self(self.0.saturating_add(millis))
     }
 
-    /// Milliseconds from `earlier` to this point, 0 if it is not later.
+    /// Returns the milliseconds from `earlier` to this time, 0 if this time is not later.
     pub fn since(self, earlier: Self) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
@@ -30,7 +30,7 @@
 pub struct UnixDeadline(pub UnixMillis);
 
 impl UnixDeadline {
-    /// The deadline that lies `millis` after `now`.
+    /// Returns the deadline `millis` after `now`.
     pub fn after(now: UnixMillis, millis: u64) -> Self {
         Self(now.plus(millis))
     }
@@ -40,7 +40,7 @@
         now >= self.0
     }
 
-    /// Time left at `now`.
+    /// Returns the time left at `now`, zero once the deadline has passed.
     pub fn remaining(self, now: UnixMillis) -> Duration {
         Duration::from_millis(self.0.since(now))
     }
@@ -66,17 +66,17 @@
     }
 }
 
-/// Where the time comes from.
+/// A source of the current time.
 pub trait ClockSource: fmt::Debug + Send + Sync {
-    /// The present time.
+    /// Returns the current time.
     fn now(&self) -> UnixMillis;
 }
 
-/// Wall time read once at construction and carried on by the clock of the time since the host booted.
+/// Wall-clock time read once at construction and advanced by the host's boot-time clock.
 ///
-/// A step of the host's wall clock can't move it back, so a used ticket is never forgotten before its deadline. It counts the
-/// time in which the host was suspended, which the runtime's own timers do not: with them alone, a host that wakes after
-/// seconds would take a proof, a lease or a kept connection from before for fresh.
+/// A step of the host's wall clock can't move it back, so a used ticket is never forgotten before its deadline. It counts
+/// the time in which the host was suspended, which the runtime's timers don't: with those alone, a host that wakes up
+/// after seconds would treat a proof, a lease or a kept connection from before the suspension as fresh.
 #[derive(Debug)]
 pub struct AnchoredClock {
     wall: UnixMillis,
@@ -85,28 +85,28 @@
 }
 
 impl AnchoredClock {
-    /// Reads the wall clock.
+    /// Creates a clock that starts at the current wall-clock time.
     pub fn new() -> Self {
-        Self::carried_on_by(since_boot)
+        Self::with_reading(since_boot)
     }
 
-    /// With another reading of a time that only grows.
-    pub fn carried_on_by(reading: fn() -> Duration) -> Self {
+    /// Creates a clock that is advanced by `reading`, which must never decrease.
+    pub fn with_reading(reading: fn() -> Duration) -> Self {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Self { wall: UnixMillis(since_epoch.as_millis() as u64), start: reading(), reading }
     }
 }
 
-/// The time since the host booted, with that in which it was suspended.
+/// Returns the time since the host booted, including time in which it was suspended.
 #[cfg(target_os = "linux")]
 fn since_boot() -> Duration {
-    clock_gettime(ClockId::CLOCK_BOOTTIME).expect("the clock is there since Linux 2.6.39").into()
+    clock_gettime(ClockId::CLOCK_BOOTTIME).expect("CLOCK_BOOTTIME exists since Linux 2.6.39").into()
 }
 
-/// The steady time; other systems are for development only.
+/// Returns the monotonic time, which may leave out suspended time; other systems are for development only.
 #[cfg(not(target_os = "linux"))]
 fn since_boot() -> Duration {
-    clock_gettime(ClockId::CLOCK_MONOTONIC).expect("the clock is there on each Unix").into()
+    clock_gettime(ClockId::CLOCK_MONOTONIC).expect("CLOCK_MONOTONIC exists on every Unix").into()
 }
 
 impl Default for AnchoredClock {
--- a/crates/porthoist-core/src/ids.rs
+++ b/crates/porthoist-core/src/ids.rs
@@ -1,6 +1,6 @@
-//! Identifiers as newtypes, each with `Display` and `FromStr`.
+//! Identifier newtypes, each with `Display` and `FromStr`.
 //!
-//! Names are short printable strings chosen by operators; numeric identifiers are random or counted.
+//! Names are short printable strings chosen by operators; numeric identifiers are random or sequential.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -82,7 +82,7 @@
     "team name"
 );
 name_type!(
-    /// A model or plain service that callers address.
+    /// A model or plain HTTP service that callers address.
     ServiceName,
     "service name"
 );
@@ -148,24 +148,24 @@
 }
 
 hex_type!(
-    /// One life of a process: random, new at every start.
+    /// Identifies one run of a process: random, and new at every start.
     IncarnationId,
     "incarnation"
 );
 hex_type!(
-    /// A caller's request, unique within the entry incarnation that accepted it.
+    /// Identifies a caller's request within the entry incarnation that accepted it.
     RequestId,
     "request identifier"
 );
 
-/// One attempt to run a request on one target; unique in the whole fleet.
+/// Identifies one attempt to run a request on one target; unique in the whole fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptId {
     /// The entry process that made the attempt.
     pub entry: IncarnationId,
     /// The request that is attempted.
     pub request: RequestId,
-    /// Counts the attempts of one request, from 0.
+    /// Number of the attempt within its request, from 0.
     pub attempt: u32,
 }
 
--- a/crates/porthoist-core/src/lib.rs
+++ b/crates/porthoist-core/src/lib.rs
@@ -1,7 +1,7 @@
-//! Vocabulary shared by every porthoist package.
+//! Types shared by every porthoist package.
 //!
-//! It holds identifiers, quantities, deadlines, tickets, and the verdict that says whether a request may have
-//! run. Nothing here performs network I/O.
+//! They are identifiers, quantities, deadlines, tickets, and the verdict that says whether a request may have run.
+//! Nothing here performs network I/O.
 
 pub mod deadline;
 pub mod ids;
--- a/crates/porthoist-core/src/mark.rs
+++ b/crates/porthoist-core/src/mark.rs
@@ -1,38 +1,38 @@
-//! The mark of a request: the same for each attempt at it, at any host.
+//! Request marks: digests that are the same for every attempt of a request, at any host.
 //!
-//! It covers host, path with query, team and body, not the attempt, the connection, the caller's key, or how the body was
-//! framed. It can't be turned back into any of them.
+//! A mark covers host, path with query, team and body, but not the attempt, the connection, the caller's key or the
+//! body's framing. None of these can be recovered from it.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 use std::fmt;
 use std::str::FromStr;
 
-/// Hexadecimal digits of a mark as text.
+/// Number of hexadecimal digits of a mark in text form.
 const MARK_DIGITS: usize = 48;
-/// Digits of a mark in logs.
-const SHORT_DIGITS: usize = 12;
+/// Number of digits of a mark in logs.
+const LOG_DIGITS: usize = 12;
 
-/// Names a request by a digest.
+/// Identifies a request by a digest of its content.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct RequestMark {
-    /// Digest of all but the body's bytes: where it is unknown, the body need not be read.
+    /// Digest of everything except the body's bytes. If no known mark has it, the body need not be read.
     pub head: u64,
-    /// Digest of all.
+    /// Digest of everything, including the body.
     pub whole: u128,
 }
 
-/// What a mark covers beside the body.
+/// The parts of a request that a mark covers, except the body's bytes.
 #[derive(Debug, Clone, Copy)]
 pub struct MarkedHead<'a> {
-    /// The host that the caller named. A port and the case of letters do not count.
+    /// The host that the caller named. A port and the case of letters are ignored.
     pub host: &'a str,
-    /// Path with query.
+    /// The path with its query.
     pub path: &'a str,
-    /// The team, where the request has one.
+    /// The team, if the request names one.
     pub team: Option<&'a str>,
-    /// Bytes of the body.
+    /// Length of the body in bytes.
     pub body_bytes: usize,
 }
 
@@ -49,30 +49,30 @@
         hasher
     }
 
-    /// Digest of the head alone.
+    /// Returns the digest of the head alone.
     pub fn digest(&self) -> u64 {
         let digest = self.hasher().finalize();
-        u64::from_be_bytes(digest[..8].try_into().expect("a digest has 32 bytes"))
+        u64::from_be_bytes(digest[..8].try_into().expect("a SHA-256 digest has 32 bytes"))
     }
 
-    /// The mark with a body.
+    /// Returns the mark of the request with this body.
     pub fn mark(&self, body: &[u8]) -> RequestMark {
         let mut hasher = self.hasher();
         let head = hasher.clone().finalize();
         hasher.update(body);
         let whole = hasher.finalize();
         RequestMark {
-            head: u64::from_be_bytes(head[..8].try_into().expect("a digest has 32 bytes")),
-            whole: u128::from_be_bytes(whole[..16].try_into().expect("a digest has 32 bytes")),
+            head: u64::from_be_bytes(head[..8].try_into().expect("a SHA-256 digest has 32 bytes")),
+            whole: u128::from_be_bytes(whole[..16].try_into().expect("a SHA-256 digest has 32 bytes")),
         }
     }
 }
 
 impl RequestMark {
-    /// Its first digits, for logs.
+    /// Returns the first digits of the mark, for logs.
     pub fn short(&self) -> String {
         let mut text = format!("{:032x}", self.whole);
-        text.truncate(SHORT_DIGITS);
+        text.truncate(LOG_DIGITS);
         text
     }
 }
@@ -89,7 +89,7 @@
     }
 }
 
-/// Error of parsing a mark.
+/// Error of parsing a request mark.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{0:?} is not a mark of a request: expected 48 hexadecimal digits")]
 pub struct MarkError(String);
--- a/crates/porthoist-core/src/offer.rs
+++ b/crates/porthoist-core/src/offer.rs
@@ -1,4 +1,4 @@
-//! What an entry offers to a target, and what the target answers.
+//! Requests that an entry offers to a target, and the target's answers.
 
 use crate::deadline::{UnixDeadline, UnixMillis};
 use crate::ids::{AttemptId, IncarnationId, ServiceName, TeamName};
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RepeatPolicy {
-    /// Idempotent: a second run does no harm.
+    /// Idempotent: a second run is harmless.
     Safe,
     /// Runs at most once.
     Never,
@@ -66,7 +66,7 @@
 text_enum!(RepeatPolicy, "safe or never", Safe = "safe", Never = "never");
 text_enum!(ServiceKind, "model or plain", Model = "model", Plain = "plain");
 
-/// Order in a target's queue: 0 is the least urgent, 9 the most.
+/// Priority in a target's queue: 0 is the least urgent, 9 the most.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestPriority(pub u8);
 
@@ -102,11 +102,11 @@
 pub struct RequestOffer {
     /// Identifies the attempt; every answer frame carries it.
     pub attempt: AttemptId,
-    /// Who pays.
+    /// The team whose limits the request counts against.
     pub team: TeamName,
-    /// The service that runs it.
+    /// The service that is requested.
     pub service: ServiceName,
-    /// Model engine or plain service.
+    /// The kind of the service.
     pub kind: ServiceKind,
     /// HTTP method.
     pub method: String,
@@ -114,28 +114,28 @@
     pub path: String,
     /// Headers to pass on, names in lower case.
     pub headers: Vec<(String, String)>,
-    /// The body, whole.
+    /// The complete body.
     pub body: Bytes,
     /// When the answer is due.
     pub deadline: UnixDeadline,
-    /// Order in the target's queue.
+    /// Priority in the target's queue.
     pub priority: RequestPriority,
-    /// Whether it may be run again.
+    /// Whether the request may be run again.
     pub repeat: RepeatPolicy,
-    /// Permission to run once, minted by the target.
+    /// Permission to run the request once, minted by the target.
     pub ticket: Option<TicketText>,
     /// Whether the answer is a stream of events.
     pub stream: bool,
-    /// The last event that the caller already has, for a resumed stream.
+    /// The last event that the caller already received, for a resumed stream.
     pub resume_after: Option<u64>,
     /// Estimated prompt length in tokens.
     pub prompt_tokens: u32,
-    /// Hashes of the prompt's prefix blocks, longest prefix last.
+    /// Hashes of the prompt's prefix blocks, the longest prefix last.
     pub prefix_blocks: Vec<u64>,
 }
 
 impl RequestOffer {
-    /// Fingerprint of everything that a repeat under the same key must share.
+    /// Returns a fingerprint of everything that a repeated request under the same key must share.
     pub fn fingerprint(&self) -> u64 {
         let mut hasher = Xxh3::new();
         for part in [self.team.as_str(), self.service.as_str(), &self.method, &self.path] {
@@ -147,26 +147,26 @@
     }
 }
 
-/// Load as a target states it; it travels on every answer and refusal.
+/// Load of a target, which it reports with every answer and refusal.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests that wait for a slot.
+    /// Requests waiting for a slot.
     pub queued: u32,
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Requests that may run at once.
+    /// Requests that may run at the same time.
     pub slots: u32,
-    /// Prompt tokens that wait to be computed.
+    /// Prompt tokens waiting to be processed.
     pub queued_tokens: u64,
-    /// Duration of one decoding step in microseconds; a straggling rank raises it for its whole group.
+    /// Duration of one decoding step in microseconds; a slow rank raises it for its whole group.
     pub step_micros: u32,
-    /// Mean time between two slots coming free, in microseconds, while all are taken.
+    /// Mean time between two slots becoming free, in microseconds, while all are taken.
     pub slot_micros: u32,
-    /// Prompt tokens computed a second.
+    /// Prompt tokens processed per second.
     pub prefill_rate: u32,
-    /// When the load was read.
+    /// When the load was measured.
     pub at: UnixMillis,
-    /// Whether the target is leaving.
+    /// Whether the target is draining.
     pub draining: bool,
 }
 
@@ -182,11 +182,11 @@
 /// One event of a streamed answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AnswerFrame {
-    /// The attempt that it belongs to.
+    /// The attempt that the frame belongs to.
     pub attempt: AttemptId,
-    /// Position in the attempt's stream, from 0.
+    /// Position of the frame in the attempt's stream, from 0.
     pub sequence: u64,
-    /// The engine's event identifier: position in the whole answer, from 1.
+    /// The engine's event identifier: the position in the whole answer, from 1.
     pub event: u64,
     /// The event's data.
     pub data: Bytes,
@@ -195,16 +195,16 @@
 /// How an offer ended.
 #[derive(Debug, Clone, PartialEq)]
 pub enum OfferOutcome {
-    /// The target refused it.
+    /// The target refused the request.
     Refused {
-        /// Why.
+        /// The reason.
         reason: RefusalReason,
-        /// Whether it may have run.
+        /// Whether the request may have run.
         verdict: RunVerdict,
-        /// When another try makes sense.
+        /// The earliest time at which a retry is useful.
         retry_at: Option<UnixMillis>,
     },
-    /// A whole answer.
+    /// A complete answer.
     Whole {
         /// Status and headers.
         head: AnswerHead,
@@ -213,29 +213,29 @@
         /// Digest of the body.
         digest: u64,
     },
-    /// The stream's end, after all its frames.
+    /// The end of a stream, after all its frames.
     StreamEnd {
         /// Frames sent in this attempt.
         frames: u64,
-        /// Digest over the data of those frames.
+        /// Digest of the data of those frames.
         digest: u64,
     },
 }
 
-/// What a target tells a peer that connects.
+/// A target's introduction to a peer that connects.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TargetHello {
-    /// The life of the process.
+    /// Identifies this run of the target's process.
     pub incarnation: IncarnationId,
-    /// Services that it runs.
+    /// Services that the target runs.
     pub services: Vec<ServiceName>,
-    /// Its present load.
+    /// Its current load.
     pub load: LoadReport,
-    /// The configuration revision in force there.
+    /// The configuration revision in force at the target.
     pub revision: u64,
 }
 
-/// Digest of a byte sequence, given piece by piece.
+/// Incremental digest of a byte sequence.
 #[derive(Default, Clone)]
 pub struct AnswerDigest(Xxh3);
 
@@ -246,17 +246,17 @@
 }
 
 impl AnswerDigest {
-    /// Adds a piece.
+    /// Appends bytes to the sequence.
     pub fn update(&mut self, bytes: &[u8]) {
         self.0.update(bytes);
     }
 
-    /// The digest of all pieces so far.
+    /// Returns the digest of all bytes so far.
     pub fn value(&self) -> u64 {
         self.0.digest()
     }
 
-    /// The digest of one piece.
+    /// Returns the digest of `bytes` alone.
     pub fn of(bytes: &[u8]) -> u64 {
         xxhash_rust::xxh3::xxh3_64(bytes)
     }
--- a/crates/porthoist-core/src/quantity.rs
+++ b/crates/porthoist-core/src/quantity.rs
@@ -1,4 +1,4 @@
-//! Sizes and rates as newtypes, so that bytes, tokens and requests are never mixed up.
+//! Newtypes for sizes and rates, so that bytes, tokens and requests are never mixed up.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -56,13 +56,13 @@
 );
 
 count_type!(
-    /// When one life of a target began, in Unix milliseconds by its own clock.
+    /// When a target's process started, in Unix milliseconds by its own clock.
     StartMillis,
     "start in Unix milliseconds",
     "ms"
 );
 
-/// Requests a second.
+/// Requests per second.
 #[derive(Debug, Clone, Copy, Default, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct RequestRate(pub f64);
 
@@ -87,13 +87,13 @@
     }
 }
 
-/// What a host's link carries, in megabits a second.
+/// Bandwidth of a host's link, in megabits per second.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct LinkRate(pub f64);
 
 impl LinkRate {
-    /// How long so many bytes take.
-    pub fn time_of(self, bytes: usize) -> Duration {
+    /// Returns the time that the link takes to carry `bytes`.
+    pub fn transfer_time(self, bytes: usize) -> Duration {
         Duration::from_secs_f64(bytes as f64 * 8.0 / (self.0 * 1e6))
     }
 }
@@ -109,9 +109,9 @@
 
     fn from_str(text: &str) -> Result<Self, QuantityError> {
         let error = || QuantityError {
-            role: "rate of a link",
+            role: "link rate",
             text: text.to_owned(),
-            expected: "megabits a second from 0.001 to 1000000, optionally followed by 'Mbit/s'",
+            expected: "megabits per second from 0.001 to 1000000, optionally followed by 'Mbit/s'",
         };
         let digits = text.strip_suffix("Mbit/s").unwrap_or(text).trim();
         let rate: f64 = digits.parse().map_err(|_parse| error())?;
--- a/crates/porthoist-core/src/reason.rs
+++ b/crates/porthoist-core/src/reason.rs
@@ -1,4 +1,4 @@
-//! Reasons of refusals and retries; each is a label of a counter.
+//! Reasons for refusals and retries; each is a metric label.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -19,10 +19,10 @@
         }
 
         impl $name {
-            /// Every reason, in the order of declaration.
+            /// Every reason, in declaration order.
             pub const ALL: &[Self] = &[$(Self::$variant,)*];
 
-            /// The reason as a metric label.
+            /// Returns the reason as a metric label.
             pub fn as_str(self) -> &'static str {
                 match self {
                     $(Self::$variant => $text,)*
@@ -54,39 +54,39 @@
     RefusalReason {
         /// The request could not be read.
         Malformed = "malformed",
-        /// Headers exceed the limit.
+        /// The headers exceed the size limit.
         HeaderTooLong = "header_too_long",
-        /// The body exceeds the limit.
+        /// The body exceeds the size limit.
         BodyTooLong = "body_too_long",
-        /// Team unknown or its token wrong.
+        /// The team is unknown or its token is wrong.
         Unauthorized = "unauthorized",
-        /// The service has no row.
+        /// The service is not configured.
         UnknownService = "unknown_service",
-        /// The deadline passed before an answer was whole.
+        /// The deadline passed before the answer was complete.
         DeadlinePassed = "deadline_passed",
-        /// The predicted first token would miss the deadline.
+        /// The first token is predicted to come after the deadline.
         DeadlineUnreachable = "deadline_unreachable",
-        /// The team's rate limit.
+        /// The team's rate limit is reached.
         RateLimit = "rate_limit",
-        /// The team's concurrency limit.
+        /// The team's concurrency limit is reached.
         ConcurrencyLimit = "concurrency_limit",
         /// A bounded ring or queue was full.
         Overloaded = "overloaded",
-        /// All targets named limits that leave no place in time.
+        /// All targets reported limits that leave no free slot in time.
         TargetLimits = "target_limits",
-        /// All targets are cold and bear no more in time.
+        /// All targets are cold and can take no more requests in time.
         TargetsCold = "targets_cold",
-        /// All targets have asked for rest.
+        /// All targets have asked to receive no requests for a while.
         TargetsResting = "targets_resting",
         /// Operators have emptied the zones of all targets.
         ZonesEmptied = "zones_emptied",
         /// No target serves the service.
         NoTarget = "no_target",
-        /// The target is leaving.
+        /// The target is draining.
         Draining = "draining",
         /// The process is shutting down.
         ShuttingDown = "shutting_down",
-        /// No configuration is adopted yet.
+        /// No configuration is in force yet.
         NotReady = "not_ready",
         /// The target could not be reached; nothing was sent.
         Unreachable = "unreachable",
@@ -96,23 +96,23 @@
         BackendFailed = "backend_failed",
         /// The ticket was minted by another incarnation.
         TicketForeign = "ticket_foreign",
-        /// The ticket was refused before and stays refused.
+        /// The ticket was refused before and can't be used again.
         TicketSpent = "ticket_spent",
         /// The ticket is forged, or was given to another team.
         TicketInvalid = "ticket_invalid",
-        /// The key was used with another request.
+        /// The key was used with a different request.
         KeyMismatch = "key_mismatch",
-        /// The key was closed without a run.
+        /// The key was closed without running the request.
         KeyClosed = "key_closed",
-        /// The kept answer is gone.
+        /// The stored answer is no longer available.
         AnswerGone = "answer_gone",
-        /// The table could not be reached to claim the key.
+        /// The table service could not be reached to claim the key.
         ClaimUnavailable = "claim_unavailable",
-        /// The answer's count or digest was wrong.
+        /// The answer's frame count or digest was wrong.
         AnswerCorrupt = "answer_corrupt",
-        /// The retry budget is spent.
+        /// The retry budget is exhausted.
         RetryBudget = "retry_budget",
-        /// Targets died of the same request.
+        /// Several targets crashed while running the same request.
         Quarantined = "quarantined",
     }
 );
@@ -122,9 +122,9 @@
     RetryReason {
         /// The target refused; the request did not run.
         Refused = "refused",
-        /// The target asked for rest; the request did not run.
+        /// The target asked to receive no requests for a while; the request did not run.
         Resting = "resting",
-        /// Another target has its address; the request did not run.
+        /// Another target now uses the address; the request did not run.
         Misdirected = "misdirected",
         /// The target could not be reached; nothing was sent.
         Unreachable = "unreachable",
@@ -132,19 +132,19 @@
         ConnectionLost = "connection_lost",
         /// The engine failed; the request may be repeated.
         BackendFailed = "backend_failed",
-        /// The target, or its group, stood still or was too slow; the request went on at another one.
+        /// The target or its group stalled or was too slow; the request was moved to another target.
         Moved = "moved",
         /// A stream broke and is resumed after its last event.
         StreamResumed = "stream_resumed",
-        /// The same ticket is offered again to fetch its kept answer.
+        /// The same ticket is offered again to fetch its stored answer.
         TicketReplay = "ticket_replay",
-        /// A second attempt runs beside a slow first one.
+        /// A second attempt runs in parallel to a slow first one.
         Hedge = "hedge",
     }
 );
 
 impl RefusalReason {
-    /// The HTTP status that goes with the reason.
+    /// Returns the HTTP status for the reason.
     pub fn status(self) -> u16 {
         match self {
             Self::Malformed => 400,
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Whether another target could accept what this one refused.
+    /// Whether another target could accept a request that was refused for this reason.
     pub fn another_target_may_accept(self) -> bool {
         matches!(
             self,
--- a/crates/porthoist-core/src/ring.rs
+++ b/crates/porthoist-core/src/ring.rs
@@ -1,6 +1,6 @@
-//! Bounded rings that join the duties' threads.
+//! Bounded ring buffers that connect the daemon's threads.
 //!
-//! A full ring is an error to the sender, which refuses and counts; nothing queues without a bound.
+//! Sending to a full ring fails, so that the sender refuses and counts the value; no queue grows without bound.
 
 use rtrb::{Consumer, Producer, RingBuffer};
 use std::fmt;
@@ -19,12 +19,12 @@
     wake: Arc<Notify>,
 }
 
-/// The value that a full ring gives back.
+/// Error of sending to a full ring; it returns the value.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the ring is full")]
 pub struct RingFull<T>(pub T);
 
-/// A ring that holds at most `capacity` values.
+/// Creates a ring that holds at most `capacity` values.
 pub fn bounded_ring<T>(capacity: usize) -> (RingSender<T>, RingReceiver<T>) {
     let (producer, consumer) = RingBuffer::new(capacity);
     let wake = Arc::new(Notify::new());
@@ -33,7 +33,7 @@
 }
 
 impl<T> RingSender<T> {
-    /// Sends without waiting.
+    /// Sends a value without waiting; fails if the ring is full.
     pub fn try_send(&mut self, value: T) -> Result<(), RingFull<T>> {
         let pushed = self.producer.push(value);
         self.wake.notify_one();
@@ -48,12 +48,12 @@
 }
 
 impl<T> RingReceiver<T> {
-    /// The next value if one is there.
+    /// Returns the next value without waiting, if there is one.
     pub fn try_receive(&mut self) -> Option<T> {
         self.consumer.pop().ok()
     }
 
-    /// The next value, or nothing once the sender is gone and the ring is empty.
+    /// Waits for the next value; `None` once the sender is dropped and the ring is empty.
     pub async fn receive(&mut self) -> Option<T> {
         loop {
             let abandoned = self.consumer.is_abandoned();
--- a/crates/porthoist-core/src/secret.rs
+++ b/crates/porthoist-core/src/secret.rs
@@ -15,7 +15,7 @@
         Self(bytes.into())
     }
 
-    /// The secret's bytes, to be sent to a peer that must show it.
+    /// Returns the secret's bytes, to authenticate to a peer.
     pub fn expose(&self) -> &[u8] {
         &self.0
     }
@@ -34,7 +34,7 @@
     }
 }
 
-/// SHA-256 of `bytes` in lower-case hexadecimal.
+/// Returns the SHA-256 of `bytes` in lower-case hexadecimal.
 pub fn sha256_hex(bytes: &[u8]) -> String {
     let mut text = String::with_capacity(64);
     for byte in Sha256::digest(bytes) {
--- a/crates/porthoist-core/src/ticket.rs
+++ b/crates/porthoist-core/src/ticket.rs
@@ -1,4 +1,4 @@
-//! Tickets: the permission to run one request once, valid only at the incarnation that minted it.
+//! Tickets: permissions to run one request once, valid only at the target incarnation that minted them.
 
 use crate::deadline::{UnixDeadline, UnixMillis};
 use crate::ids::{IncarnationId, TargetName, TeamName};
@@ -12,17 +12,17 @@
 const TAG_DIGITS: usize = TAG_BYTES * 2;
 const PREFIX: &str = "pt1";
 
-/// A ticket as callers hold it; its text form is an `Idempotency-Key`.
+/// A ticket as callers receive it; its text form is an `Idempotency-Key`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct TicketText {
     /// The target that minted it.
     pub target: TargetName,
-    /// The life of the target's process that minted it.
+    /// The incarnation of the target that minted it.
     pub incarnation: IncarnationId,
-    /// Counts the tickets of that incarnation.
+    /// Number of the ticket within that incarnation.
     pub sequence: u64,
-    /// The ticket is refused from this time on, and remembered until then.
+    /// The target remembers the ticket until this time and refuses it afterwards.
     pub deadline: UnixDeadline,
     tag: u128,
 }
@@ -38,7 +38,7 @@
 }
 
 impl TicketKey {
-    /// A key from 32 random bytes.
+    /// Creates a key from 32 random bytes.
     pub fn new(bytes: [u8; 32]) -> Self {
         Self(bytes)
     }
@@ -58,7 +58,7 @@
     }
 
     /// Whether this key signed `ticket` for `team`.
-    pub fn signed(&self, ticket: &TicketText, team: &TeamName) -> bool {
+    pub fn verify(&self, ticket: &TicketText, team: &TeamName) -> bool {
         use subtle::ConstantTimeEq;
         self.tag(ticket, team).ct_eq(&ticket.tag).into()
     }
--- a/crates/porthoist-core/src/verdict.rs
+++ b/crates/porthoist-core/src/verdict.rs
@@ -1,4 +1,4 @@
-//! The verdict: whether a request may have run.
+//! The verdict on a request: whether it may have run.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -8,16 +8,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RunVerdict {
-    /// Proof exists that the request did not run.
+    /// The request is known not to have run.
     NotRun,
-    /// No proof exists either way.
+    /// It is not known whether the request ran.
     MayHaveRun,
-    /// The request ran.
+    /// The request is known to have run.
     Ran,
 }
 
 impl RunVerdict {
-    /// The verdict as it stands in headers and problem details.
+    /// Returns the verdict as it appears in headers and problem details.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not-run",
--- a/crates/porthoist-core/tests/core.rs
+++ b/crates/porthoist-core/tests/core.rs
@@ -1,4 +1,4 @@
-//! Identifiers, tickets and rings.
+//! Identifiers, clocks, tickets and ring buffers.
 
 use porthoist_core::*;
 use proptest::prelude::*;
@@ -14,14 +14,14 @@
     text.parse::<TargetName>().is_ok()
 }
 
-/// Milliseconds that the clock of the time since the host booted shows.
+/// The reading of the boot-time clock, in milliseconds.
 static SINCE_BOOT: AtomicU64 = AtomicU64::new(7_000);
 
 #[test]
 fn the_clock_counts_suspended_time_whatever_the_time_of_day() {
-    let clock = AnchoredClock::carried_on_by(|| Duration::from_millis(SINCE_BOOT.load(Ordering::Relaxed)));
+    let clock = AnchoredClock::with_reading(|| Duration::from_millis(SINCE_BOOT.load(Ordering::Relaxed)));
     let before = clock.now();
-    // The runtime's time stands still, and so does the time of day for all that the clock reads of it.
+    // The host was suspended: only the boot-time clock advances.
     SINCE_BOOT.store(12_500, Ordering::Relaxed);
     assert_eq!(clock.now().since(before), 5_500);
     assert!(UnixDeadline::after(before, 5_000).passed(clock.now()));
@@ -49,9 +49,9 @@
     let ticket = key.mint(&target, IncarnationId(3), 1, UnixDeadline(UnixMillis(9)), &team);
     let copy: TicketText = ticket.to_string().parse().unwrap();
     assert_eq!(copy, ticket);
-    assert!(key.signed(&copy, &team));
-    assert!(!key.signed(&copy, &"other".parse().unwrap()));
-    assert!(!TicketKey::new([8; 32]).signed(&copy, &team));
+    assert!(key.verify(&copy, &team));
+    assert!(!key.verify(&copy, &"other".parse().unwrap()));
+    assert!(!TicketKey::new([8; 32]).verify(&copy, &team));
 }
 
 proptest! {
--- a/crates/porthoist-fleet/src/rank/branches.rs
+++ b/crates/porthoist-fleet/src/rank/branches.rs
@@ -274,7 +274,7 @@
         let bytes = heads.map(|(branch, head)| (head.map_bytes(version, map), branch.hosts.len() - 1));
         let (here, there) =
             bytes.fold((0, 0), |(here, there), (bytes, members)| (here + bytes, there.max(bytes * members)));
-        self.link.time_of(here + there) * MAP_TIMES
+        self.link.transfer_time(here + there) * MAP_TIMES
     }
 
     /// Orders to ranks of one branch, with their places among all orders.
--- a/crates/porthoist-target/src/offers.rs
+++ b/crates/porthoist-target/src/offers.rs
@@ -136,7 +136,7 @@
         };
         let own = ticket.incarnation == self.settings.incarnation;
         let misdirected = ticket.target != self.settings.target;
-        if misdirected || (own && !self.settings.key.signed(ticket, &offer.team)) {
+        if misdirected || (own && !self.settings.key.verify(ticket, &offer.team)) {
             let (reason, verdict) = (RefusalReason::TicketInvalid, RunVerdict::MayHaveRun);
             return Err(OfferRefusal { reason, verdict, retry_at: None });
         }
