--- a/crates/porthoist-fleet/src/client.rs
+++ b/crates/porthoist-fleet/src/client.rs
@@ -1,4 +1,4 @@
-//! The calling side: one connection to one peer.
+//! The client side of a connection to a peer.
 
 use crate::convert::{
     read_digest, read_frame, read_outcome, read_told, write_asks, write_digest, write_offer,
@@ -26,14 +26,14 @@
 use tokio::net::TcpStream;
 use tokio::sync::{Notify, mpsc};
 
-/// Time in which a connection must be made and the key accepted.
-pub const CONNECT_TIME: Duration = Duration::from_millis(1500);
+/// Timeout for connecting to a peer and authenticating.
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// A call to a peer that has no answer.
+/// Error of a call that a peer did not answer.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{reason} ({verdict}): {message}")]
 pub struct FleetError {
-    /// The reason to count.
+    /// The reason, as counted in metrics.
     pub reason: RefusalReason,
     /// Whether the request may have run.
     pub verdict: RunVerdict,
@@ -42,24 +42,24 @@
 }
 
 impl FleetError {
-    /// The peer could not be reached; nothing was sent.
+    /// Creates an error for a peer that could not be reached; nothing was sent.
     pub fn unreachable(message: impl fmt::Display) -> Self {
         let message = message.to_string();
         Self { reason: RefusalReason::Unreachable, verdict: RunVerdict::NotRun, message }
     }
 
-    /// The connection broke after the call was sent.
+    /// Creates an error for a connection that broke after the call was sent.
     pub fn lost(message: impl fmt::Display) -> Self {
         let message = message.to_string();
         Self { reason: RefusalReason::ConnectionLost, verdict: RunVerdict::MayHaveRun, message }
     }
 }
 
-struct SinkServer {
+struct FrameReceiver {
     frames: mpsc::Sender<AnswerFrame>,
 }
 
-impl frame_sink::Server for SinkServer {
+impl frame_sink::Server for FrameReceiver {
     async fn frames(
         self: CapabilityRc<Self>,
         params: frame_sink::FramesParams,
@@ -73,7 +73,7 @@
     }
 }
 
-/// A connection to a peer that accepted our key.
+/// An authenticated connection to a peer.
 #[derive(Clone)]
 pub struct FleetPeer {
     node: node::Client,
@@ -88,15 +88,15 @@
 }
 
 impl FleetPeer {
-    /// Connects and shows the key. Nothing but the key was sent when it fails.
+    /// Connects and authenticates with the key. If this fails, nothing but the key was sent.
     pub async fn connect(address: &str, key: &SharedSecret) -> Result<Self, FleetError> {
-        match tokio::time::timeout(CONNECT_TIME, Self::connect_patiently(address, key)).await {
+        match tokio::time::timeout(CONNECT_TIMEOUT, Self::connect_without_timeout(address, key)).await {
             Ok(connected) => connected,
             Err(_elapsed) => Err(FleetError::unreachable(format!("{address}: no connection in time"))),
         }
     }
 
-    async fn connect_patiently(address: &str, key: &SharedSecret) -> Result<Self, FleetError> {
+    async fn connect_without_timeout(address: &str, key: &SharedSecret) -> Result<Self, FleetError> {
         let stream = TcpStream::connect(address).await.map_err(FleetError::unreachable)?;
         let mut system =
             RpcSystem::new(Box::new(vat_network(stream, &ControlTraffic::default(), Side::Client)), None);
@@ -106,7 +106,7 @@
         let close = Rc::new(Notify::new());
         let closing = Rc::clone(&close);
         tokio::task::spawn_local(async move {
-            // Whatever ends the connection, every pending call has its own error.
+            // The reason does not matter here: every pending call fails with its own error.
             tokio::select! {
                 _ended = system => {}
                 () = closing.notified() => {}
@@ -131,7 +131,7 @@
         self.close.notify_one();
     }
 
-    /// Offers a request; its streamed frames go into `frames`. Dropping the future gives the offer up.
+    /// Offers a request; frames of a streamed answer are sent to `frames`. Dropping the future cancels the offer.
     pub async fn offer(
         &self,
         offer: &RequestOffer,
@@ -142,7 +142,7 @@
         }
         let mut request = self.node.offer_request();
         write_offer(request.get().init_offer(), offer);
-        request.get().set_sink(new_client(SinkServer { frames }));
+        request.get().set_sink(new_client(FrameReceiver { frames }));
         let response = request.send().promise.await.map_err(FleetError::lost)?;
         let outcome = response
             .get()
@@ -151,7 +151,7 @@
         read_outcome(outcome).map_err(FleetError::lost)
     }
 
-    /// Asks for tickets; nothing runs by it.
+    /// Requests tickets, without running a request.
     pub async fn mint(
         &self,
         team: &TeamName,
@@ -173,7 +173,7 @@
         list.iter().map(ticket).collect()
     }
 
-    /// Asks who the peer is; an entry has no hello.
+    /// Asks the peer to introduce itself; an entry returns `None`.
     pub async fn hello(&self) -> Result<Option<TargetHello>, FleetError> {
         let response = self.node.hello_request().send().promise.await.map_err(FleetError::unreachable)?;
         let results = response.get().map_err(FleetError::unreachable)?;
@@ -181,7 +181,7 @@
         serde_json::from_slice(bytes).map_err(FleetError::unreachable)
     }
 
-    /// Sends a leader's message to the rank beside the peer.
+    /// Sends a leader's message to the rank next to the peer and returns the rank's reply.
     pub async fn rank(&self, message: LeaderMessage) -> Result<Option<RankReply>, FleetError> {
         let mut request = self.node.rank_request();
         let bytes = serde_json::to_vec(&message).map_err(FleetError::unreachable)?;
@@ -201,7 +201,7 @@
         Ok(read_told(results.get_told().map_err(FleetError::unreachable)?))
     }
 
-    /// Exchanges digests.
+    /// Exchanges digests with the peer.
     pub async fn gossip(&self, own: &FleetDigest) -> Result<FleetDigest, FleetError> {
         let mut request = self.node.gossip_request();
         write_digest(request.get().init_digest(), own).map_err(FleetError::unreachable)?;
--- a/crates/porthoist-fleet/src/convert.rs
+++ b/crates/porthoist-fleet/src/convert.rs
@@ -1,4 +1,4 @@
-//! Conversion between porthoist's types and the capnp messages.
+//! Conversion between porthoist's types and capnp messages.
 
 use crate::digest::FleetDigest;
 use crate::fleet_capnp::{attempt, digest, frame, header, load, offer, outcome, settle_ask, settle_told};
@@ -144,7 +144,7 @@
     })
 }
 
-/// Writes an outcome with the load that travels on it.
+/// Writes an outcome with the target's load.
 pub fn write_outcome(mut builder: outcome::Builder<'_>, ended: &OfferOutcome, report: &LoadReport) {
     write_load(builder.reborrow().init_load(), report);
     match ended {
@@ -169,7 +169,7 @@
     }
 }
 
-/// Reads an outcome and the load that travels on it.
+/// Reads an outcome with the target's load.
 pub fn read_outcome(reader: outcome::Reader<'_>) -> Result<(OfferOutcome, LoadReport), Error> {
     let report = read_load(reader.get_load()?);
     let ended = match reader.which()? {
@@ -193,7 +193,7 @@
     Ok((ended, report))
 }
 
-/// Writes a digest.
+/// Writes a gossip digest.
 pub fn write_digest(mut builder: digest::Builder<'_>, own: &FleetDigest) -> Result<(), Error> {
     builder.set_node(own.node.as_str());
     builder.set_zone(own.zone.as_str());
@@ -210,7 +210,7 @@
     Ok(())
 }
 
-/// Reads a digest.
+/// Reads a gossip digest.
 pub fn read_digest(reader: digest::Reader<'_>) -> Result<FleetDigest, Error> {
     let change = reader.get_change()?;
     let change = if change.is_empty() {
@@ -234,7 +234,7 @@
     })
 }
 
-/// Writes what an entry asks of a coordinator.
+/// Writes an entry's settlement requests to a coordinator.
 pub fn write_asks(mut list: struct_list::Builder<'_, settle_ask::Owned>, asks: &[SettleAsk]) {
     for (index, ask) in asks.iter().enumerate() {
         let mut item = list.reborrow().get(index as u32);
@@ -244,7 +244,7 @@
     }
 }
 
-/// Reads what an entry asks of a coordinator.
+/// Reads an entry's settlement requests to a coordinator.
 pub fn read_asks(list: struct_list::Reader<'_, settle_ask::Owned>) -> Vec<SettleAsk> {
     let ask = |item: settle_ask::Reader<'_>| SettleAsk {
         team: item.get_team(),
--- a/crates/porthoist-fleet/src/lib.rs
+++ b/crates/porthoist-fleet/src/lib.rs
@@ -1,6 +1,6 @@
-//! Our own processes as peers: connections, offers, tickets and gossip over capnp-rpc.
+//! Communication between porthoist's own processes over capnp-rpc: connections, offers, tickets and gossip.
 //!
-//! Everything here is bound to one thread, as capnp-rpc is; the daemon's fleet duty owns it.
+//! capnp-rpc is bound to one thread, and so is everything here; the daemon's fleet duty owns it.
 
 #[expect(
     warnings,
--- a/crates/porthoist-fleet/src/rank.rs
+++ b/crates/porthoist-fleet/src/rank.rs
@@ -1,22 +1,23 @@
-//! The processes beside the ranks of one group: each shows its engine to the others and passes orders on to it.
+//! Communication between the processes next to the ranks of one group. Each reports its engine's state to the others and
+//! forwards orders to the engine.
 //!
-//! One process reads and orders the whole group through branches: some members stand for the others of their branch, so
-//! that what any process sends and receives grows with the square root of the group.
+//! One process reads and orders the whole group through branches. In each branch, one member calls the others, so that the
+//! traffic of any process grows with the square root of the group's size.
 
 mod branches;
 mod convert;
 mod maps;
-mod news;
-mod outlet;
 mod peer;
+mod publisher;
 mod server;
+mod table_update;
 mod traffic;
 
 pub use branches::{BranchedGroup, RankBranches};
 pub use convert::LoadsAnswer;
-pub use maps::MapShelf;
-pub use news::{EntryReport, ZoneTableUpdate};
-pub use outlet::LoadsPublisher;
+pub use maps::MapCache;
 pub use peer::{PeerPool, RankPeer};
+pub use publisher::LoadsPublisher;
 pub use server::{RankService, serve_ranks};
+pub use table_update::{EntryReport, ZoneTableUpdate};
 pub use traffic::{ControlTraffic, CountedStream};
--- a/crates/porthoist-fleet/src/rank/branches.rs
+++ b/crates/porthoist-fleet/src/rank/branches.rs
@@ -1,11 +1,11 @@
-//! A group read and ordered through branches.
+//! Two-level fan-out of calls to the ranks of a group.
 //!
-//! Ranks of one zone stand side by side in branches of about the square root of the group. One member of each, its head,
-//! asks the others for the process that plans: what any one sends and receives grows with the square root of the group,
-//! and each branch's counts cross between zones once. Where a head does not answer, the next member of its branch stands
-//! for it, in the same round.
+//! Ranks of one zone form branches of about the square root of the group's size. One member of each branch, its head, calls
+//! the others on behalf of the process that plans. The traffic of any process thus grows with the square root of the
+//! group's size, and the counts of a branch cross between zones only once. If a head does not answer, the next member of
+//! its branch replaces it in the same round.
 
-use super::peer::{BranchReading, MemberOrder, PeerPool, RankPeer};
+use super::peer::{BranchObservation, MemberOrder, PeerPool, RankPeer};
 use futures::future::{LocalBoxFuture, join_all};
 use porthoist_core::{LinkRate, ZoneName};
 use porthoist_group::{
@@ -23,26 +23,26 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Branches at least, as long as there are ranks for them: groups of up to 13 ranks, whose rounds fit the smallest link,
-/// need no second hop, of some 3 ms between zones.
-const LEAST_BRANCHES: usize = 12;
-/// Members that are tried as head of a branch in one round.
-const HEADS_TRIED: usize = 2;
-/// Part of the planning process's patience that a head has with its members: the rest is for the way to the head.
-const MEMBERS_PART: f64 = 0.6;
-/// Times longer than its bytes take that a map may be on its way: the links carry the group's loads and counts beside it.
-const MAP_TIMES: u32 = 2;
+/// Least number of branches, if there are enough ranks. Groups of up to 13 ranks, whose rounds fit the smallest link, thus
+/// need no second hop, which takes about 3 ms between zones.
+const MIN_BRANCHES: usize = 12;
+/// Number of members that are tried as head of a branch in one round.
+const MAX_HEAD_ATTEMPTS: usize = 2;
+/// Part of the planning process's timeout that a head has for its members; the rest is for the path to the head.
+const MEMBER_TIMEOUT_FRACTION: f64 = 0.6;
+/// Factor by which the transfer of a map may exceed the time of its bytes: the links also carry loads and counts.
+const MAP_TIME_FACTOR: u32 = 2;
 
-/// One branch.
+/// One branch of a group.
 #[derive(Debug)]
 struct RankBranch {
     hosts: Vec<Ipv4Addr>,
-    /// The member that stands for the others.
+    /// Index of the head in `hosts`.
     head: Cell<usize>,
 }
 
 impl RankBranch {
-    /// The hosts of the members as the head numbers them, itself first.
+    /// Returns the members' hosts as the head numbers them, the head first.
     fn members(&self) -> Vec<Ipv4Addr> {
         let head = self.head.get();
         let others = self.hosts.iter().enumerate().filter(|(index, _host)| *index != head);
@@ -54,15 +54,15 @@
     }
 }
 
-/// What a head answered.
+/// A head's answer to a call.
 struct HeadAnswer<T> {
-    /// The members, as the head numbered them.
+    /// The members, as numbered by the head.
     members: Vec<Ipv4Addr>,
     answer: T,
     took: Duration,
 }
 
-/// Processes beside ranks, in branches.
+/// The processes next to ranks, in branches.
 #[derive(Debug)]
 pub struct RankBranches {
     branches: Vec<RankBranch>,
@@ -70,76 +70,76 @@
 }
 
 impl RankBranches {
-    /// Branches of the processes on these hosts.
+    /// Forms branches of the processes on these hosts.
     pub fn new(hosts: &BTreeMap<Ipv4Addr, ZoneName>, peers: Rc<PeerPool>) -> Self {
         let mut zones: BTreeMap<&ZoneName, Vec<Ipv4Addr>> = BTreeMap::new();
         for (host, zone) in hosts {
             zones.entry(zone).or_default().push(*host);
         }
-        let wanted = LEAST_BRANCHES.max((hosts.len() as f64).sqrt().ceil() as usize);
+        let wanted = MIN_BRANCHES.max((hosts.len() as f64).sqrt().ceil() as usize);
         let members = hosts.len().div_ceil(wanted).max(1);
         let branch = |hosts: &[Ipv4Addr]| RankBranch { hosts: hosts.to_vec(), head: Cell::new(0) };
         let branches = zones.values().flat_map(|hosts| hosts.chunks(members)).map(branch).collect();
         Self { branches, peers }
     }
 
-    /// Hosts in all branches.
+    /// Returns the hosts in all branches.
     pub fn hosts(&self) -> impl Iterator<Item = Ipv4Addr> + '_ {
         self.branches.iter().flat_map(|branch| branch.hosts.iter().copied())
     }
 
-    /// Has the head of a branch answer, or the member after it.
-    async fn through_head<T>(
+    /// Calls the head of a branch, or the next member if the head does not answer.
+    async fn call_head<T>(
         &self,
         branch: &RankBranch,
-        patience: Duration,
+        timeout: Duration,
         call: impl AsyncFn(&RankPeer, &[Ipv4Addr]) -> Result<T, CallError>,
     ) -> Option<HeadAnswer<T>> {
         let began = Instant::now();
-        for _tried in 0..HEADS_TRIED.min(branch.hosts.len()) {
+        for _tried in 0..MAX_HEAD_ATTEMPTS.min(branch.hosts.len()) {
             let members = branch.members();
             let head = self.peers.get(members[0]);
-            if let Ok(Ok(answer)) = tokio::time::timeout(patience, call(&head, &members)).await {
+            if let Ok(Ok(answer)) = tokio::time::timeout(timeout, call(&head, &members)).await {
                 return Some(HeadAnswer { members, answer, took: began.elapsed() });
             }
-            // The connection may be silent for good; the others of the branch are reached through another member.
+            // The connection may never answer again. The other members are reached through a new head.
             head.reset();
             branch.next_head();
         }
         None
     }
 
-    /// Asks all branches at once, and learns from it how long that takes.
-    async fn through_heads<T>(
+    /// Calls the heads of all branches at once and records their response times.
+    async fn call_heads<T>(
         &self,
-        patience: &RefCell<AdaptiveTimeout>,
+        timeout: &RefCell<AdaptiveTimeout>,
         call: impl AsyncFn(&RankPeer, &[Ipv4Addr], Duration) -> Result<T, CallError>,
     ) -> Vec<HeadAnswer<T>> {
-        let allowed = patience.borrow().get();
-        let members = allowed.mul_f64(MEMBERS_PART);
+        let allowed = timeout.borrow().get();
+        let members = allowed.mul_f64(MEMBER_TIMEOUT_FRACTION);
         let asked = self.branches.iter().map(|branch| {
-            self.through_head(branch, allowed, async |head: &RankPeer, hosts: &[Ipv4Addr]| {
+            self.call_head(branch, allowed, async |head: &RankPeer, hosts: &[Ipv4Addr]| {
                 call(head, &hosts[1..], members).await
             })
         });
         let answers: Vec<HeadAnswer<T>> = join_all(asked).await.into_iter().flatten().collect();
         let times: Vec<Duration> = answers.iter().map(|answer| answer.took).collect();
-        patience.borrow_mut().record(&times, self.branches.len());
+        timeout.borrow_mut().record(&times, self.branches.len());
         answers
     }
 
-    /// The states of all that answer, by host, and the sum of their counts.
+    /// Reads the states of all ranks that answer, by host, and the sum of their counts.
     pub async fn sweep(
         &self,
         counts: bool,
-        patience: &RefCell<AdaptiveTimeout>,
+        timeout: &RefCell<AdaptiveTimeout>,
     ) -> (Vec<(Ipv4Addr, RankState)>, GroupObservation) {
         let call = async |head: &RankPeer, others: &[Ipv4Addr], members: Duration| {
             head.sweep(others, counts, members).await
         };
         let (mut states, mut sum) = (Vec::new(), GroupObservation::default());
-        for HeadAnswer { members, answer, .. } in self.through_heads(patience, call).await {
-            let BranchReading { states: read, counts } = answer;
+        for HeadAnswer { members, answer, .. } in self.call_heads(timeout, call).await {
+            let BranchObservation { states: read, counts } = answer;
             sum.add_counts(&counts);
             let hosts = read.into_iter().filter_map(|(member, state)| Some((*members.get(member)?, state)));
             states.extend(hosts);
@@ -147,7 +147,7 @@
         (states, sum)
     }
 
-    /// Has all tell the newest loads, without waiting for it.
+    /// Distributes the newest loads to all processes, without waiting for it to finish.
     pub fn publish_loads(&self, loads: &GroupLoads) {
         for branch in &self.branches {
             let members = branch.members();
@@ -161,69 +161,69 @@
     }
 }
 
-/// A group of which this process stands beside the first rank.
+/// A group whose first rank is next to this process.
 #[derive(Debug)]
 pub struct BranchedGroup {
     own: Rc<dyn RankControl>,
-    /// The hosts of the ranks, by rank, as far as they are known; the first is this process's.
+    /// The hosts of the ranks, by rank, as far as they are known. The first one is this process's.
     hosts: Vec<Option<Ipv4Addr>>,
-    /// All but the first.
+    /// All ranks but the first.
     branches: RankBranches,
-    patience: Rc<GroupTimeouts>,
-    /// What the link of a host beside a rank carries.
+    timeouts: Rc<GroupTimeouts>,
+    /// Bandwidth of the link of a host next to a rank.
     link: LinkRate,
 }
 
 impl BranchedGroup {
-    /// The group of the rank beside this process and those on `hosts`, by rank. What was learnt of answers goes on in
-    /// `patience`.
+    /// Creates the group of the rank next to this process and those on `hosts`, by rank. `timeouts` may come from an
+    /// earlier group, to keep what it recorded.
     pub fn new(
         own: Rc<dyn RankControl>,
         hosts: Vec<Option<Ipv4Addr>>,
         branches: RankBranches,
-        patience: Rc<GroupTimeouts>,
+        timeouts: Rc<GroupTimeouts>,
         link: LinkRate,
     ) -> Self {
-        Self { own, hosts, branches, patience, link }
+        Self { own, hosts, branches, timeouts, link }
     }
 
-    /// The hosts of the ranks, by rank, as far as they are known.
+    /// Returns the hosts of the ranks, by rank, as far as they are known.
     pub fn hosts(&self) -> &[Option<Ipv4Addr>] {
         &self.hosts
     }
 
-    /// Its branches.
+    /// Returns the branches of the group.
     pub fn branches(&self) -> &RankBranches {
         &self.branches
     }
 
-    async fn own_in_time<T>(
+    async fn call_own<T>(
         &self,
-        patience: &RefCell<AdaptiveTimeout>,
+        timeout: &RefCell<AdaptiveTimeout>,
         call: porthoist_group::RankFuture<'_, T>,
     ) -> Result<T, UnreachableRank> {
-        let allowed = patience.borrow().get();
-        let unread = |error: String| UnreachableRank { rank: 0, error };
+        let allowed = timeout.borrow().get();
+        let unreachable = |error: String| UnreachableRank { rank: 0, error };
         match tokio::time::timeout(allowed, call).await {
-            Ok(answer) => answer.map_err(|error| unread(error.to_string())),
-            Err(_elapsed) => Err(unread("no answer in time".to_owned())),
+            Ok(answer) => answer.map_err(|error| unreachable(error.to_string())),
+            Err(_elapsed) => Err(unreachable("no answer in time".to_owned())),
         }
     }
 
     async fn read_all(&self, counts: bool) -> GroupObservation {
         let mut reading = GroupObservation::empty(self.hosts.len());
-        let patience = self.patience.for_states(counts);
-        match self.own_in_time(patience, self.own.observe(counts)).await {
+        let timeout = self.timeouts.for_states(counts);
+        match self.call_own(timeout, self.own.observe(counts)).await {
             Ok(observed) => {
                 reading.add_counts(&observed.counts);
                 reading.states[0] = Some(observed.state);
             }
-            Err(unread) => {
-                reading.unreachable = Some(unread);
+            Err(unreachable) => {
+                reading.unreachable = Some(unreachable);
                 return reading;
             }
         }
-        let (states, sum) = self.branches.sweep(counts, patience).await;
+        let (states, sum) = self.branches.sweep(counts, timeout).await;
         reading.add_counts(&sum.counts);
         let ranks: HashMap<Ipv4Addr, usize> =
             self.hosts.iter().enumerate().filter_map(|(rank, host)| Some(((*host)?, rank))).collect();
@@ -242,13 +242,11 @@
 
     async fn gather_lists(&self) -> Vec<Option<ExpertLists>> {
         let mut lists = vec![None; self.hosts.len()];
-        lists[0] = self.own_in_time(&self.patience.lists, self.own.lists()).await.ok();
+        lists[0] = self.call_own(&self.timeouts.lists, self.own.lists()).await.ok();
         let call = async |head: &RankPeer, others: &[Ipv4Addr], members: Duration| {
             head.gather(others, members).await
         };
-        for HeadAnswer { members, answer, .. } in
-            self.branches.through_heads(&self.patience.lists, call).await
-        {
+        for HeadAnswer { members, answer, .. } in self.branches.call_heads(&self.timeouts.lists, call).await {
             for (member, list) in answer {
                 let host = members.get(member).copied();
                 if let Some(rank) = self.hosts.iter().position(|known| known.is_some() && *known == host) {
@@ -259,10 +257,11 @@
         lists
     }
 
-    /// How long the map of prepares is on its way: from here to all heads, and from a head to the others of its branch.
+    /// Returns the time to transfer the map of prepare orders: from here to all heads, and from a head to the other members
+    /// of its branch.
     ///
-    /// Of a whole map for 129 ranks, 0.4 s of links of 6 Mbit/s: patience without it gave up on each, which then was sent
-    /// whole again.
+    /// A whole map for 129 ranks takes 0.4 s of links of 6 Mbit/s. A timeout that does not include this expires for each
+    /// such map, which is then sent whole again.
     fn map_time(&self, orders: &[(usize, EngineOrder)], map: Option<&EqualShareMap>) -> Duration {
         let version = orders.iter().find_map(|(_rank, order)| match order {
             EngineOrder::Prepare { version, .. } => Some(*version),
@@ -272,30 +271,31 @@
         let branches = self.branches.branches.iter();
         let heads = branches.map(|branch| (branch, self.branches.peers.get(branch.hosts[branch.head.get()])));
         let bytes = heads.map(|(branch, head)| (head.map_bytes(version, map), branch.hosts.len() - 1));
-        let (here, there) =
-            bytes.fold((0, 0), |(here, there), (bytes, members)| (here + bytes, there.max(bytes * members)));
-        self.link.transfer_time(here + there) * MAP_TIMES
+        let (to_heads, to_members) = bytes.fold((0, 0), |(to_heads, to_members), (bytes, members)| {
+            (to_heads + bytes, to_members.max(bytes * members))
+        });
+        self.link.transfer_time(to_heads + to_members) * MAP_TIME_FACTOR
     }
 
-    /// Orders to ranks of one branch, with their places among all orders.
-    async fn pass(
+    /// Forwards orders to ranks of one branch; returns the answers with the indices of their orders.
+    async fn forward(
         &self,
         branch: &RankBranch,
         orders: &[(usize, Ipv4Addr, EngineOrder)],
         map: Option<&EqualShareMap>,
-        patience: Duration,
+        timeout: Duration,
     ) -> Option<(Vec<(usize, OrderAnswer)>, Duration)> {
         let call = async |head: &RankPeer, members: &[Ipv4Addr]| {
-            let numbered = orders.iter().filter_map(|(_place, host, order)| {
+            let numbered = orders.iter().filter_map(|(_index, host, order)| {
                 let member = members.iter().position(|known| known == host)?;
                 Some((member as u16, *order))
             });
             let numbered: Vec<MemberOrder> = numbered.collect();
-            head.pass(&members[1..], patience.mul_f64(MEMBERS_PART), &numbered, map).await
+            head.pass(&members[1..], timeout.mul_f64(MEMBER_TIMEOUT_FRACTION), &numbered, map).await
         };
-        let HeadAnswer { answer, took, .. } = self.branches.through_head(branch, patience, call).await?;
+        let HeadAnswer { answer, took, .. } = self.branches.call_head(branch, timeout, call).await?;
         let answers = orders.iter().zip(answer);
-        Some((answers.filter_map(|((place, _host, _order), answer)| Some((*place, answer?))).collect(), took))
+        Some((answers.filter_map(|((index, _host, _order), answer)| Some((*index, answer?))).collect(), took))
     }
 
     async fn order_all(
@@ -303,37 +303,37 @@
         orders: &[(usize, EngineOrder)],
         map: Option<&EqualShareMap>,
     ) -> Vec<Option<OrderAnswer>> {
-        let patience = self.patience.for_orders(orders);
-        let allowed = patience.borrow().get() + self.map_time(orders, map);
+        let timeout = self.timeouts.for_orders(orders);
+        let allowed = timeout.borrow().get() + self.map_time(orders, map);
         let mut answers = vec![None; orders.len()];
         let mut own = None;
         let mut of_branch: BTreeMap<usize, Vec<(usize, Ipv4Addr, EngineOrder)>> = BTreeMap::new();
-        for (place, (rank, order)) in orders.iter().enumerate() {
+        for (index, (rank, order)) in orders.iter().enumerate() {
             if *rank == 0 {
-                own = Some((place, *order));
+                own = Some((index, *order));
                 continue;
             }
-            // Without a known host there is no answer.
+            // An order to a rank without a known host gets no answer.
             let Some(host) = self.hosts.get(*rank).copied().flatten() else { continue };
             let Some(branch) = self.branches.branch_of(host) else { continue };
-            of_branch.entry(branch).or_default().push((place, host, *order));
+            of_branch.entry(branch).or_default().push((index, host, *order));
         }
         let own_answer = async {
-            let (place, order) = own?;
+            let (index, order) = own?;
             let map = matches!(order, EngineOrder::Prepare { .. }).then_some(map).flatten();
-            self.own_in_time(patience, self.own.order(order, map)).await.ok().map(|answer| (place, answer))
+            self.call_own(timeout, self.own.order(order, map)).await.ok().map(|answer| (index, answer))
         };
-        let passed = of_branch
+        let forwarded = of_branch
             .iter()
-            .map(|(branch, orders)| self.pass(&self.branches.branches[*branch], orders, map, allowed));
-        let (own_answer, passed) = tokio::join!(own_answer, join_all(passed));
+            .map(|(branch, orders)| self.forward(&self.branches.branches[*branch], orders, map, allowed));
+        let (own_answer, forwarded) = tokio::join!(own_answer, join_all(forwarded));
         if !of_branch.is_empty() {
-            let times: Vec<Duration> = passed.iter().flatten().map(|(_answers, took)| *took).collect();
-            patience.borrow_mut().record(&times, of_branch.len());
+            let times: Vec<Duration> = forwarded.iter().flatten().map(|(_answers, took)| *took).collect();
+            timeout.borrow_mut().record(&times, of_branch.len());
         }
-        let all = passed.into_iter().flatten().flat_map(|(answers, _took)| answers).chain(own_answer);
-        for (place, answer) in all {
-            answers[place] = Some(answer);
+        let all = forwarded.into_iter().flatten().flat_map(|(answers, _took)| answers).chain(own_answer);
+        for (index, answer) in all {
+            answers[index] = Some(answer);
         }
         answers
     }
@@ -346,7 +346,7 @@
 
     fn observe_first(&self) -> LocalBoxFuture<'_, Option<RankState>> {
         Box::pin(async {
-            let observed = self.own_in_time(&self.patience.states, self.own.observe(false)).await;
+            let observed = self.call_own(&self.timeouts.states, self.own.observe(false)).await;
             observed.ok().map(|observed| observed.state)
         })
     }
--- a/crates/porthoist-fleet/src/rank/convert.rs
+++ b/crates/porthoist-fleet/src/rank/convert.rs
@@ -1,4 +1,4 @@
-//! Ranks' states and orders, to and from the wire.
+//! Conversion of ranks' states, orders and loads to and from capnp messages.
 
 use crate::rank_capnp::rank_process::loads_results;
 use crate::rank_capnp::{branch_map, rank_order, rank_state, rank_view};
@@ -14,11 +14,13 @@
 use serde::{Deserialize, Serialize};
 use std::net::Ipv4Addr;
 
-fn optional(number: u32) -> Option<u32> {
+/// Decodes a number or none: 0 stands for none, other values for one less.
+fn decode_optional(number: u32) -> Option<u32> {
     number.checked_sub(1)
 }
 
-fn present(number: Option<u32>) -> u32 {
+/// Encodes a number as one more than its value, and none as 0.
+fn encode_optional(number: Option<u32>) -> u32 {
     number.map_or(0, |number| number + 1)
 }
 
@@ -27,24 +29,24 @@
     builder.set_sequence(view.sequence.0);
     builder.set_step(view.step.0);
     builder.set_map(view.map.0);
-    builder.set_prepared(present(view.prepared.map(|version| version.0)));
-    builder.set_armed_version(present(view.armed.map(|armed| armed.version.0)));
+    builder.set_prepared(encode_optional(view.prepared.map(|version| version.0)));
+    builder.set_armed_version(encode_optional(view.armed.map(|armed| armed.version.0)));
     builder.set_armed_step(view.armed.map_or(0, |armed| armed.step.0));
-    builder.set_held(present(view.held.map(|step| step.0)));
+    builder.set_held(encode_optional(view.held.map(|step| step.0)));
     builder.set_busy(view.busy);
 }
 
 pub(crate) fn read_view(reader: rank_view::Reader<'_>) -> RankView {
-    let armed = optional(reader.get_armed_version())
+    let armed = decode_optional(reader.get_armed_version())
         .map(|version| ArmedMap { version: MapVersion(version), step: StepNumber(reader.get_armed_step()) });
     RankView {
         epoch: GroupEpoch(reader.get_epoch()),
         sequence: OrderSequence(reader.get_sequence()),
         step: StepNumber(reader.get_step()),
         map: MapVersion(reader.get_map()),
-        prepared: optional(reader.get_prepared()).map(MapVersion),
+        prepared: decode_optional(reader.get_prepared()).map(MapVersion),
         armed,
-        held: optional(reader.get_held()).map(StepNumber),
+        held: decode_optional(reader.get_held()).map(StepNumber),
         busy: reader.get_busy(),
     }
 }
@@ -75,13 +77,13 @@
     Ok(RankObservation { state, counts })
 }
 
-/// The map of a prepare as changes to one that the receiver may know; base 0 stands for none.
+/// The map of a prepare order, as changes to a base that the receiver may know; base 0 stands for none.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct MapChanges {
     pub version: MapVersion,
     pub base: MapVersion,
     pub changes: Vec<ListChange>,
-    /// Of the whole map.
+    /// Digest of the whole map.
     pub digest: u64,
 }
 
@@ -101,7 +103,7 @@
     })
 }
 
-/// States of members of a branch: what they have in common stands once, since all ranks of a group run alike.
+/// States of a branch's members. Equal parts are stored once, since all ranks of a group normally agree in them.
 #[derive(Debug, Default, Serialize, Deserialize)]
 struct WireStates {
     alike: Vec<AlikeState>,
@@ -110,7 +112,7 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct AlikeState {
-    /// With sequence 0.
+    /// The view with sequence number 0.
     view: RankView,
     group: String,
     size: usize,
@@ -120,7 +122,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 struct MemberState {
     member: u16,
-    /// Place in the list of what is alike.
+    /// Index in [`WireStates::alike`].
     alike: u16,
     sequence: OrderSequence,
     rank: u16,
@@ -128,7 +130,7 @@
     pace: RankPace,
 }
 
-/// States by member of a branch, as bytes.
+/// Encodes states by member of a branch.
 pub(crate) fn pack_states(states: &[(usize, RankState)]) -> Vec<u8> {
     let mut wire = WireStates::default();
     for (member, state) in states {
@@ -151,7 +153,7 @@
     pack(&wire)
 }
 
-/// States by member of a branch, from bytes.
+/// Decodes states by member of a branch.
 pub(crate) fn unpack_states(bytes: &[u8]) -> Result<Vec<(usize, RankState)>, Error> {
     let WireStates { alike, members } = unpack(bytes)?;
     let state = |line: MemberState| {
@@ -171,12 +173,12 @@
     members.into_iter().map(state).collect()
 }
 
-/// Anything in postcard's encoding.
+/// Encodes a value with postcard.
 pub(crate) fn pack(value: &impl Serialize) -> Vec<u8> {
-    postcard::to_allocvec(value).expect("lists of numbers can always be encoded")
+    postcard::to_allocvec(value).expect("postcard can encode any list of numbers")
 }
 
-/// Anything from postcard's encoding.
+/// Decodes a value with postcard.
 pub(crate) fn unpack<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> Result<T, Error> {
     postcard::from_bytes(bytes).map_err(|error| Error::failed(error.to_string()))
 }
@@ -191,36 +193,36 @@
     list.iter().map(Ipv4Addr::from_bits).collect()
 }
 
-/// Names a list of hosts, so that it need not be sent again to one who knows it; never 0.
+/// Returns an identifier of a list of hosts, so that the list is not sent again to a peer that knows it; never 0.
 pub(crate) fn layout_of(hosts: &[Ipv4Addr]) -> u64 {
     let bytes: Vec<u8> = hosts.iter().flat_map(Ipv4Addr::octets).collect();
     xxhash_rust::xxh3::xxh3_64(&bytes).max(1)
 }
 
-/// The bit of a rank's byte which says that the process beside it is not heard.
-const SILENT_BIT: u8 = 0x80;
-/// Most requests that a rank's byte tells.
-const MOST_REQUESTS: u8 = 0x7f;
+/// Bit of a rank's byte that marks the process next to it as unreachable.
+const UNREACHABLE_BIT: u8 = 0x80;
+/// Largest number of requests that a rank's byte can hold.
+const MAX_REQUESTS: u8 = 0x7f;
 
 pub(crate) fn pack_requests(loads: &GroupLoads) -> Vec<u8> {
     let byte = |rank: &RankLoad| {
-        let requests = u8::try_from(rank.requests).unwrap_or(u8::MAX).min(MOST_REQUESTS);
-        if rank.silent { requests | SILENT_BIT } else { requests }
+        let requests = u8::try_from(rank.requests).unwrap_or(u8::MAX).min(MAX_REQUESTS);
+        if rank.silent { requests | UNREACHABLE_BIT } else { requests }
     };
     loads.ranks.iter().map(byte).collect()
 }
 
-pub(crate) fn joined_loads(revision: u64, hosts: &[Ipv4Addr], requests: &[u8], pass: u16) -> GroupLoads {
+pub(crate) fn decode_loads(revision: u64, hosts: &[Ipv4Addr], requests: &[u8], pass: u16) -> GroupLoads {
     let ranks = hosts.iter().zip(requests);
     let ranks = ranks.map(|(host, byte)| RankLoad {
         host: *host,
-        requests: u32::from(byte & MOST_REQUESTS),
-        silent: byte & SILENT_BIT != 0,
+        requests: u32::from(byte & MAX_REQUESTS),
+        silent: byte & UNREACHABLE_BIT != 0,
     });
     GroupLoads { revision: LoadRevision(revision), pass: unpack_pass(pass), ranks: ranks.collect() }
 }
 
-/// What stands for a group that is not formed in place of a pass time.
+/// Encoding of the pass time of a group that is not formed.
 const BROKEN_PASS: u16 = u16::MAX;
 
 pub(crate) fn pack_pass(pass: GroupPass) -> u16 {
@@ -297,16 +299,16 @@
     })
 }
 
-/// What a process answers to a question about its group's loads.
+/// A process's answer to a query for its group's loads.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LoadsAnswer {
-    /// The loads, from the process that plans or from one that it told them.
+    /// The loads, as published by the process that plans or received from it.
     Loads(GroupLoads),
-    /// It has not heard of any; the process on this host, if one is known, asked it for its rank's state.
+    /// The process knows no loads. The process on this host, if one is known, last read its rank's state, and so plans.
     Redirect(Option<Ipv4Addr>),
 }
 
-/// Writes an answer to one who knows the hosts of `known`.
+/// Writes an answer to a peer that knows the list of hosts with the identifier `known`.
 pub(crate) fn write_loads(mut builder: loads_results::Builder<'_>, answer: &LoadsAnswer, known: u64) {
     match answer {
         LoadsAnswer::Redirect(host) => builder.set_planner(host.map_or(0, Ipv4Addr::to_bits)),
@@ -325,13 +327,13 @@
     }
 }
 
-/// A list of hosts with its name.
-pub(crate) type NamedHosts = Option<(u64, Vec<Ipv4Addr>)>;
+/// A list of hosts with its identifier.
+pub(crate) type IdentifiedHosts = Option<(u64, Vec<Ipv4Addr>)>;
 
-/// Reads an answer; `known` is the last list of hosts that came, and takes a new one.
+/// Reads an answer. `known` is the last list of hosts that was received, and is replaced by a new one.
 pub(crate) fn read_loads(
     reader: loads_results::Reader<'_>,
-    known: &mut NamedHosts,
+    known: &mut IdentifiedHosts,
 ) -> Result<LoadsAnswer, Error> {
     if !reader.get_knows() {
         let host = (reader.get_planner() != 0).then(|| Ipv4Addr::from_bits(reader.get_planner()));
@@ -343,21 +345,21 @@
     }
     let hosts = known.as_ref().filter(|(layout, _hosts)| *layout == reader.get_layout());
     let (_layout, hosts) = hosts.ok_or_else(|| Error::failed("loads of unknown hosts".to_owned()))?;
-    let loads = joined_loads(reader.get_revision(), hosts, reader.get_requests()?, reader.get_pass());
+    let loads = decode_loads(reader.get_revision(), hosts, reader.get_requests()?, reader.get_pass());
     Ok(LoadsAnswer::Loads(loads))
 }
 
-/// Largest count in a byte.
-const COUNT_STEPS: f32 = 255.0;
+/// Largest count that a byte can hold.
+const MAX_BYTE_COUNT: f32 = 255.0;
 
-/// Counts as bytes in units of the second value.
+/// Encodes counts as bytes, in units of the second value.
 pub(crate) fn pack_counts(counts: &[u32]) -> (Vec<u8>, f32) {
     let highest = counts.iter().copied().max().unwrap_or(0);
-    let unit = (highest as f32 / COUNT_STEPS).max(1.0);
+    let unit = (highest as f32 / MAX_BYTE_COUNT).max(1.0);
     (counts.iter().map(|count| (*count as f32 / unit).round() as u8).collect(), unit)
 }
 
-/// Counts from bytes.
+/// Decodes counts from bytes in units of `unit`.
 pub(crate) fn unpack_counts(bytes: &[u8], unit: f32) -> Vec<u32> {
     bytes.iter().map(|byte| (f32::from(*byte) * unit).round() as u32).collect()
 }
--- a/crates/porthoist-fleet/src/rank/maps.rs
+++ b/crates/porthoist-fleet/src/rank/maps.rs
@@ -1,4 +1,4 @@
-//! The expert maps that a process knows, so that others need send it changes only.
+//! Expert maps that processes are known to have, so that only changes need to be sent.
 
 use super::convert::MapChanges;
 use porthoist_policy::placement::equal_shares::EqualShareMap;
@@ -6,19 +6,19 @@
 use std::cell::RefCell;
 use std::collections::VecDeque;
 
-/// Maps kept: the one in use, the one being switched to, and one that a switch was given up with.
-const KEPT: usize = 3;
+/// Number of cached maps: the one in use, the one being switched to, and one whose switch was aborted.
+const MAX_MAPS: usize = 3;
 
-/// The last maps that a process received, whatever connection they came over: a connection that is made anew costs no
-/// whole map. With 129 ranks one is 10 KB, and sending it to all took 1.7 s of a small host's link.
+/// The last maps that a process received, over any connection, so that a new connection does not need a whole map. With
+/// 129 ranks a map has 10 KB, and sending it to all of them takes 1.7 s of a small host's link.
 #[derive(Debug, Default)]
-pub struct MapShelf {
+pub struct MapCache {
     maps: RefCell<VecDeque<(MapVersion, EqualShareMap)>>,
 }
 
-impl MapShelf {
-    /// The map that changes lead to; nothing if their base is not known, or leads to another map than its sender has.
-    pub(super) fn take(&self, received: MapChanges) -> Option<EqualShareMap> {
+impl MapCache {
+    /// Applies changes and returns the resulting map; `None` if their base is unknown or the result is not the sender's map.
+    pub(super) fn apply(&self, received: MapChanges) -> Option<EqualShareMap> {
         let MapChanges { version, base, changes, digest } = received;
         let base = match base {
             MapVersion(0) => None,
@@ -31,7 +31,7 @@
         let mut maps = self.maps.borrow_mut();
         maps.retain(|(known, _map)| *known != version);
         maps.push_back((version, map.clone()));
-        if maps.len() > KEPT {
+        if maps.len() > MAX_MAPS {
             maps.pop_front();
         }
         Some(map)
@@ -46,20 +46,20 @@
 /// A map with its version.
 type VersionedMap = Option<(MapVersion, EqualShareMap)>;
 
-/// What a peer has of maps.
+/// The maps that a peer is known to have.
 #[derive(Debug, Default)]
 pub(super) struct PeerMaps {
-    /// The last one that it said it took.
-    answered: RefCell<VersionedMap>,
-    /// The last one sent over the present connection, which brings it before whatever is sent later.
+    /// The last map that the peer acknowledged.
+    acknowledged: RefCell<VersionedMap>,
+    /// The last map sent over the current connection, which delivers it before anything that is sent later.
     sent: RefCell<VersionedMap>,
 }
 
 impl PeerMaps {
-    /// A map as changes to the last one that the peer has, or whole.
+    /// Returns a map as changes to the last one that the peer has, or as a whole if it has none.
     pub(super) fn changes(&self, version: MapVersion, map: &EqualShareMap) -> MapChanges {
-        let (sent, answered) = (self.sent.borrow(), self.answered.borrow());
-        let base = sent.as_ref().or(answered.as_ref());
+        let (sent, acknowledged) = (self.sent.borrow(), self.acknowledged.borrow());
+        let base = sent.as_ref().or(acknowledged.as_ref());
         MapChanges {
             version,
             base: base.map_or(MapVersion(0), |(version, _map)| *version),
@@ -68,24 +68,24 @@
         }
     }
 
-    /// Takes that a map is on its way.
-    pub(super) fn sending(&self, version: MapVersion, map: &EqualShareMap) {
+    /// Records that a map is being sent.
+    pub(super) fn record_sent(&self, version: MapVersion, map: &EqualShareMap) {
         *self.sent.borrow_mut() = Some((version, map.clone()));
     }
 
-    /// Takes that the peer has a map now.
-    pub(super) fn answered(&self, version: MapVersion, map: &EqualShareMap) {
-        *self.answered.borrow_mut() = Some((version, map.clone()));
+    /// Records that the peer acknowledged a map.
+    pub(super) fn record_acknowledged(&self, version: MapVersion, map: &EqualShareMap) {
+        *self.acknowledged.borrow_mut() = Some((version, map.clone()));
     }
 
-    /// Takes that the connection is left: what was on its way may be lost.
-    pub(super) fn left(&self) {
+    /// Records that the connection was dropped: a map that was being sent may be lost.
+    pub(super) fn connection_dropped(&self) {
         self.sent.borrow_mut().take();
     }
 
-    /// Takes that the peer does not know what it was taken to know: its process began anew.
+    /// Forgets the peer's maps, after its process restarted.
     pub(super) fn forget(&self) {
-        self.answered.borrow_mut().take();
+        self.acknowledged.borrow_mut().take();
         self.sent.borrow_mut().take();
     }
 }
--- a/crates/porthoist-fleet/src/rank/peer.rs
+++ b/crates/porthoist-fleet/src/rank/peer.rs
@@ -1,12 +1,12 @@
-//! The way to the process beside another rank.
+//! Client of the process next to another rank.
 
 use super::convert::{
-    LoadsAnswer, MapChanges, NamedHosts, hosts_of, layout_of, pack, pack_pass, pack_requests, read_loads,
-    read_observation, read_view, unpack, unpack_counts, unpack_states, write_branch_map, write_hosts,
-    write_order,
+    IdentifiedHosts, LoadsAnswer, MapChanges, hosts_of, layout_of, pack, pack_pass, pack_requests,
+    read_loads, read_observation, read_view, unpack, unpack_counts, unpack_states, write_branch_map,
+    write_hosts, write_order,
 };
 use super::maps::PeerMaps;
-use super::news::{EntryReport, NewsAnswer, RowPieces, ZoneTableUpdate, read_zone, write_ask};
+use super::table_update::{EntryReport, QueryProgress, RowPieces, ZoneTableUpdate, read_zone, write_query};
 use super::traffic::ControlTraffic;
 use crate::rank_capnp::rank_process;
 use crate::server::vat_network;
@@ -30,17 +30,17 @@
 use tokio::net::TcpStream;
 use tokio::sync::oneshot;
 
-/// Time for a new connection in milliseconds; a host that was cut off answers nothing at all.
-const CONNECT_MILLIS: u64 = 120;
-/// Pieces of rows that are asked for in one go, at most: more than all that is passed on has.
-const MOST_PIECES: usize = 100;
-/// Time in which a further piece must come: a hundred entries may fetch theirs over one link of 10 Mbit/s.
-const PIECE_PATIENCE: Duration = Duration::from_secs(2);
-/// Time in which a process must say that it took a report of loads; newer ones are not sent meanwhile.
-const TELL_PATIENCE: Duration = Duration::from_secs(1);
-
-/// A connection, which is closed once no call needs it any more. Without that, each one that is left stays open at both ends for
-/// as long as both processes live.
+/// Connect timeout in milliseconds: an isolated host does not answer at all.
+const CONNECT_TIMEOUT_MILLIS: u64 = 120;
+/// Largest number of pieces that one query fetches: more than any rows that are passed on have.
+const MAX_PIECES: usize = 100;
+/// Timeout of each further piece: a hundred entries may fetch theirs over one link of 10 Mbit/s.
+const PIECE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout for acknowledging a report of loads; no newer one is sent meanwhile.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// A connection that is closed once it was dropped and no call uses it any more. Otherwise, each dropped connection would
+/// stay open at both ends for as long as both processes run.
 struct PeerConnection {
     client: rank_process::Client,
     /// Ends the connection when it is dropped.
@@ -51,31 +51,31 @@
     fn open(stream: TcpStream, traffic: &ControlTraffic) -> Self {
         let mut system = RpcSystem::new(Box::new(vat_network(stream, traffic, Side::Client)), None);
         let client: rank_process::Client = system.bootstrap(Side::Server);
-        let (open, left) = oneshot::channel();
+        let (open, dropped) = oneshot::channel();
         tokio::task::spawn_local(async move {
             tokio::select! {
-                // Whatever ends the connection, every pending call has its own error.
+                // The reason does not matter here: every pending call fails with its own error.
                 ended = system => drop(ended),
-                _left = left => {}
+                _dropped = dropped => {}
             }
         });
         Self { client, _open: open }
     }
 }
 
-/// The process beside another rank. It connects when it is first called, and anew after each failed call.
+/// Client of the process next to another rank. It connects at the first call, and again after each failed one.
 pub struct RankPeer {
     address: SocketAddr,
     traffic: ControlTraffic,
     connected: RefCell<Option<Rc<PeerConnection>>>,
-    /// What the process is known to have of maps.
+    /// The maps that the process is known to have.
     maps: PeerMaps,
-    /// The hosts that it told loads of.
-    hosts: RefCell<NamedHosts>,
-    /// The hosts that it was told loads of.
-    told_layout: Cell<u64>,
-    /// Whether a report of loads is on its way to it.
-    telling: Cell<bool>,
+    /// The hosts of the loads that were last received from it.
+    hosts: RefCell<IdentifiedHosts>,
+    /// Identifier of the hosts of the loads that were last sent to it.
+    sent_layout: Cell<u64>,
+    /// Whether a report of loads is being sent to it.
+    sending_loads: Cell<bool>,
 }
 
 impl fmt::Debug for RankPeer {
@@ -84,17 +84,17 @@
     }
 }
 
-/// What became of orders to a branch.
+/// The result of forwarding orders.
 #[derive(Debug)]
-struct PassedOrders<T> {
+struct ForwardedOrders<T> {
     answers: T,
-    /// Whether the process does not know the map that the changes are to be made to; then nothing was done.
+    /// Whether the process does not know the base of the map's changes; then no order was carried out.
     unknown_base: bool,
 }
 
-/// What the members of a branch said of themselves.
+/// The observed members of a branch.
 #[derive(Debug, Clone, Default)]
-pub(super) struct BranchReading {
+pub(super) struct BranchObservation {
     /// States by member.
     pub states: Vec<(usize, RankState)>,
     /// The sum of their counts.
@@ -105,12 +105,12 @@
 pub(super) type MemberOrder = (u16, EngineOrder);
 
 impl RankPeer {
-    /// The process at an address.
+    /// Creates a client of the process at an address.
     pub fn new(address: SocketAddr) -> Self {
         Self::counted(address, ControlTraffic::default())
     }
 
-    /// The same, with bytes counted.
+    /// Creates a client whose traffic is counted.
     pub fn counted(address: SocketAddr, traffic: ControlTraffic) -> Self {
         Self {
             address,
@@ -118,12 +118,12 @@
             connected: RefCell::default(),
             maps: PeerMaps::default(),
             hosts: RefCell::default(),
-            told_layout: Cell::new(0),
-            telling: Cell::new(false),
+            sent_layout: Cell::new(0),
+            sending_loads: Cell::new(false),
         }
     }
 
-    /// The address of the process.
+    /// Returns the address of the process.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -133,7 +133,7 @@
             return Ok(Rc::clone(connection));
         }
         let connecting = TcpStream::connect(self.address);
-        let connected = tokio::time::timeout(Duration::from_millis(CONNECT_MILLIS), connecting).await;
+        let connected = tokio::time::timeout(Duration::from_millis(CONNECT_TIMEOUT_MILLIS), connecting).await;
         let stream = connected
             .map_err(|_elapsed| CallError::not_sent("no connection in time"))?
             .map_err(|error| CallError::not_sent(error.to_string()))?;
@@ -142,13 +142,13 @@
         Ok(connection)
     }
 
-    /// Forgets the connection after a failure.
+    /// Drops the connection after a failed call, and returns the call's error.
     fn lost(&self, error: &Error) -> CallError {
         self.reset();
         CallError::unknown(error.to_string())
     }
 
-    /// Loads newer than a report, or where to ask.
+    /// Queries for loads newer than `after`; the process may name another one to ask.
     pub async fn loads(&self, after: LoadRevision) -> Result<LoadsAnswer, CallError> {
         let connection = self.connected().await?;
         let mut request = connection.client.loads_request();
@@ -161,65 +161,65 @@
         answered.await.map_err(|error: Error| self.lost(&error))
     }
 
-    /// What the process knows of a table, asked by an entry. Rows may come in pieces, of which the first must be there in the
-    /// time that the question is held and `patience`.
+    /// Queries a table on behalf of an entry. Rows may come in pieces; the first one must come within `timeout` plus the time
+    /// for which the process may hold the query.
     pub async fn query(
         &self,
         ask: TableQuery,
-        word: &EntryReport,
-        patience: Duration,
+        report: &EntryReport,
+        timeout: Duration,
     ) -> Result<ZoneTableUpdate, CallError> {
         let mut pieces = RowPieces::default();
-        let mut time = ask.hold + patience;
-        for _piece in 0..MOST_PIECES {
-            let asked = tokio::time::timeout(time, self.query_piece(&ask, word, &mut pieces)).await;
-            match asked.map_err(|_elapsed| CallError::unknown("no news in time"))?? {
-                NewsAnswer::Whole(news) => return Ok(news),
-                NewsAnswer::More => time = PIECE_PATIENCE,
+        let mut limit = ask.hold + timeout;
+        for _piece in 0..MAX_PIECES {
+            let asked = tokio::time::timeout(limit, self.query_piece(&ask, report, &mut pieces)).await;
+            match asked.map_err(|_elapsed| CallError::unknown("no table update in time"))?? {
+                QueryProgress::Complete(update) => return Ok(update),
+                QueryProgress::Incomplete => limit = PIECE_TIMEOUT,
             }
         }
-        Err(CallError::unknown("the rows changed all the time"))
+        Err(CallError::unknown("the rows kept changing"))
     }
 
     async fn query_piece(
         &self,
         ask: &TableQuery,
-        word: &EntryReport,
+        report: &EntryReport,
         pieces: &mut RowPieces,
-    ) -> Result<NewsAnswer, CallError> {
+    ) -> Result<QueryProgress, CallError> {
         let connection = self.connected().await?;
         let mut request = connection.client.news_request();
         let mut builder = request.get().init_ask();
-        write_ask(builder.reborrow(), ask, word);
+        write_query(builder.reborrow(), ask, report);
         pieces.write(builder);
         let answered = async { read_zone(request.send().promise.await?.get()?.get_news()?, pieces) };
         answered.await.map_err(|error: Error| self.lost(&error))
     }
 
-    /// Tells the newest loads, for the process and for those on other hosts. One that has not taken the last report
-    /// gets none.
+    /// Sends the newest loads to the process, which forwards them to those on `others`. Sends nothing while the last report
+    /// is not acknowledged.
     pub async fn tell(&self, loads: &GroupLoads, others: &[Ipv4Addr]) {
-        if self.telling.replace(true) {
+        if self.sending_loads.replace(true) {
             return;
         }
-        let told = tokio::time::timeout(TELL_PATIENCE, self.tell_now(loads, others)).await;
-        if told.is_err() {
+        let sent = tokio::time::timeout(REPORT_TIMEOUT, self.tell_now(loads, others)).await;
+        if sent.is_err() {
             self.reset();
         }
-        self.telling.set(false);
+        self.sending_loads.set(false);
     }
 
     async fn tell_now(&self, loads: &GroupLoads, others: &[Ipv4Addr]) -> Result<(), CallError> {
         let hosts = hosts_of(loads);
         let layout = layout_of(&hosts);
-        let known = self.told_layout.replace(layout) == layout;
+        let known = self.sent_layout.replace(layout) == layout;
         if known && self.send_loads(loads, others, layout, &[]).await? {
             return Ok(());
         }
         self.send_loads(loads, others, layout, &hosts).await.map(|_taken| ())
     }
 
-    /// Sends loads; returns whether the process knows their hosts.
+    /// Sends loads; returns whether the process knew their hosts.
     async fn send_loads(
         &self,
         loads: &GroupLoads,
@@ -240,13 +240,13 @@
         sent.await.map_err(|error: Error| self.lost(&error))
     }
 
-    /// Reads this process's rank and those on other hosts.
+    /// Reads the process's rank and, through it, those on other hosts.
     pub(super) async fn sweep(
         &self,
         others: &[Ipv4Addr],
         counts: bool,
         patience: Duration,
-    ) -> Result<BranchReading, CallError> {
+    ) -> Result<BranchObservation, CallError> {
         let connection = self.connected().await?;
         let mut request = connection.client.sweep_request();
         let mut call = request.get();
@@ -257,12 +257,12 @@
             let response = request.send().promise.await?;
             let results = response.get()?;
             let states = unpack_states(results.get_states()?)?;
-            Ok(BranchReading { states, counts: unpack_counts(results.get_counts()?, results.get_unit()) })
+            Ok(BranchObservation { states, counts: unpack_counts(results.get_counts()?, results.get_unit()) })
         };
         swept.await.map_err(|error: Error| self.lost(&error))
     }
 
-    /// The experts of this process's rank and of those on other hosts, by member.
+    /// Reads the experts of the process's rank and, through it, of those on other hosts, by member.
     pub(super) async fn gather(
         &self,
         others: &[Ipv4Addr],
@@ -280,7 +280,7 @@
         gathered.await.map_err(|error: Error| self.lost(&error))
     }
 
-    /// Passes orders on to members of a branch; the answers by order.
+    /// Sends orders to members of a branch through the process; returns an answer for each order.
     pub(super) async fn pass(
         &self,
         others: &[Ipv4Addr],
@@ -299,28 +299,28 @@
         self.with_map(version, map, send).await
     }
 
-    /// Bytes that a map takes on its way to the process.
+    /// Returns the bytes that sending a map to the process takes.
     pub(super) fn map_bytes(&self, version: MapVersion, map: &EqualShareMap) -> usize {
         pack(&self.maps.changes(version, map).changes).len()
     }
 
-    /// Makes a call that carries a map: as changes to the last one that the process took, or whole if it does not know it.
+    /// Makes a call that carries a map: as changes to the last one that the process has, or as a whole if it has lost that.
     async fn with_map<T>(
         &self,
         version: MapVersion,
         map: &EqualShareMap,
-        send: impl AsyncFn(MapChanges) -> Result<PassedOrders<T>, CallError>,
+        send: impl AsyncFn(MapChanges) -> Result<ForwardedOrders<T>, CallError>,
     ) -> Result<T, CallError> {
         let changes = self.maps.changes(version, map);
-        self.maps.sending(version, map);
+        self.maps.record_sent(version, map);
         let mut passed = send(changes).await?;
         if passed.unknown_base {
             self.maps.forget();
             let whole = self.maps.changes(version, map);
-            self.maps.sending(version, map);
+            self.maps.record_sent(version, map);
             passed = send(whole).await?;
         }
-        self.maps.answered(version, map);
+        self.maps.record_acknowledged(version, map);
         Ok(passed.answers)
     }
 
@@ -330,7 +330,7 @@
         patience: Duration,
         orders: &[MemberOrder],
         map: &MapChanges,
-    ) -> Result<PassedOrders<Vec<Option<OrderAnswer>>>, CallError> {
+    ) -> Result<ForwardedOrders<Vec<Option<OrderAnswer>>>, CallError> {
         let connection = self.connected().await?;
         let mut request = connection.client.pass_request();
         let mut call = request.get();
@@ -343,7 +343,7 @@
             let results = response.get()?;
             let unknown_base = results.get_unknown_base();
             let answers = if unknown_base { Vec::new() } else { unpack(results.get_answers()?)? };
-            Ok(PassedOrders { answers, unknown_base })
+            Ok(ForwardedOrders { answers, unknown_base })
         };
         passed.await.map_err(|error: Error| self.lost(&error))
     }
@@ -392,7 +392,7 @@
         &self,
         order: EngineOrder,
         map: &MapChanges,
-    ) -> Result<PassedOrders<OrderAnswer>, CallError> {
+    ) -> Result<ForwardedOrders<OrderAnswer>, CallError> {
         let connection = self.connected().await?;
         let mut request = connection.client.order_request();
         write_order(request.get().init_order(), order, map);
@@ -401,7 +401,7 @@
             let results = response.get()?;
             let view = if results.has_view() { Some(read_view(results.get_view()?)) } else { None };
             let answers = OrderAnswer { taken: results.get_taken(), view };
-            Ok(PassedOrders { answers, unknown_base: results.get_unknown_base() })
+            Ok(ForwardedOrders { answers, unknown_base: results.get_unknown_base() })
         };
         passed.await.map_err(|error: Error| self.lost(&error))
     }
@@ -426,11 +426,11 @@
 
     fn reset(&self) {
         self.connected.borrow_mut().take();
-        self.maps.left();
+        self.maps.connection_dropped();
     }
 }
 
-/// The processes that this one calls, by host. All listen on the same port.
+/// Clients of the processes that this one calls, by host. All processes listen on the same port.
 #[derive(Debug)]
 pub struct PeerPool {
     port: u16,
@@ -439,19 +439,19 @@
 }
 
 impl PeerPool {
-    /// A pool without peers.
+    /// Creates an empty pool.
     pub fn new(port: u16, traffic: ControlTraffic) -> Self {
         Self { port, traffic, peers: RefCell::default() }
     }
 
-    /// The process on a host.
+    /// Returns the client of the process on a host.
     pub fn get(&self, host: Ipv4Addr) -> Rc<RankPeer> {
         let mut peers = self.peers.borrow_mut();
         let new = || Rc::new(RankPeer::counted((host, self.port).into(), self.traffic.clone()));
         Rc::clone(peers.entry(host).or_insert_with(new))
     }
 
-    /// Forgets the processes on all other hosts.
+    /// Removes the clients of processes on all other hosts.
     pub fn retain(&self, hosts: &HashSet<Ipv4Addr>) {
         self.peers.borrow_mut().retain(|host, _peer| hosts.contains(host));
     }
--- a/crates/porthoist-fleet/src/rank/server.rs
+++ b/crates/porthoist-fleet/src/rank/server.rs
@@ -1,13 +1,15 @@
-//! What the process beside a rank does for the others.
+//! Server side of the processes next to ranks.
 
 use super::convert::{
-    MapChanges, NamedHosts, joined_loads, layout_of, pack, pack_counts, pack_states, read_branch_map,
+    IdentifiedHosts, MapChanges, decode_loads, layout_of, pack, pack_counts, pack_states, read_branch_map,
     read_hosts, read_order, unpack, write_loads, write_state, write_view,
 };
-use super::maps::MapShelf;
-use super::news::{EntryReport, PackedRows, read_ask, read_piece_ask, read_word, write_news, write_zone};
-use super::outlet::LoadsPublisher;
+use super::maps::MapCache;
 use super::peer::{MemberOrder, PeerPool};
+use super::publisher::LoadsPublisher;
+use super::table_update::{
+    EntryReport, PackedRows, read_piece_query, read_query, read_report, write_update, write_zone,
+};
 use super::traffic::ControlTraffic;
 use crate::rank_capnp::rank_process;
 use crate::server::{failed, vat_network};
@@ -33,75 +35,75 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// What all connections of one process share.
+/// State shared by all connections of one process.
 #[derive(Debug, bon::Builder)]
 pub struct RankService {
-    /// The rank beside this process.
+    /// The rank next to this process.
     link: Rc<dyn RankControl>,
-    /// What it tells of its group's loads.
+    /// Reports the loads of the group.
     publisher: LoadsPublisher,
-    /// The processes that it calls when it stands for a branch.
+    /// The processes that it calls as the head of a branch.
     peers: Rc<PeerPool>,
-    /// Counts the bytes of the connections that it accepts.
+    /// Counts the traffic of the connections that it accepts.
     #[builder(default)]
     traffic: ControlTraffic,
-    /// Follows the platform's tables for those who ask.
+    /// Follows the platform's tables, to answer queries.
     reader: Option<Rc<TableReader>>,
-    /// The maps that it knows.
+    /// The maps that were received.
     #[builder(skip)]
-    maps: MapShelf,
-    /// The rows of tables that it last passed on.
+    maps: MapCache,
+    /// The table rows that were last passed on.
     #[builder(skip)]
     packed: RefCell<PackedRows>,
-    /// The hosts that it was last told loads of.
+    /// The hosts of the loads that were last received.
     #[builder(skip)]
-    hosts: RefCell<NamedHosts>,
-    /// The entries that ask it about tables.
+    hosts: RefCell<IdentifiedHosts>,
+    /// The entries that query tables.
     #[builder(skip)]
     entries: RefCell<EntryRoster>,
-    /// What those have heard of targets in need.
+    /// What these entries know of the backpressure of targets.
     #[builder(skip)]
     notes: RefCell<NoteStore>,
-    /// Counts the time in which the host was suspended.
+    /// The clock, which must count the time in which the host was suspended.
     clock: Option<Arc<dyn ClockSource>>,
 }
 
 impl RankService {
-    /// Takes what an entry tells; returns its place among those that ask.
-    fn take_word(&self, word: EntryReport) -> Option<EntryPosition> {
+    /// Handles an entry's report; returns the entry's position among those that query this process.
+    fn handle_report(&self, report: EntryReport) -> Option<EntryPosition> {
         let now = self.clock.as_ref()?.now();
         let mut notes = self.notes.borrow_mut();
-        for note in word.notes {
+        for note in report.notes {
             notes.take(note.to_local(now));
         }
-        self.entries.borrow_mut().record_query(word.entry, now)
+        self.entries.borrow_mut().record_query(report.entry, now)
     }
 
-    /// What entries have told lately.
-    fn told_notes(&self) -> Vec<AgedNote> {
+    /// Returns the recent notes of entries.
+    fn recent_notes(&self) -> Vec<AgedNote> {
         let Some(now) = self.clock.as_ref().map(|clock| clock.now()) else { return Vec::new() };
         self.notes.borrow_mut().current(now).iter().map(|note| note.aged(now)).collect()
     }
 
-    /// The members of a branch that this process stands for, itself first.
-    fn branch(&self, others: &[Ipv4Addr]) -> Vec<Rc<dyn RankControl>> {
+    /// Returns the members of a branch whose head is this process, its own rank first.
+    fn branch_members(&self, others: &[Ipv4Addr]) -> Vec<Rc<dyn RankControl>> {
         let own: Rc<dyn RankControl> = Rc::clone(&self.link);
         let others = others.iter().map(|host| -> Rc<dyn RankControl> { self.peers.get(*host) });
         std::iter::once(own).chain(others).collect()
     }
 }
 
-/// One connection.
+/// One connection of another process.
 struct RankServer {
-    serving: Rc<RankService>,
-    /// Where it comes from.
+    service: Rc<RankService>,
+    /// The address of the other process.
     caller: IpAddr,
 }
 
 impl RankServer {
-    fn note_asker(&self) {
+    fn record_observer(&self) {
         if let IpAddr::V4(host) = self.caller {
-            self.serving.publisher.asked_by(host);
+            self.service.publisher.observed_by(host);
         }
     }
 }
@@ -112,10 +114,14 @@
     }
 }
 
-/// What a member answers within the caller's patience; the connection of one that does not is left.
-async fn in_time<T>(link: &Rc<dyn RankControl>, patience: Duration, call: RankFuture<'_, T>) -> Option<T> {
-    // Why a member says nothing matters only to the caller, who sees that it is missing.
-    match tokio::time::timeout(patience, call).await {
+/// Waits for a member's answer; drops the connection to a member that does not answer in time.
+async fn with_timeout<T>(
+    link: &Rc<dyn RankControl>,
+    timeout: Duration,
+    call: RankFuture<'_, T>,
+) -> Option<T> {
+    // The error is dropped: the caller only needs to know that the member did not answer.
+    match tokio::time::timeout(timeout, call).await {
         Ok(answer) => answer.ok(),
         Err(_elapsed) => {
             link.reset();
@@ -130,8 +136,8 @@
         params: rank_process::ObserveParams,
         mut results: rank_process::ObserveResults,
     ) -> Result<(), Error> {
-        self.note_asker();
-        let observed = self.serving.link.observe(params.get()?.get_counts()).await.map_err(failed)?;
+        self.record_observer();
+        let observed = self.service.link.observe(params.get()?.get_counts()).await.map_err(failed)?;
         let mut builder = results.get();
         write_state(builder.reborrow().init_state(), &observed.state);
         let (counts, unit) = pack_counts(&observed.counts);
@@ -145,7 +151,7 @@
         _params: rank_process::ListsParams,
         mut results: rank_process::ListsResults,
     ) -> Result<(), Error> {
-        let lists = self.serving.link.lists().await.map_err(failed)?;
+        let lists = self.service.link.lists().await.map_err(failed)?;
         let mut builder = results.get();
         builder.set_version(lists.version.0);
         let mut sets = builder.init_experts(lists.experts.len() as u32);
@@ -166,7 +172,7 @@
         let (order, changes) = read_order(params.get()?.get_order()?)?;
         let map = match changes {
             Some(changes) => {
-                let Some(map) = self.serving.maps.take(changes) else {
+                let Some(map) = self.service.maps.apply(changes) else {
                     results.get().set_unknown_base(true);
                     return Ok(());
                 };
@@ -174,7 +180,7 @@
             }
             None => None,
         };
-        let answer = self.serving.link.order(order, map.as_ref()).await.map_err(failed)?;
+        let answer = self.service.link.order(order, map.as_ref()).await.map_err(failed)?;
         let mut results = results.get();
         results.set_taken(answer.taken);
         if let Some(view) = &answer.view {
@@ -189,7 +195,7 @@
         mut results: rank_process::LoadsResults,
     ) -> Result<(), Error> {
         let params = params.get()?;
-        let answer = self.serving.publisher.clone().newer_than(LoadRevision(params.get_after())).await;
+        let answer = self.service.publisher.clone().newer_than(LoadRevision(params.get_after())).await;
         write_loads(results.get(), &answer, params.get_layout());
         Ok(())
     }
@@ -199,11 +205,11 @@
         params: rank_process::SweepParams,
         mut results: rank_process::SweepResults,
     ) -> Result<(), Error> {
-        self.note_asker();
+        self.record_observer();
         let params = params.get()?;
-        let (counts, patience) = (params.get_counts(), Duration::from_millis(params.get_millis().into()));
-        let members = self.serving.branch(&read_hosts(params.get_others()?));
-        let asked = members.iter().map(|member| in_time(member, patience, member.observe(counts)));
+        let (counts, timeout) = (params.get_counts(), Duration::from_millis(params.get_millis().into()));
+        let members = self.service.branch_members(&read_hosts(params.get_others()?));
+        let asked = members.iter().map(|member| with_timeout(member, timeout, member.observe(counts)));
         let answers = join_all(asked).await;
         let mut sum = GroupObservation::default();
         let mut states = Vec::with_capacity(answers.len());
@@ -226,9 +232,9 @@
         mut results: rank_process::GatherResults,
     ) -> Result<(), Error> {
         let params = params.get()?;
-        let patience = Duration::from_millis(params.get_millis().into());
-        let members = self.serving.branch(&read_hosts(params.get_others()?));
-        let asked = members.iter().map(|member| in_time(member, patience, member.lists()));
+        let timeout = Duration::from_millis(params.get_millis().into());
+        let members = self.service.branch_members(&read_hosts(params.get_others()?));
+        let asked = members.iter().map(|member| with_timeout(member, timeout, member.lists()));
         let answers = join_all(asked).await.into_iter().enumerate();
         let lists: Vec<_> = answers.filter_map(|(member, lists)| Some((member, lists?))).collect();
         results.get().set_lists(&pack(&lists));
@@ -241,12 +247,12 @@
         mut results: rank_process::PassResults,
     ) -> Result<(), Error> {
         let params = params.get()?;
-        let patience = Duration::from_millis(params.get_millis().into());
+        let timeout = Duration::from_millis(params.get_millis().into());
         let orders: Vec<MemberOrder> = unpack(params.get_orders()?)?;
         let prepares = orders.iter().any(|(_member, order)| matches!(order, EngineOrder::Prepare { .. }));
         let map = if prepares {
             let changes: MapChanges = read_branch_map(params.get_map()?)?;
-            let Some(map) = self.serving.maps.take(changes) else {
+            let Some(map) = self.service.maps.apply(changes) else {
                 results.get().set_unknown_base(true);
                 return Ok(());
             };
@@ -254,10 +260,10 @@
         } else {
             None
         };
-        let members = self.serving.branch(&read_hosts(params.get_others()?));
-        let given =
-            orders.iter().map(|(member, order)| give(&members, *member, *order, map.as_ref(), patience));
-        let answers = join_all(given).await;
+        let members = self.service.branch_members(&read_hosts(params.get_others()?));
+        let sent =
+            orders.iter().map(|(member, order)| send_order(&members, *member, *order, map.as_ref(), timeout));
+        let answers = join_all(sent).await;
         results.get().set_answers(&pack(&answers));
         Ok(())
     }
@@ -268,7 +274,7 @@
         mut results: rank_process::TellResults,
     ) -> Result<(), Error> {
         let params = params.get()?;
-        let mut known = self.serving.hosts.borrow_mut();
+        let mut known = self.service.hosts.borrow_mut();
         let hosts = read_hosts(params.get_hosts()?);
         if !hosts.is_empty() {
             *known = Some((layout_of(&hosts), hosts));
@@ -278,12 +284,12 @@
             results.get().set_unknown_layout(true);
             return Ok(());
         };
-        let loads = joined_loads(params.get_revision(), hosts, params.get_requests()?, params.get_pass());
+        let loads = decode_loads(params.get_revision(), hosts, params.get_requests()?, params.get_pass());
         for host in read_hosts(params.get_others()?) {
-            let (peer, loads) = (self.serving.peers.get(host), loads.clone());
+            let (peer, loads) = (self.service.peers.get(host), loads.clone());
             tokio::task::spawn_local(async move { peer.tell(&loads, &[]).await });
         }
-        self.serving.publisher.take_told(loads);
+        self.service.publisher.receive(loads);
         Ok(())
     }
 
@@ -293,45 +299,45 @@
         mut results: rank_process::NewsResults,
     ) -> Result<(), Error> {
         let asked = params.get()?.get_ask()?;
-        let (ask, word) = (read_ask(asked)?, read_word(asked)?);
-        let reader = self.serving.reader.as_ref();
+        let (ask, report) = (read_query(asked)?, read_report(asked)?);
+        let reader = self.service.reader.as_ref();
         let reader = reader.ok_or_else(|| Error::failed("this process follows no tables".to_owned()))?;
-        let place = word.and_then(|word| self.serving.take_word(word));
-        let news = reader.query(ask).await;
+        let position = report.and_then(|report| self.service.handle_report(report));
+        let update = reader.query(ask).await;
         let mut builder = results.get().init_news();
-        write_zone(builder.reborrow(), place, &self.serving.told_notes());
-        write_news(builder, &news, read_piece_ask(asked), &mut self.serving.packed.borrow_mut());
+        write_zone(builder.reborrow(), position, &self.service.recent_notes());
+        write_update(builder, &update, read_piece_query(asked), &mut self.service.packed.borrow_mut());
         Ok(())
     }
 }
 
-/// Gives an order to a member, if there is such a one.
-async fn give(
+/// Sends an order to a member; `None` if there is no such member or it does not answer.
+async fn send_order(
     members: &[Rc<dyn RankControl>],
     member: u16,
     order: EngineOrder,
     map: Option<&EqualShareMap>,
-    patience: Duration,
+    timeout: Duration,
 ) -> Option<porthoist_group::OrderAnswer> {
     let link = members.get(usize::from(member))?;
     let map = matches!(order, EngineOrder::Prepare { .. }).then_some(map).flatten();
-    // An order without an answer may be carried out all the same: the connection stays.
-    tokio::time::timeout(patience, link.order(order, map)).await.ok()?.ok()
+    // An order without an answer may still be carried out, so the connection is kept.
+    tokio::time::timeout(timeout, link.order(order, map)).await.ok()?.ok()
 }
 
-/// Accepts the processes of other ranks on the present `LocalSet` until the future is dropped.
-pub async fn serve_ranks(listener: TcpListener, serving: Rc<RankService>) {
+/// Serves the processes of other ranks on the current `LocalSet` until the future is dropped.
+pub async fn serve_ranks(listener: TcpListener, service: Rc<RankService>) {
     loop {
         let Ok((stream, address)) = listener.accept().await else {
             tokio::time::sleep(Duration::from_millis(10)).await;
             continue;
         };
-        let server = RankServer { serving: Rc::clone(&serving), caller: address.ip() };
+        let server = RankServer { service: Rc::clone(&service), caller: address.ip() };
         let process: rank_process::Client = new_client(server);
-        let network = vat_network(stream, &serving.traffic, Side::Server);
+        let network = vat_network(stream, &service.traffic, Side::Server);
         let system = RpcSystem::new(Box::new(network), Some(process.client));
         tokio::task::spawn_local(async move {
-            // The connection's end is normal; every call on it has its own error.
+            // Connections end for ordinary reasons; each call on them fails with its own error.
             drop(system.await);
         });
     }
--- a/crates/porthoist-fleet/src/rank/news.rs
+++ b/crates/porthoist-fleet/src/rank/table_update.rs
@@ -1,4 +1,4 @@
-//! News of the platform's tables, to and from the wire.
+//! Conversion of queries and updates of the platform's tables to and from capnp messages.
 
 use super::convert::{pack, unpack};
 use crate::rank_capnp::{news_ask, table_news};
@@ -14,43 +14,43 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How hard rows are compressed: the least. They are text that repeats its keys, and a host beside a rank has little of a
-/// core. Compressed, all targets of a large deployment take a few pieces.
-const COMPRESSION: u8 = 1;
-/// Bytes that rows may have once they are decompressed: some ten thousand targets.
-const MOST_UNPACKED_BYTES: usize = 4 * 1024 * 1024;
-/// Bytes of compressed rows that are passed on at most: a host beside a rank has a link of 6 to 10 Mbit/s for some hundred entries.
-/// Whoever lacks more asks the table service, whose link carries hundreds of times as much.
-const MOST_BYTES: usize = 128 * 1024;
-/// Bytes of one piece: an answer to one entry must not hold up the others' for long.
+/// The fastest compression level: rows are text with repeated keys, and a host next to a rank has little CPU. Compressed,
+/// all targets of a large deployment take a few pieces.
+const COMPRESSION_LEVEL: u8 = 1;
+/// Largest size of decompressed rows: about ten thousand targets.
+const MAX_UNPACKED_BYTES: usize = 4 * 1024 * 1024;
+/// Largest size of compressed rows that are passed on: a host next to a rank has a link of 6 to 10 Mbit/s for about a hundred
+/// entries. A process that lacks more asks the table service, whose link has hundreds of times the bandwidth.
+const MAX_COMPRESSED_BYTES: usize = 128 * 1024;
+/// Size of one piece: an answer to one entry must not delay the others' for long.
 const PIECE_BYTES: usize = 4 * 1024;
 
-/// What an entry tells with its question.
+/// What an entry reports with a query.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EntryReport {
     /// The entry.
     pub entry: EntryId,
-    /// What it has heard of targets in need.
+    /// What it knows of the backpressure of targets.
     pub notes: Vec<AgedNote>,
 }
 
-/// What a process knows of a table, and what it tells the entries of its zone besides.
+/// An update of a table, with further information for the entries of a zone.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ZoneTableUpdate {
-    /// What it knows of the table.
+    /// The update of the table.
     pub update: TableUpdate,
-    /// Which place the entry that asked has among those that ask; nothing while it is not known.
+    /// Position of the querying entry among the entries that query the process; `None` while it is not known.
     pub position: Option<EntryPosition>,
-    /// What entries have heard of targets in need.
+    /// What entries know of the backpressure of targets.
     pub notes: Vec<AgedNote>,
 }
 
 pub(super) fn write_zone(
     mut builder: table_news::Builder<'_>,
-    place: Option<EntryPosition>,
+    position: Option<EntryPosition>,
     notes: &[AgedNote],
 ) {
-    if let Some(EntryPosition { index, entries }) = place {
+    if let Some(EntryPosition { index, entries }) = position {
         builder.set_entries(entries);
         builder.set_entries_before(index);
     }
@@ -59,10 +59,13 @@
     }
 }
 
-pub(super) fn read_zone(reader: table_news::Reader<'_>, pieces: &mut RowPieces) -> Result<NewsAnswer, Error> {
-    let Some(update) = read_news(reader, pieces)? else { return Ok(NewsAnswer::More) };
+pub(super) fn read_zone(
+    reader: table_news::Reader<'_>,
+    pieces: &mut RowPieces,
+) -> Result<QueryProgress, Error> {
+    let Some(update) = read_update(reader, pieces)? else { return Ok(QueryProgress::Incomplete) };
     let (index, entries) = (reader.get_entries_before(), reader.get_entries());
-    Ok(NewsAnswer::Whole(ZoneTableUpdate {
+    Ok(QueryProgress::Complete(ZoneTableUpdate {
         update,
         position: (index < entries).then_some(EntryPosition { index, entries }),
         notes: read_notes(reader.get_notes()?)?,
@@ -73,17 +76,17 @@
     if bytes.is_empty() { Ok(Vec::new()) } else { unpack(bytes) }
 }
 
-/// The entry that asks, if one does, and what it tells.
-pub(super) fn read_word(reader: news_ask::Reader<'_>) -> Result<Option<EntryReport>, Error> {
+/// Reads the report of the querying entry; `None` if the caller is not an entry.
+pub(super) fn read_report(reader: news_ask::Reader<'_>) -> Result<Option<EntryReport>, Error> {
     let entry = EntryId(reader.get_entry());
     let notes = read_notes(reader.get_notes()?)?;
     Ok((entry != EntryId(0)).then_some(EntryReport { entry, notes }))
 }
 
-pub(super) fn write_ask(mut builder: news_ask::Builder<'_>, ask: &TableQuery, word: &EntryReport) {
-    builder.set_entry(word.entry.0);
-    if !word.notes.is_empty() {
-        builder.set_notes(&pack(&word.notes));
+pub(super) fn write_query(mut builder: news_ask::Builder<'_>, ask: &TableQuery, report: &EntryReport) {
+    builder.set_entry(report.entry.0);
+    if !report.notes.is_empty() {
+        builder.set_notes(&pack(&report.notes));
     }
     builder.set_table(match ask.table {
         ControlTable::Routes => 0,
@@ -101,7 +104,7 @@
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
 
-pub(super) fn read_ask(reader: news_ask::Reader<'_>) -> Result<TableQuery, Error> {
+pub(super) fn read_query(reader: news_ask::Reader<'_>) -> Result<TableQuery, Error> {
     let table = match reader.get_table() {
         0 => ControlTable::Routes,
         1 => ControlTable::Targets,
@@ -117,14 +120,14 @@
     })
 }
 
-/// Rows that come in pieces, as far as an entry has them.
+/// The pieces of rows that have been received so far.
 #[derive(Debug, Default)]
 pub(super) struct RowPieces {
     bytes: Vec<u8>,
     digest: u64,
 }
 
-/// A piece of rows.
+/// A piece of compressed rows.
 struct RowPiece<'a> {
     bytes: &'a [u8],
     offset: u32,
@@ -133,14 +136,14 @@
 }
 
 impl RowPieces {
-    /// What the next question names.
+    /// Writes which piece the next query asks for.
     pub(super) fn write(&self, mut builder: news_ask::Builder<'_>) {
         builder.set_offset(self.bytes.len() as u32);
         builder.set_digest(self.digest);
     }
 
-    /// Takes a piece; returns whether all are there. Rows that have changed meanwhile begin anew.
-    fn take(&mut self, piece: &RowPiece<'_>) -> bool {
+    /// Adds a piece; returns whether the rows are complete. If they have changed, it starts again.
+    fn add(&mut self, piece: &RowPiece<'_>) -> bool {
         if piece.digest != self.digest || piece.offset as usize != self.bytes.len() {
             self.bytes.clear();
         }
@@ -152,26 +155,26 @@
     }
 }
 
-/// An answer to a question about a table.
-pub(super) enum NewsAnswer {
-    /// All that there is.
-    Whole(ZoneTableUpdate),
-    /// More pieces are to be asked for.
-    More,
+/// The state of a query whose answer may come in pieces.
+pub(super) enum QueryProgress {
+    /// The answer is complete.
+    Complete(ZoneTableUpdate),
+    /// Further pieces must be queried.
+    Incomplete,
 }
 
-/// The piece of the rows that an entry lacks.
+/// The next piece of the rows that a caller needs.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct PieceAsk {
+pub(super) struct PieceQuery {
     offset: u32,
     digest: u64,
 }
 
-pub(super) fn read_piece_ask(reader: news_ask::Reader<'_>) -> PieceAsk {
-    PieceAsk { offset: reader.get_offset(), digest: reader.get_digest() }
+pub(super) fn read_piece_query(reader: news_ask::Reader<'_>) -> PieceQuery {
+    PieceQuery { offset: reader.get_offset(), digest: reader.get_digest() }
 }
 
-/// The rows that were last compressed: the processes of a zone mostly ask for the same ones.
+/// The rows that were compressed last: the processes of a zone mostly query the same ones.
 #[derive(Debug, Default)]
 pub(super) struct PackedRows {
     packed: Vec<u8>,
@@ -183,36 +186,36 @@
     fn compress(&mut self, rows: &[RowUpdate]) {
         let packed = pack(&rows);
         if packed != self.packed || self.compressed.is_empty() {
-            self.compressed = compress_to_vec_zlib(&packed, COMPRESSION);
+            self.compressed = compress_to_vec_zlib(&packed, COMPRESSION_LEVEL);
             self.digest = xxh3_64(&self.compressed);
             self.packed = packed;
         }
     }
 
-    /// The piece that was asked for; the first one if the rows are others than those asked about.
-    fn piece(&self, ask: PieceAsk) -> RowPiece<'_> {
+    /// Returns the queried piece, or the first one if the rows have changed since.
+    fn piece(&self, ask: PieceQuery) -> RowPiece<'_> {
         let (digest, total) = (self.digest, self.compressed.len());
-        let begun = ask.digest == digest && ask.offset as usize <= total;
-        let offset = if begun { ask.offset as usize } else { 0 };
+        let unchanged = ask.digest == digest && ask.offset as usize <= total;
+        let offset = if unchanged { ask.offset as usize } else { 0 };
         let end = total.min(offset + PIECE_BYTES);
         RowPiece { bytes: &self.compressed[offset..end], offset: offset as u32, total: total as u32, digest }
     }
 }
 
-pub(super) fn write_news(
+pub(super) fn write_update(
     mut builder: table_news::Builder<'_>,
-    news: &TableUpdate,
-    piece: PieceAsk,
+    update: &TableUpdate,
+    piece: PieceQuery,
     packed: &mut PackedRows,
 ) {
-    let (rows, keys, gap) = match news {
+    let (rows, keys, gap) = match update {
         TableUpdate::Newer { rows, keys, gap } => (rows, keys, gap),
         TableUpdate::Nothing { failing } => return builder.set_nothing(*failing),
         TableUpdate::TooMuch => return builder.set_too_much(()),
     };
     packed.compress(&rows.value);
     let key_bytes: usize = keys.iter().flatten().map(String::len).sum();
-    if packed.compressed.len() + key_bytes > MOST_BYTES {
+    if packed.compressed.len() + key_bytes > MAX_COMPRESSED_BYTES {
         return builder.set_too_much(());
     }
     let RowPiece { bytes, offset, total, digest } = packed.piece(piece);
@@ -222,7 +225,7 @@
     newer.set_total(total);
     newer.set_digest(digest);
     if offset as usize + bytes.len() < total as usize {
-        // The last piece brings the rest.
+        // Only the last piece carries the other fields.
         return;
     }
     newer.set_revision(rows.revision.number);
@@ -242,7 +245,7 @@
     }
 }
 
-fn read_news(reader: table_news::Reader<'_>, pieces: &mut RowPieces) -> Result<Option<TableUpdate>, Error> {
+fn read_update(reader: table_news::Reader<'_>, pieces: &mut RowPieces) -> Result<Option<TableUpdate>, Error> {
     let newer = match reader.which()? {
         table_news::Newer(newer) => newer,
         table_news::Nothing(failing) => return Ok(Some(TableUpdate::Nothing { failing })),
@@ -254,10 +257,10 @@
         total: newer.get_total(),
         digest: newer.get_digest(),
     };
-    if !pieces.take(&piece) {
+    if !pieces.add(&piece) {
         return Ok(None);
     }
-    let packed = decompress_to_vec_zlib_with_limit(&pieces.bytes, MOST_UNPACKED_BYTES)
+    let packed = decompress_to_vec_zlib_with_limit(&pieces.bytes, MAX_UNPACKED_BYTES)
         .map_err(|error| Error::failed(format!("rows that can't be decompressed: {error}")))?;
     let rows: Vec<RowUpdate> = unpack(&packed)?;
     let gap = newer
--- a/crates/porthoist-fleet/src/rank/traffic.rs
+++ b/crates/porthoist-fleet/src/rank/traffic.rs
@@ -1,4 +1,4 @@
-//! Counts what passes over the connections between processes.
+//! Counters of the traffic between processes.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -6,7 +6,7 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Bytes that a process sent to its peers and received from them; clones count together.
+/// Bytes that a process sent to its peers and received from them. Clones share their counters.
 #[derive(Debug, Clone, Default)]
 pub struct ControlTraffic {
     sent: Arc<AtomicU64>,
@@ -14,17 +14,17 @@
 }
 
 impl ControlTraffic {
-    /// Bytes sent so far.
+    /// Returns the bytes sent so far.
     pub fn sent(&self) -> u64 {
         self.sent.load(Ordering::Relaxed)
     }
 
-    /// Bytes received so far.
+    /// Returns the bytes received so far.
     pub fn received(&self) -> u64 {
         self.received.load(Ordering::Relaxed)
     }
 
-    /// A stream whose bytes count here.
+    /// Wraps a stream whose bytes are counted here.
     pub fn counted<S>(&self, stream: S) -> CountedStream<S> {
         CountedStream { stream, traffic: self.clone() }
     }
--- a/crates/porthoist-fleet/src/server.rs
+++ b/crates/porthoist-fleet/src/server.rs
@@ -1,4 +1,4 @@
-//! The listening side: a peer shows the shared key, then offers requests, asks for tickets and gossips.
+//! The server side: a peer authenticates with the shared key, then offers requests, asks for tickets and gossips.
 
 use crate::convert::{
     read_asks, read_digest, read_offer, write_digest, write_frames, write_outcome, write_told,
@@ -25,10 +25,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::compat::{TokioAsyncReadCompatExt as _, TokioAsyncWriteCompatExt as _};
 
-/// A handler's pending answer.
+/// Pending answer of a handler.
 pub type HandlerFuture<T> = LocalBoxFuture<'static, T>;
 
-/// Where the frames of a streamed answer go.
+/// Sends the frames of a streamed answer to the peer.
 #[derive(Clone)]
 pub struct FrameSender(frame_sink::Client);
 
@@ -39,7 +39,7 @@
 }
 
 impl FrameSender {
-    /// Sends frames and waits until the peer has taken them.
+    /// Sends frames and waits until the peer has received them.
     pub async fn send(&self, frames: &[AnswerFrame]) -> Result<(), Error> {
         let mut request = self.0.frames_request();
         write_frames(request.get().init_frames(frames.len() as u32), frames);
@@ -48,19 +48,19 @@
     }
 }
 
-/// What a process does for its peers.
+/// Handles the calls of a process's peers.
 pub trait FleetHandler {
-    /// Runs an offer to its end; dropping the future means that the peer gave it up.
+    /// Runs an offer to its end; the future is dropped if the peer cancels the offer.
     fn offer(&self, offer: RequestOffer, sender: FrameSender) -> HandlerFuture<(OfferOutcome, LoadReport)>;
-    /// Mints tickets, perhaps fewer than asked for.
+    /// Mints tickets, possibly fewer than asked for.
     fn mint(&self, team: TeamName, count: u32, deadline: UnixDeadline) -> HandlerFuture<Vec<TicketText>>;
-    /// Introduces the process.
+    /// Introduces this process; an entry returns `None`.
     fn hello(&self) -> HandlerFuture<Option<TargetHello>>;
-    /// Takes a peer's digest and gives its own.
+    /// Handles a peer's digest and returns this process's own.
     fn gossip(&self, digest: FleetDigest) -> HandlerFuture<FleetDigest>;
-    /// Takes a leader's message for the rank beside this process; nothing where there is no rank or no answer.
+    /// Handles a leader's message to the rank next to this process; `None` if there is no rank or it does not answer.
     fn rank(&self, message: LeaderMessage) -> HandlerFuture<Option<Option<RankReply>>>;
-    /// Settles teams' limits that this process keeps; a team without limits is left out.
+    /// Settles the limits of teams that this process coordinates; a team without limits is left out.
     fn settle(&self, asks: Vec<SettleAsk>) -> HandlerFuture<Vec<SettleTold>>;
 }
 
@@ -167,7 +167,7 @@
     Error::failed(error.to_string())
 }
 
-/// Accepts peers on the present `LocalSet` until the future is dropped.
+/// Serves peers on the current `LocalSet` until the future is dropped.
 pub async fn serve_fleet(listener: TcpListener, key: SharedSecret, handler: Rc<dyn FleetHandler>) {
     loop {
         let Ok((stream, _address)) = listener.accept().await else {
@@ -179,7 +179,7 @@
         let network = vat_network(stream, &ControlTraffic::default(), Side::Server);
         let system = RpcSystem::new(Box::new(network), Some(login.client));
         tokio::task::spawn_local(async move {
-            // The connection's end is normal; every call on it has its own error.
+            // Connections end for ordinary reasons; each call on them fails with its own error.
             drop(system.await);
         });
     }
@@ -190,7 +190,7 @@
     traffic: &ControlTraffic,
     side: Side,
 ) -> VatNetwork<impl futures::AsyncRead + Unpin + use<>> {
-    // An error here only costs latency, and time until a silent peer is noticed.
+    // Without these options, latency is higher and a dead peer is noticed later.
     drop(configure_socket(&stream, SocketPeer::Control));
     let (reader, writer) = stream.into_split();
     let reader = futures::io::BufReader::new(traffic.counted(reader).compat());
--- a/crates/porthoist-fleet/tests/branches.rs
+++ b/crates/porthoist-fleet/tests/branches.rs
@@ -1,4 +1,4 @@
-//! A group read and ordered through branches: what it costs each process, and what a member that fails costs the others.
+//! Calls to a group through branches: their traffic per process, and the effect of a member that fails.
 
 use futures::FutureExt as _;
 use porthoist_core::LinkRate;
@@ -29,21 +29,21 @@
 use tokio::sync::watch;
 use tokio::task::{JoinHandle, LocalSet};
 
-/// Sets and experts of the largest deployment.
+/// Number of sets, and of experts per set, in the largest deployment.
 const SETS: usize = 16;
 const EXPERTS: usize = 258;
-/// Zones of a deployment.
+/// Number of zones in a deployment.
 const ZONES: usize = 5;
 
-/// Longer than a busy machine keeps any of these processes from answering, so that only one that is silent is given up. All
-/// of them share a thread: with the least times in use, 150 ms and 30, answers came late beside a load of three a core.
-const PATIENCE: Duration = Duration::from_secs(4);
+/// Longer than a busy machine delays any of these processes, so that only silent ones time out. All of them share a thread:
+/// with the timeouts used in production, 150 ms and 30, answers are late at a load of three per core.
+const TIMEOUT: Duration = Duration::from_secs(4);
 
-fn patience() -> GroupTimeouts {
-    GroupTimeouts::with_minimums(PATIENCE, PATIENCE)
+fn timeouts() -> GroupTimeouts {
+    GroupTimeouts::with_minimums(TIMEOUT, TIMEOUT)
 }
 
-/// An engine that counts, remembers its orders and may fall silent.
+/// An engine that counts, records its orders and may stop answering.
 #[derive(Debug, Default)]
 struct Engine {
     rank: usize,
@@ -103,14 +103,14 @@
     }
 }
 
-/// A process beside a rank.
+/// A process next to a rank.
 struct Process {
     engine: Rc<Engine>,
     traffic: ControlTraffic,
     accepting: Option<JoinHandle<()>>,
 }
 
-/// A group of processes on loopback addresses of their own.
+/// A group of processes, each on its own loopback address.
 struct Group {
     port: u16,
     network: u8,
@@ -135,7 +135,7 @@
         group
     }
 
-    /// Begins a process anew: it knows nothing of before, and what was connected to it stays with the old one.
+    /// Restarts a process. The new one knows nothing of the old one, to which existing connections remain.
     async fn restart(&mut self, rank: usize) {
         let (port, network) = (self.port, self.network);
         let process = &mut self.processes[rank];
@@ -156,7 +156,7 @@
         process.accepting = Some(tokio::task::spawn_local(serve_ranks(listener, Rc::new(serving))));
     }
 
-    /// Puts something in a process's place that takes connections and says nothing.
+    /// Replaces a process by one that accepts connections and never answers.
     async fn mute(&mut self, rank: usize) {
         let (port, network) = (self.port, self.network);
         let process = &mut self.processes[rank];
@@ -177,7 +177,7 @@
         Rc::new(PeerPool::new(self.port, self.processes[0].traffic.clone()))
     }
 
-    /// The group as the process beside its first rank reaches it.
+    /// The group as seen from the process next to its first rank.
     fn branched(&self) -> BranchedGroup {
         let ranks = self.processes.len();
         let zone = |rank: usize| format!("z{}", rank * ZONES / ranks).parse().expect("a name");
@@ -185,41 +185,41 @@
         let hosts = (0..ranks).map(|rank| Some(host(self.network, rank))).collect();
         let branches = RankBranches::new(&others, self.peers());
         let own: Rc<dyn RankControl> = Rc::<Engine>::clone(&self.processes[0].engine);
-        BranchedGroup::new(own, hosts, branches, Rc::new(patience()), LinkRate(6.0))
+        BranchedGroup::new(own, hosts, branches, Rc::new(timeouts()), LinkRate(6.0))
     }
 
-    /// The same group with each rank asked straight.
+    /// The same group, with each rank called directly.
     fn direct(&self) -> DirectGroup {
         let peers = self.peers();
         let own: Rc<dyn RankControl> = Rc::<Engine>::clone(&self.processes[0].engine);
         let other = |rank: usize| -> Rc<dyn RankControl> { peers.get(host(self.network, rank)) };
         DirectGroup::new(std::iter::once(own).chain((1..self.processes.len()).map(other)).collect())
-            .with_timeouts(patience())
+            .with_timeouts(timeouts())
     }
 
-    /// Bytes of each process so far.
+    /// Bytes sent and received by each process so far.
     fn bytes(&self) -> Vec<u64> {
         self.processes.iter().map(|process| process.traffic.sent() + process.traffic.received()).collect()
     }
 }
 
-/// Bytes of the planning process and of the busiest other one in a round with counts, once all are connected.
-async fn bytes_of_a_round(group: &Group, reach: &dyn GroupControl) -> (u64, u64) {
-    let first = reach.observe(true).await;
+/// Returns the bytes of the planning process and of the busiest other one in a round with counts, once all are connected.
+async fn bytes_of_a_round(group: &Group, control: &dyn GroupControl) -> (u64, u64) {
+    let first = control.observe(true).await;
     assert!(first.states.iter().all(Option::is_some), "all ranks are read");
     let before = group.bytes();
-    let reading = reach.observe(true).await;
+    let reading = control.observe(true).await;
     assert_eq!(reading.counts, vec![group.processes.len() as u32; SETS * EXPERTS], "each rank counts once");
     let spent: Vec<u64> = group.bytes().iter().zip(before).map(|(now, before)| now - before).collect();
     (spent[0], spent[1..].iter().copied().max().unwrap_or_default())
 }
 
-/// Bytes of one round with counts that any process of a group may send and receive, for each root of its ranks: 4.1 KB of
-/// counts and the states of a branch. A group of 129 takes 67.8 KB, 0.09 s of a link of 6 Mbit/s, and took 573 KB with each
-/// rank asked straight.
-const BYTES_A_ROOT: f64 = 6_000.0;
+/// Bytes that any process of a group may send and receive in a round with counts, per square root of the number of ranks:
+/// 4.1 KB of counts and the states of a branch. A group of 129 takes 67.8 KB, 0.09 s of a link of 6 Mbit/s, and 573 KB if
+/// each rank is called directly.
+const BYTES_PER_ROOT: f64 = 6_000.0;
 
-/// Places of a list at which nothing was heard.
+/// Indices at which there is no answer.
 fn missing<T>(heard: &[Option<T>]) -> Vec<usize> {
     let silent = heard.iter().enumerate().filter(|(_place, heard)| heard.is_none());
     silent.map(|(place, _heard)| place).collect()
@@ -233,13 +233,13 @@
 async fn a_round_costs_no_process_more_than_the_root_of_the_group(network: u8, ranks: usize) {
     let played = async {
         let group = Group::start(network, ranks).await;
-        let bound = BYTES_A_ROOT * (ranks.max(144) as f64).sqrt();
+        let bound = BYTES_PER_ROOT * (ranks.max(144) as f64).sqrt();
         let (planner, busiest) = bytes_of_a_round(&group, &group.branched()).await;
         assert!((planner as f64) < bound, "{ranks} ranks: {planner} bytes at the process that plans");
         assert!((busiest as f64) < bound, "{ranks} ranks: {busiest} bytes at another");
         if ranks == 129 {
             let (direct, _member) = bytes_of_a_round(&group, &group.direct()).await;
-            assert!(direct > 6 * planner, "{direct} bytes with each rank asked straight, {planner} without");
+            assert!(direct > 6 * planner, "{direct} bytes with each rank called directly, {planner} without");
         }
     };
     LocalSet::new().run_until(played).await;
@@ -249,11 +249,11 @@
 async fn states_lists_and_orders_pass_through_branches_as_they_are() {
     let played = async {
         let group = Group::start(35, 40).await;
-        let reach = group.branched();
-        let reading = reach.observe(false).await;
+        let control = group.branched();
+        let reading = control.observe(false).await;
         let direct = group.direct().observe(false).await;
         assert_eq!(reading.states, direct.states);
-        let lists = reach.lists().await;
+        let lists = control.lists().await;
         let own = |rank: usize| ExpertLists {
             version: MapVersion(2),
             experts: vec![vec![ExpertId(rank as u16)]; SETS],
@@ -264,7 +264,7 @@
             .filter(|rank| rank % 3 != 1)
             .map(|rank| (rank, EngineOrder::Arm { epoch: GroupEpoch(1), armed: armed(rank) }))
             .collect();
-        let answers = reach.order(&orders, None).await;
+        let answers = control.order(&orders, None).await;
         assert_eq!(answers, vec![Some(OrderAnswer { taken: true, view: Some(view()) }); orders.len()]);
         for (rank, process) in group.processes.iter().enumerate() {
             let expected: Vec<EngineOrder> =
@@ -292,29 +292,30 @@
     (0..ranks).map(|rank| (rank, order(rank))).collect()
 }
 
-/// Bytes that a map which differs in one list may cost all processes together, for each rank.
-const CHANGE_BYTES_A_RANK: u64 = 700;
+/// Bytes per rank that a map which differs in one list may cost all processes together.
+const CHANGE_BYTES_PER_RANK: u64 = 700;
 
-/// A base that was forgotten with its connection made every later map a whole one: 1.7 s of a link of 6 Mbit/s.
+/// The base of map changes must outlive the connection. Otherwise every later map is sent whole, which takes 1.7 s of a link
+/// of 6 Mbit/s.
 #[tokio::test]
 async fn maps_go_as_changes_also_over_new_connections_and_whole_to_a_process_that_began_anew() {
     const RANKS: usize = 40;
     let played = async {
         let mut group = Group::start(36, RANKS).await;
-        let reach = group.branched();
+        let control = group.branched();
         let all = |answers: &[Option<OrderAnswer>]| answers.iter().all(Option::is_some);
-        assert!(all(&reach.order(&prepares(RANKS, 11), Some(&map(RANKS, 0))).await));
+        assert!(all(&control.order(&prepares(RANKS, 11), Some(&map(RANKS, 0))).await));
         let before: u64 = group.bytes().iter().sum();
-        assert!(all(&reach.order(&prepares(RANKS, 12), Some(&map(RANKS, 1))).await));
+        assert!(all(&control.order(&prepares(RANKS, 12), Some(&map(RANKS, 1))).await));
         let spent = group.bytes().iter().sum::<u64>() - before;
         assert!(
-            spent < CHANGE_BYTES_A_RANK * RANKS as u64,
+            spent < CHANGE_BYTES_PER_RANK * RANKS as u64,
             "{spent} bytes for a map that differs in one list"
         );
-        // Another planning process, over connections of its own, knows of no map that the others have.
+        // Another planning process has its own connections and does not know which maps the others have.
         let later = group.branched();
         assert!(all(&later.order(&prepares(RANKS, 13), Some(&map(RANKS, 2))).await));
-        // Whoever began anew gets the whole of it, from its head or as a head.
+        // A restarted process gets the whole map, from its head or as a head.
         for rank in [1, 2, 5, 39] {
             group.restart(rank).await;
         }
@@ -328,8 +329,7 @@
     LocalSet::new().run_until(played).await;
 }
 
-/// A head that is silent, in any of the calls that it stands for its branch in, costs only its own rank: the next member
-/// stands for the branch in the same round.
+/// A head that does not answer, whatever the call, costs only its own rank: the next member replaces it in the same round.
 #[test_case(37, "sweep"; "while it reads")]
 #[test_case(38, "order"; "while it orders")]
 #[tokio::test]
@@ -338,16 +338,16 @@
         let mut group = Group::start(network, 60).await;
         // The first host of the first branch: its head.
         group.mute(1).await;
-        let reach = group.branched();
+        let control = group.branched();
         if call == "sweep" {
-            let reading = reach.observe(true).await;
+            let reading = control.observe(true).await;
             let missing = missing(&reading.states);
             assert_eq!(missing, [1]);
             assert_eq!(reading.counts, vec![59; SETS * EXPERTS]);
         } else {
             let hold = EngineOrder::Hold { epoch: GroupEpoch(1), step: StepNumber(9) };
             let orders: Vec<(usize, EngineOrder)> = (0..60).map(|rank| (rank, hold)).collect();
-            let answers = reach.order(&orders, None).await;
+            let answers = control.order(&orders, None).await;
             let missing = missing(&answers);
             assert_eq!(missing, [1]);
         }
@@ -355,17 +355,17 @@
     LocalSet::new().run_until(played).await;
 }
 
-/// So does a rank whose engine says nothing, beside a head that answers.
+/// A rank whose engine does not answer costs only its own rank as well, while the head answers.
 #[tokio::test]
 async fn a_silent_engine_costs_only_its_own_rank() {
     let played = async {
         let group = Group::start(40, 60).await;
-        let reach = group.branched();
-        assert!(reach.observe(true).await.states.iter().all(Option::is_some));
+        let control = group.branched();
+        assert!(control.observe(true).await.states.iter().all(Option::is_some));
         for rank in [1, 30] {
             group.processes[rank].engine.silent.set(true);
         }
-        let reading = reach.observe(true).await;
+        let reading = control.observe(true).await;
         let missing = missing(&reading.states);
         assert_eq!(missing, [1, 30]);
         assert_eq!(reading.counts, vec![58; SETS * EXPERTS]);
@@ -373,12 +373,12 @@
     LocalSet::new().run_until(played).await;
 }
 
-/// Each process of a group tells those who ask what the one that plans told, with the hosts once.
+/// Each process of a group reports the loads that the planning process distributed; the hosts are sent only once.
 #[tokio::test]
 async fn all_processes_tell_the_loads_that_were_told_to_branches() {
     let played = async {
         let group = Group::start(39, 30).await;
-        let reach = group.branched();
+        let control = group.branched();
         let loads = |revision: u64| {
             let ranks =
                 (0..30).map(|rank| RankLoad { host: host(39, rank), requests: rank as u32, silent: false });
@@ -387,11 +387,11 @@
         let asked = RankPeer::new((host(39, 17), group.port).into());
         assert_eq!(asked.loads(LoadRevision(0)).await.expect("an answer"), LoadsAnswer::Redirect(None));
         for revision in [5, 6] {
-            // One report at a time is on its way.
+            // Only one report is sent at a time.
             while asked.loads(LoadRevision(0)).await.expect("an answer")
                 != LoadsAnswer::Loads(loads(revision))
             {
-                reach.branches().publish_loads(&loads(revision));
+                control.branches().publish_loads(&loads(revision));
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         }
--- a/crates/porthoist-fleet/tests/rank.rs
+++ b/crates/porthoist-fleet/tests/rank.rs
@@ -1,4 +1,4 @@
-//! A process beside an engine tells the loads of its group or where to ask for them, and passes orders and maps on.
+//! A process next to an engine reports the loads of its group or where to ask for them, and forwards orders and maps.
 
 use futures::FutureExt as _;
 use porthoist_fleet::{
@@ -19,9 +19,9 @@
 use tokio::sync::watch;
 use tokio::task::LocalSet;
 
-/// An idle engine that remembers the maps it is given.
+/// An idle engine that records the maps it receives.
 #[derive(Debug, Default)]
-struct IdleLink {
+struct IdleRank {
     maps: RefCell<Vec<EqualShareMap>>,
 }
 
@@ -36,7 +36,7 @@
     busy: false,
 };
 
-impl RankControl for IdleLink {
+impl RankControl for IdleRank {
     fn observe(&self, _counts: bool) -> RankFuture<'_, RankObservation> {
         let state = RankState {
             view: VIEW,
@@ -73,12 +73,12 @@
     GroupLoads { revision: LoadRevision(revision), pass: GroupPass::Millis(47), ranks: ranks.collect() }
 }
 
-/// A process beside [`IdleLink`] on a free port, and the way to it.
+/// Starts a process next to [`IdleRank`] on a free port, and returns a client of it.
 async fn start(published: &watch::Sender<Option<GroupLoads>>) -> RankPeer {
-    start_beside(Rc::default(), published).await
+    start_with_rank(Rc::default(), published).await
 }
 
-async fn start_beside(link: Rc<IdleLink>, published: &watch::Sender<Option<GroupLoads>>) -> RankPeer {
+async fn start_with_rank(link: Rc<IdleRank>, published: &watch::Sender<Option<GroupLoads>>) -> RankPeer {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("a bound address");
     let loads_publisher = LoadsPublisher::new(published.subscribe());
@@ -136,7 +136,7 @@
     LocalSet::new().run_until(asked).await;
 }
 
-/// A map of 64 ranks in 8 sets, five experts a rank, with some lists that depend on `changed`.
+/// A map of 64 ranks in 8 sets with five experts per rank, in which some lists depend on `changed`.
 fn large_map(changed: u16) -> EqualShareMap {
     let expert = |set: u16, rank: u16, place: u16| match (set, rank % 9) {
         (3, 0) => ExpertId((rank + place + changed) % 320),
@@ -150,8 +150,8 @@
 async fn maps_arrive_as_they_were_planned_also_as_changes() {
     let published = watch::Sender::new(None);
     let played = async {
-        let link = Rc::new(IdleLink::default());
-        let peer = start_beside(Rc::clone(&link), &published).await;
+        let link = Rc::new(IdleRank::default());
+        let peer = start_with_rank(Rc::clone(&link), &published).await;
         let maps = [large_map(0), large_map(7), large_map(7), large_map(30)];
         for (number, map) in maps.iter().enumerate() {
             let version = MapVersion(1 + number as u32);
@@ -160,7 +160,7 @@
             let answer = peer.order(order, Some(map)).await.expect("an answer");
             assert!(answer.taken);
             if number == 1 {
-                // The next connection knows no map.
+                // No map was sent over the next connection.
                 peer.reset();
             }
         }
--- a/crates/porthoist-fleet/tests/zone.rs
+++ b/crates/porthoist-fleet/tests/zone.rs
@@ -1,4 +1,4 @@
-//! A process that follows the tables for a zone counts the entries that ask, and passes on what they heard of targets.
+//! A process that follows the tables for a zone counts the entries that query it, and passes on what they know of targets.
 
 use futures::FutureExt as _;
 use porthoist_core::{ClockSource, RequestRate, StartMillis, UnixMillis};
@@ -28,11 +28,11 @@
 use tokio::sync::watch;
 use tokio::task::LocalSet;
 
-/// A clock that is set by hand.
+/// A clock that tests set.
 #[derive(Debug)]
-struct HandClock(AtomicU64);
+struct ManualClock(AtomicU64);
 
-impl ClockSource for HandClock {
+impl ClockSource for ManualClock {
     fn now(&self) -> UnixMillis {
         UnixMillis(self.0.load(Ordering::Relaxed))
     }
@@ -40,10 +40,10 @@
 
 const TABLE_ERA: TableEra = TableEra(3);
 
-/// Only a hang exceeds this.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Long enough that only a hang exceeds it.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A table whose rows stay.
+/// A table whose rows never change.
 #[derive(Debug, Default)]
 struct FixedTable(Vec<TableRow>);
 
@@ -62,7 +62,7 @@
     }
 }
 
-/// No engine at all.
+/// A rank without an engine.
 #[derive(Debug)]
 struct NoEngine;
 
@@ -84,14 +84,14 @@
     }
 }
 
-async fn start(clock: &Arc<HandClock>) -> RankPeer {
+async fn start(clock: &Arc<ManualClock>) -> RankPeer {
     start_with(clock, FixedTable::default()).await
 }
 
-async fn start_with(clock: &Arc<HandClock>, table: FixedTable) -> RankPeer {
+async fn start_with(clock: &Arc<ManualClock>, table: FixedTable) -> RankPeer {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let shared: Arc<dyn ClockSource> = Arc::<HandClock>::clone(clock);
+    let shared: Arc<dyn ClockSource> = Arc::<ManualClock>::clone(clock);
     let logger = Logger::root(Discard, o!());
     let serving = RankService::builder()
         .link(Rc::new(NoEngine))
@@ -113,34 +113,34 @@
         wait: Duration::from_secs(1),
     };
     let notes = notes.iter().map(|note| note.aged(UnixMillis(now))).collect();
-    peer.query(ask, &EntryReport { entry: EntryId(entry), notes }, PATIENCE).await.unwrap()
+    peer.query(ask, &EntryReport { entry: EntryId(entry), notes }, TIMEOUT).await.unwrap()
 }
 
 #[tokio::test]
 async fn entries_learn_their_places_and_what_others_heard() {
-    let clock = Arc::new(HandClock(AtomicU64::new(100_000)));
+    let clock = Arc::new(ManualClock(AtomicU64::new(100_000)));
     let asked = async {
         let peer = start(&clock).await;
         assert_eq!(ask(&peer, 7, &[], 0).await.position, None, "others may not have asked yet");
         assert_eq!(ask(&peer, 3, &[], 0).await.position, None);
         clock.0.store(104_000, Ordering::Relaxed);
-        // The entry's own clock shows another time of day.
+        // The clock of the entry differs from that of the process.
         let life = TargetLife { id: "t".parse().unwrap(), born: StartMillis(5) };
         let heard = TargetNote { life, limit: Some(RequestRate(1.5)), as_of: UnixMillis(9_000) };
         let first = ask(&peer, 3, std::slice::from_ref(&heard), 9_300).await;
         let second = ask(&peer, 7, &[], 0).await;
         assert_eq!(first.position, Some(EntryPosition { index: 0, entries: 2 }));
         assert_eq!(second.position, Some(EntryPosition { index: 1, entries: 2 }));
-        let told: Vec<TargetNote> =
+        let received: Vec<TargetNote> =
             second.notes.into_iter().map(|note| note.to_local(UnixMillis(55_000))).collect();
-        assert_eq!(told, [TargetNote { as_of: UnixMillis(54_700), ..heard }]);
+        assert_eq!(received, [TargetNote { as_of: UnixMillis(54_700), ..heard }]);
     };
     LocalSet::new().run_until(asked).await;
 }
 
 #[tokio::test]
 async fn who_is_no_entry_is_not_counted() {
-    let clock = Arc::new(HandClock(AtomicU64::new(100_000)));
+    let clock = Arc::new(ManualClock(AtomicU64::new(100_000)));
     let asked = async {
         let peer = start(&clock).await;
         ask(&peer, 3, &[], 0).await;
@@ -163,31 +163,30 @@
     TableRow { key: "config".to_owned(), value, version: TableRevision::new(TABLE_ERA, 1) }
 }
 
-/// Rows larger than one answer come in pieces; much larger ones are to be fetched from the table service.
+/// Rows larger than one answer come in pieces; much larger ones must be fetched from the table service.
 #[test_case::test_case(100_000, true; "in pieces")]
 #[test_case::test_case(200_000, false; "too much")]
 #[tokio::test]
-async fn a_large_row_is_told_in_pieces(bytes: usize, told: bool) {
-    let clock = Arc::new(HandClock(AtomicU64::new(100_000)));
+async fn a_large_row_is_told_in_pieces(bytes: usize, sent: bool) {
+    let clock = Arc::new(ManualClock(AtomicU64::new(100_000)));
     let asked = async {
         let row = noisy_row(bytes);
         let peer = start_with(&clock, FixedTable(vec![row.clone()])).await;
         match ask(&peer, 3, &[], 0).await.update {
             TableUpdate::Newer { rows, .. } => {
-                assert!(told);
+                assert!(sent);
                 assert_eq!(rows.revision, TableRevision::new(TABLE_ERA, 1));
                 assert_eq!(rows.value[0].value, ValueUpdate::Whole(row.value));
             }
-            other => assert_eq!((other, told), (TableUpdate::TooMuch, false)),
+            other => assert_eq!((other, sent), (TableUpdate::TooMuch, false)),
         }
     };
     LocalSet::new().run_until(asked).await;
 }
 
-/// What operators saw: a process beside a rank held 1,970 of its 2,048 files, at 300 hosts as at 1,047. In order: a rank is silent;
-/// its connection is left, and another is made; both stay open.
-///
-/// Cause: a connection that was left stayed open at both ends for as long as the processes lived.
+/// A dropped connection must be closed. When a rank does not answer, its connection is dropped and another is made. If the
+/// old one stays open at both ends, a process next to a rank soon holds 1,970 of its 2,048 files, with 300 hosts as with
+/// 1,047.
 #[tokio::test]
 async fn a_connection_that_is_left_is_closed() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -202,12 +201,12 @@
             let silent = tokio::time::timeout(Duration::from_millis(20), &mut observed).await;
             silent.unwrap_err();
             peer.reset();
-            // The call that is under way keeps it open.
+            // The pending call keeps the connection open.
             let mut bytes = Vec::new();
             let ended = tokio::time::timeout(Duration::from_millis(20), stream.read_to_end(&mut bytes)).await;
             assert!(ended.is_err(), "a call is still under way");
             drop(observed);
-            tokio::time::timeout(PATIENCE, stream.read_to_end(&mut bytes))
+            tokio::time::timeout(TIMEOUT, stream.read_to_end(&mut bytes))
                 .await
                 .expect("it is closed")
                 .unwrap();
--- a/crates/porthoist-group/src/controller.rs
+++ b/crates/porthoist-group/src/controller.rs
@@ -378,9 +378,9 @@
         if self.window_counts.iter().sum::<u64>() < MIN_CHOICES * self.shape.sets as u64 {
             return false;
         }
-        let news = self.demand.add_window(&self.window_counts);
+        let change = self.demand.add_window(&self.window_counts);
         self.window_counts.fill(0);
-        self.shifting = news == DemandChange::PossibleShift;
+        self.shifting = change == DemandChange::PossibleShift;
         true
     }
 
