--- a/crates/porthoist-target/src/lib.rs
+++ b/crates/porthoist-target/src/lib.rs
@@ -1,7 +1,6 @@
-//! Model engines and plain services as peers, and the last word on every request.
+//! The target side: decides on offered requests and runs them on the model engine or plain service next to the process.
 //!
-//! The offers actor holds the gate, the queue and the kept answers; the runner makes the calls to the engine or
-//! service beside it.
+//! The offers actor owns the gate, the queue and the retained answers; the runner calls the engine or service.
 
 pub mod log;
 pub mod offers;
--- a/crates/porthoist-target/src/log.rs
+++ b/crates/porthoist-target/src/log.rs
@@ -1,6 +1,6 @@
-//! The answer of one run, as it grows.
+//! Log of the answer of one run.
 //!
-//! The run appends to it; every offer of the same ticket follows it from where its caller stopped.
+//! The run appends to the log. Every offer with the same ticket follows it from the last event that its caller has.
 
 use bytes::Bytes;
 use porthoist_core::{AnswerHead, RefusalReason, RunVerdict, UnixMillis};
@@ -10,30 +10,32 @@
 /// How a run ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LogEnd {
-    /// It was refused, or failed.
+    /// The request was refused, or the run failed.
     Refused {
-        /// Why.
+        /// The reason.
         reason: RefusalReason,
-        /// Whether it may have run.
+        /// Whether the request may have run.
         verdict: RunVerdict,
-        /// When another try makes sense.
+        /// The earliest time at which a retry is useful.
         retry_at: Option<UnixMillis>,
     },
-    /// A whole answer.
+    /// A complete answer.
     Whole {
         /// Status and headers.
         head: AnswerHead,
-        /// Body.
+        /// The body.
         body: Bytes,
     },
-    /// All events of the stream are there.
+    /// The stream is complete.
     StreamDone,
 }
 
 #[derive(Debug)]
 struct LogState {
+    /// Number of the last event before the log.
     base: u64,
     events: Vec<Bytes>,
+    /// Total size of `events`.
     bytes: usize,
     end: Option<LogEnd>,
 }
@@ -60,39 +62,39 @@
 }
 
 impl AnswerLog {
-    /// An empty log of an answer whose events up to `base` were delivered before.
+    /// Creates an empty log of an answer whose events up to `base` were delivered before.
     pub fn new(base: u64) -> Arc<Self> {
         let state = Mutex::new(LogState { base, events: Vec::new(), bytes: 0, end: None });
         Arc::new(Self { state, changed: watch::Sender::new(0) })
     }
 
     fn state(&self) -> MutexGuard<'_, LogState> {
-        self.state.lock().expect("no thread panics while it holds the log")
+        self.state.lock().expect("no thread panics while it holds the lock")
     }
 
-    fn announce(&self) {
+    fn notify_followers(&self) {
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Appends an event; a repeated one is dropped, one after a gap is an error.
+    /// Appends an event. A repeated event is dropped; a gap before the event is an error.
     pub fn push(&self, event: u64, data: Bytes) -> Result<(), EventGap> {
         self.state().append(event, data)?;
-        self.announce();
+        self.notify_followers();
         Ok(())
     }
 
-    /// Ends the log; the first end counts.
+    /// Ends the log; later calls have no effect.
     pub fn finish(&self, end: LogEnd) {
         self.state().end.get_or_insert(end);
-        self.announce();
+        self.notify_followers();
     }
 
-    /// How the run ended, if it has.
+    /// Returns how the run ended, if it has.
     pub fn end(&self) -> Option<LogEnd> {
         self.state().end.clone()
     }
 
-    /// Bytes kept.
+    /// Returns the size of the logged answer in bytes.
     pub fn size(&self) -> usize {
         let state = self.state();
         let body = match &state.end {
@@ -107,34 +109,34 @@
         LogFollower { log: Arc::clone(self), position: resume_after, changed: self.changed.subscribe() }
     }
 
-    /// Waits until nobody follows it.
-    pub async fn unfollowed(&self) {
+    /// Waits until the log has no followers.
+    pub async fn wait_until_unfollowed(&self) {
         self.changed.closed().await;
     }
 
-    /// Whether anybody follows it.
-    pub fn followed(&self) -> bool {
+    /// Whether the log has followers.
+    pub fn is_followed(&self) -> bool {
         self.changed.receiver_count() > 0
     }
 }
 
-/// An event that does not follow the one before it.
+/// Error of appending an event that does not directly follow the last one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EventGap {
-    /// The event that had to come.
+    /// The expected event number.
     pub expected: u64,
-    /// The event that came.
+    /// The given event number.
     pub given: u64,
 }
 
-/// What a follower sees next.
+/// What a follower receives.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LogUpdate {
-    /// Events, the first with this number.
+    /// The number of the first event, and the events.
     Events(u64, Vec<Bytes>),
-    /// The end; every event was seen.
+    /// The end of the log, after all its events.
     End(LogEnd),
-    /// Events before the log's base were asked for: it can't give them.
+    /// The follower asked for events before the log's base, which are not available.
     Missing,
 }
 
@@ -147,12 +149,12 @@
 }
 
 impl LogFollower {
-    /// Waits for events or the end.
+    /// Waits for further events or the end.
     pub async fn next(&mut self) -> LogUpdate {
         loop {
             self.changed.borrow_and_update();
-            if let Some(news) = self.poll() {
-                return news;
+            if let Some(update) = self.poll() {
+                return update;
             }
             if self.changed.changed().await.is_err() {
                 return LogUpdate::Missing;
--- a/crates/porthoist-target/src/offers.rs
+++ b/crates/porthoist-target/src/offers.rs
@@ -1,6 +1,7 @@
-//! The actor with the last word: gate, queue, kept answers and the drain flag of one target process.
+//! Actor that decides on every request offered to a target process.
 //!
-//! Its refusal is proof that the request did not run, because nothing runs but through it.
+//! It owns the gate, the queue, the retained answers and the drain flag. No request runs without it, so its refusal proves
+//! that the request did not run.
 
 use crate::log::{AnswerLog, LogEnd, LogFollower};
 use crate::runner::RunJob;
@@ -19,36 +20,36 @@
 use std::sync::Arc;
 use tokio::sync::watch;
 
-/// Tickets and unrepeatable attempts remembered at most.
+/// Largest number of tickets and non-repeatable attempts that the gate remembers.
 pub const GATE_CAPACITY: usize = 200_000;
-/// Bytes of finished answers kept at most.
-pub const KEPT_ANSWER_BYTES: usize = 32 * 1024 * 1024;
-/// Tickets minted for one call at most.
+/// Largest total size of the retained answers in bytes.
+pub const MAX_RETAINED_BYTES: usize = 32 * 1024 * 1024;
+/// Largest number of tickets minted by one call.
 pub const MAX_TICKET_BATCH: u32 = 256;
-/// A ticket's deadline lies at most so far ahead, in milliseconds.
+/// Longest lifetime of a ticket, in milliseconds.
 pub const MAX_TICKET_MILLIS: u64 = 24 * 60 * 60 * 1000;
 
-/// The weight of a team as the configuration in force has it.
+/// Looks up a team's weight in the configuration in force.
 pub type TeamWeights = Arc<dyn Fn(&TeamName) -> f64 + Send + Sync>;
 
-/// Settings of the actor.
+/// Settings of the offers actor.
 #[derive(bon::Builder)]
 pub struct OffersSettings {
     /// The target's name.
     pub target: TargetName,
-    /// This life of the process.
+    /// Identifies this run of the process.
     pub incarnation: IncarnationId,
-    /// Signs tickets; it dies with the process.
+    /// Signs tickets; never leaves the process.
     pub key: TicketKey,
-    /// Slots and queue.
+    /// Settings of the slots and the queue.
     pub admission: AdmissionSettings,
-    /// The time.
+    /// The source of the current time.
     pub clock: Arc<dyn ClockSource>,
-    /// Requests that start go there.
+    /// Receives the requests to start.
     pub jobs: RingSender<RunJob>,
-    /// Team weights.
+    /// The weights of teams.
     pub weights: TeamWeights,
-    /// The load is published there after each change.
+    /// Receives the load after each change.
     pub load: watch::Sender<LoadReport>,
 }
 
@@ -64,16 +65,18 @@
     log: Arc<AnswerLog>,
 }
 
-/// The actor.
+/// Decides on offers, queues accepted requests and retains their answers.
 #[derive(Actor)]
 pub struct OffersActor {
     settings: OffersSettings,
     gate: GateMachine,
     queue: AdmissionQueue,
     active: HashMap<AttemptId, OfferRecord>,
-    kept: HashMap<GateKey, Arc<AnswerLog>>,
-    kept_order: VecDeque<GateKey>,
-    kept_bytes: usize,
+    retained: HashMap<GateKey, Arc<AnswerLog>>,
+    /// Keys of the finished answers, the oldest first.
+    retained_order: VecDeque<GateKey>,
+    /// Total size of the finished answers.
+    retained_bytes: usize,
     prefixes: PrefixView,
 }
 
@@ -83,27 +86,27 @@
     }
 }
 
-/// A refusal with the time after which another try makes sense.
+/// A refusal of an offer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OfferRefusal {
-    /// Why.
+    /// The reason.
     pub reason: RefusalReason,
-    /// Whether it may have run.
+    /// Whether the request may have run.
     pub verdict: RunVerdict,
-    /// When to come back.
+    /// The earliest time at which a retry is useful.
     pub retry_at: Option<UnixMillis>,
 }
 
 impl OffersActor {
-    /// An actor with an empty queue and memory.
+    /// Creates an actor with an empty queue.
     pub fn new(settings: OffersSettings) -> Self {
         Self {
             gate: GateMachine::new(settings.incarnation, GATE_CAPACITY),
             queue: AdmissionQueue::new(settings.admission),
             active: HashMap::new(),
-            kept: HashMap::new(),
-            kept_order: VecDeque::new(),
-            kept_bytes: 0,
+            retained: HashMap::new(),
+            retained_order: VecDeque::new(),
+            retained_bytes: 0,
             prefixes: PrefixView::new(PREFIX_CAPACITY),
             settings,
         }
@@ -113,7 +116,7 @@
         self.settings.clock.now()
     }
 
-    /// Prompt tokens believed to be in the engine's cache: what ran here lately.
+    /// Estimates the prompt tokens in the engine's cache from the requests that ran here recently.
     fn cached_tokens(&self, blocks: &[u64]) -> u32 {
         self.prefixes.cached_blocks(blocks) as u32 * BLOCK_TOKENS
     }
@@ -185,7 +188,7 @@
         match decision {
             GateDecision::Run => Ok(self.accept(offer, key, starts)),
             GateDecision::Attach | GateDecision::Replay => {
-                self.known_log(key).map(|log| log.follow(offer.resume_after.unwrap_or(0)))
+                self.retained_log(key).map(|log| log.follow(offer.resume_after.unwrap_or(0)))
             }
             GateDecision::Refuse(reason, verdict) => Err(OfferRefusal { reason, verdict, retry_at }),
         }
@@ -194,10 +197,10 @@
     fn accept(&mut self, offer: &Arc<RequestOffer>, key: Option<GateKey>, starts: bool) -> LogFollower {
         let base = offer.resume_after.unwrap_or(0);
         let log = AnswerLog::new(base);
-        // The follower exists before the run starts, so that a run without followers is an abandoned one.
+        // The follower is created before the run starts, so that a run without followers counts as abandoned.
         let follower = log.follow(base);
         if let Some(key) = key {
-            self.kept.insert(key, Arc::clone(&log));
+            self.retained.insert(key, Arc::clone(&log));
         }
         let record = OfferRecord { offer: Arc::clone(offer), key, log: Arc::clone(&log) };
         self.active.insert(offer.attempt, record);
@@ -208,8 +211,8 @@
         follower
     }
 
-    fn known_log(&self, key: Option<GateKey>) -> Result<Arc<AnswerLog>, OfferRefusal> {
-        let log = key.and_then(|key| self.kept.get(&key));
+    fn retained_log(&self, key: Option<GateKey>) -> Result<Arc<AnswerLog>, OfferRefusal> {
+        let log = key.and_then(|key| self.retained.get(&key));
         let gone =
             OfferRefusal { reason: RefusalReason::AnswerGone, verdict: RunVerdict::Ran, retry_at: None };
         log.cloned().ok_or(gone)
@@ -222,12 +225,12 @@
         let job = RunJob { offer: Arc::clone(&record.offer), log: Arc::clone(&record.log) };
         if self.settings.jobs.try_send(job).is_err() {
             let retry_at = Some(self.queue.retry_at(self.now()));
-            self.give_up(attempt, RefusalReason::Overloaded, retry_at);
+            self.cancel(attempt, RefusalReason::Overloaded, retry_at);
         }
     }
 
-    /// Refuses a request that was accepted but has not run.
-    fn give_up(&mut self, attempt: AttemptId, reason: RefusalReason, retry_at: Option<UnixMillis>) {
+    /// Cancels an accepted request that has not run, and refuses it.
+    fn cancel(&mut self, attempt: AttemptId, reason: RefusalReason, retry_at: Option<UnixMillis>) {
         let now = self.now();
         self.queue.finished(now, attempt);
         let Some(record) = self.active.remove(&attempt) else {
@@ -235,15 +238,16 @@
         };
         if let Some(key) = record.key {
             self.gate.cancelled(key);
-            self.kept.remove(&key);
+            self.retained.remove(&key);
         }
         record.log.finish(LogEnd::Refused { reason, verdict: RunVerdict::NotRun, retry_at });
     }
 
+    /// Cancels expired requests and starts waiting ones that have a slot.
     fn start_waiting(&mut self) {
         let now = self.now();
         for attempt in self.queue.expired(now) {
-            self.give_up(attempt, RefusalReason::DeadlinePassed, Some(now));
+            self.cancel(attempt, RefusalReason::DeadlinePassed, Some(now));
         }
         for attempt in self.queue.next_starts(now) {
             self.start(attempt);
@@ -256,26 +260,27 @@
         if let Some(record) = self.active.remove(&attempt)
             && let Some(key) = record.key
         {
-            self.keep(key, &record.log);
+            self.retain(key, &record.log);
         }
         self.start_waiting();
     }
 
-    fn keep(&mut self, key: GateKey, log: &AnswerLog) {
+    /// Retains the answer of a finished run, and drops the oldest answers beyond the limits.
+    fn retain(&mut self, key: GateKey, log: &AnswerLog) {
         if let Some(LogEnd::Refused { verdict: RunVerdict::NotRun, .. }) = log.end() {
             self.gate.cancelled(key);
-            self.kept.remove(&key);
+            self.retained.remove(&key);
             return;
         }
         self.gate.finished(key);
-        self.kept_bytes += log.size();
-        self.kept_order.push_back(key);
-        while self.kept_bytes > KEPT_ANSWER_BYTES || self.kept_order.len() > GATE_CAPACITY {
-            let Some(oldest) = self.kept_order.pop_front() else {
+        self.retained_bytes += log.size();
+        self.retained_order.push_back(key);
+        while self.retained_bytes > MAX_RETAINED_BYTES || self.retained_order.len() > GATE_CAPACITY {
+            let Some(oldest) = self.retained_order.pop_front() else {
                 return;
             };
-            if let Some(dropped) = self.kept.remove(&oldest) {
-                self.kept_bytes -= dropped.size();
+            if let Some(dropped) = self.retained.remove(&oldest) {
+                self.retained_bytes -= dropped.size();
                 self.gate.answer_dropped(oldest);
             }
         }
@@ -296,14 +301,14 @@
     }
 }
 
-/// Asks for tickets.
+/// Requests tickets.
 #[derive(Debug)]
 pub struct MintTickets {
     /// The team that may use them.
     pub team: TeamName,
-    /// How many.
+    /// The number of tickets.
     pub count: u32,
-    /// When they end.
+    /// The deadline of the tickets.
     pub deadline: UnixDeadline,
 }
 
@@ -326,7 +331,7 @@
     }
 }
 
-/// A run is over; its log has its end.
+/// Reports that a run has ended, and its log with it.
 #[derive(Debug, Clone, Copy)]
 pub struct RunEnded(pub AttemptId);
 
@@ -339,7 +344,7 @@
     }
 }
 
-/// The first event of a run came.
+/// Reports the first event of a run.
 #[derive(Debug, Clone, Copy)]
 pub struct FirstEvent(pub AttemptId);
 
@@ -351,7 +356,7 @@
     }
 }
 
-/// Nobody waits for a request any more: it leaves the queue if it has not started.
+/// Removes a request from the queue if nobody waits for it and it has not started.
 #[derive(Debug, Clone, Copy)]
 pub struct OfferAbandoned(pub AttemptId);
 
@@ -359,15 +364,15 @@
     type Reply = ();
 
     async fn handle(&mut self, msg: OfferAbandoned, _ctx: &mut Context<Self, Self::Reply>) -> Self::Reply {
-        let waiting = self.active.get(&msg.0).is_some_and(|record| !record.log.followed());
-        if waiting && self.queue.is_waiting(msg.0) {
-            self.give_up(msg.0, RefusalReason::DeadlinePassed, None);
+        let abandoned = self.active.get(&msg.0).is_some_and(|record| !record.log.is_followed());
+        if abandoned && self.queue.is_waiting(msg.0) {
+            self.cancel(msg.0, RefusalReason::DeadlinePassed, None);
             self.publish();
         }
     }
 }
 
-/// The passing of time, and the engine's pace where it is known.
+/// A periodic tick, with the engine's pace if it is known.
 #[derive(Debug, Clone, Copy)]
 pub struct QueueTick(pub Option<crate::runner::EnginePace>);
 
--- a/crates/porthoist-target/src/runner.rs
+++ b/crates/porthoist-target/src/runner.rs
@@ -1,6 +1,6 @@
-//! Calls to the engine or plain service beside the target process.
+//! Calls to the engine or plain service next to the target process.
 //!
-//! A run's answer goes into its log; a failure says whether the request may have run.
+//! A run's answer is written to its log. A failure says whether the request may have run.
 
 use crate::log::{AnswerLog, LogEnd};
 use crate::offers::{FirstEvent, OffersActor, RunEnded};
@@ -17,45 +17,45 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// A request to run, and where its answer goes.
+/// A request to run, with the log for its answer.
 #[derive(Debug, Clone)]
 pub struct RunJob {
     /// The request.
     pub offer: Arc<RequestOffer>,
-    /// Its answer.
+    /// Receives the answer.
     pub log: Arc<AnswerLog>,
 }
 
-/// Load as an engine states it.
+/// Speed that an engine reports.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, serde::Deserialize)]
 #[serde(default)]
 pub struct EnginePace {
     /// Duration of one step in microseconds.
     pub step_micros: u32,
-    /// Prompt tokens computed a second, 0 where prompts cost nothing.
+    /// Prompt tokens processed per second; 0 if prompts take no time.
     pub prefill_rate: u32,
 }
 
-/// What runs requests.
+/// Runs requests on a back end.
 pub trait BackendRunner: fmt::Debug + Send + Sync {
-    /// Runs a request to its end; `first_event` is called when the first event comes.
+    /// Runs a request to its end; calls `first_event` at the first event.
     fn run(&self, job: RunJob, first_event: Box<dyn FnOnce() + Send>) -> BoxFuture<'static, ()>;
-    /// Asks for the engine's pace; a plain service has none.
+    /// Reads the engine's pace; a plain service has none.
     fn pace(&self) -> BoxFuture<'static, Result<EnginePace, CallError>>;
 }
 
-/// A back end over HTTP.
+/// Runs requests on a back end over HTTP.
 #[derive(Debug, Clone)]
 pub struct HttpRunner {
     base: String,
     client: HttpClient,
 }
 
-/// Headers of the answer that are the connection's own and are not passed on.
+/// Headers of the answer that concern only its connection and are not passed on.
 const HOP_HEADERS: [&str; 5] = ["connection", "content-length", "keep-alive", "transfer-encoding", "date"];
 
 impl HttpRunner {
-    /// A runner for the back end at `base`, for example `http://127.0.0.1:9000`.
+    /// Creates a runner for the back end at `base`, for example `http://127.0.0.1:9000`.
     pub fn new(base: impl Into<String>) -> Self {
         Self { base: base.into().trim_end_matches('/').to_owned(), client: HttpClient::new() }
     }
@@ -163,15 +163,15 @@
 
 const MODEL: porthoist_core::ServiceKind = porthoist_core::ServiceKind::Model;
 
-/// An engine's own error: it may have run, and a safe request can go elsewhere.
+/// The outcome for an engine's own error: the request may have run, and a safe one can be sent to another target.
 fn failed() -> LogEnd {
     let reason = RefusalReason::BackendFailed;
     LogEnd::Refused { reason, verdict: RunVerdict::MayHaveRun, retry_at: None }
 }
 
-/// Runs a job and tells the offers actor of its first event and its end.
+/// Runs a job and reports its first event and its end to the offers actor.
 ///
-/// A run that nobody waits for is cancelled if it may be repeated and no ticket can ask for its answer.
+/// An abandoned run is cancelled if its request may be repeated and has no ticket under which the answer may be fetched.
 pub async fn run_to_end(job: RunJob, runner: Arc<dyn BackendRunner>, actor: ActorRef<OffersActor>) {
     let attempt = job.offer.attempt;
     let log = Arc::clone(&job.log);
@@ -184,14 +184,14 @@
     if cancellable {
         tokio::select! {
             () = run => {}
-            () = log.unfollowed() => {}
+            () = log.wait_until_unfollowed() => {}
         }
     } else {
         run.await;
     }
-    // Without an end of its own the run was cancelled.
+    // If the log has no end yet, the run was cancelled.
     let (reason, verdict) = (RefusalReason::DeadlinePassed, RunVerdict::MayHaveRun);
     log.finish(LogEnd::Refused { reason, verdict, retry_at: None });
-    // The actor is gone only when the process ends.
+    // Sending fails only when the process is shutting down.
     let _told = actor.tell(RunEnded(attempt)).await;
 }
