--- a/crates/porthoist-caller/src/attempt.rs
+++ b/crates/porthoist-caller/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: an offer that is open at a target.
+//! Open attempts: offers that are pending at a target.
 
 use crate::ports::{OfferFailure, OfferPort};
 use futures::future::BoxFuture;
@@ -6,23 +6,23 @@
 use std::fmt;
 use tokio::sync::mpsc;
 
-/// Frames that wait for a slow caller.
+/// Largest number of frames that wait for a slow caller.
 const FRAME_BACKLOG: usize = 64;
 
-/// What an attempt says next.
+/// The next event of an attempt.
 #[derive(Debug)]
-pub enum AttemptNews {
+pub enum AttemptEvent {
     /// A frame of the answer.
     Frame(AnswerFrame),
-    /// Its end; no frames follow.
+    /// The end of the attempt; no frames follow.
     Ended(Result<OfferOutcome, OfferFailure>),
 }
 
-/// An open attempt; dropping it gives the offer up.
+/// An open attempt. Dropping it cancels the offer.
 pub struct OpenAttempt {
-    /// The attempt.
+    /// Identifies the attempt.
     pub id: AttemptId,
-    /// Where it runs.
+    /// The target to which the request is offered.
     pub target: TargetName,
     pending: BoxFuture<'static, Result<OfferOutcome, OfferFailure>>,
     frames: mpsc::Receiver<AnswerFrame>,
@@ -40,7 +40,7 @@
 }
 
 impl OpenAttempt {
-    /// Sends the offer.
+    /// Sends the offer to the target.
     pub fn open(offers: &dyn OfferPort, target: TargetName, offer: RequestOffer) -> Self {
         let (sender, frames) = mpsc::channel(FRAME_BACKLOG);
         let id = offer.attempt;
@@ -48,7 +48,7 @@
         Self { id, target, pending, frames, peeked: None, ended: None }
     }
 
-    /// Waits until there is news, without taking it.
+    /// Waits until the next event is available, without consuming it.
     pub async fn ready(&mut self) {
         if self.peeked.is_some() || self.ended.is_some() {
             return;
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Whether the news at hand is a failure.
+    /// Returns the failure if the available event is one.
     pub fn failed(&self) -> Option<OfferFailure> {
         match &self.ended {
             Some(Err(failure)) => Some(*failure),
@@ -71,17 +71,17 @@
         }
     }
 
-    /// The next news. Frames that came before the end are given first.
-    pub async fn next(&mut self) -> AttemptNews {
+    /// Waits for the next event. Frames that came before the end are returned first.
+    pub async fn next(&mut self) -> AttemptEvent {
         self.ready().await;
         if let Some(frame) = self.peeked.take() {
-            return AttemptNews::Frame(frame);
+            return AttemptEvent::Frame(frame);
         }
         if let Ok(frame) = self.frames.try_recv() {
-            return AttemptNews::Frame(frame);
+            return AttemptEvent::Frame(frame);
         }
         match self.ended.take() {
-            Some(ended) => AttemptNews::Ended(ended),
+            Some(ended) => AttemptEvent::Ended(ended),
             None => std::future::pending().await,
         }
     }
--- a/crates/porthoist-caller/src/delivery.rs
+++ b/crates/porthoist-caller/src/delivery.rs
@@ -1,4 +1,4 @@
-//! Where the answer of one request goes: held until whole, or streamed in order.
+//! Delivery of an answer to the caller, either once it is complete or as an ordered stream.
 
 use bytes::Bytes;
 use porthoist_core::{AnswerFrame, AnswerHead, AttemptId, UnixMillis};
@@ -6,27 +6,27 @@
 use std::io;
 use tokio::sync::{mpsc, oneshot};
 
-/// Pieces of a streamed answer that wait for a slow caller.
-pub const BODY_PIECES: usize = 64;
+/// Largest number of pieces of a streamed answer that wait for a slow caller.
+pub const MAX_WAITING_PIECES: usize = 64;
 /// Data of the last event of a completion's stream.
 pub const DONE_MARK: &[u8] = b"[DONE]";
 
-/// How an answer begins, as the connection's handler sees it.
+/// The start of an answer, as passed to the connection's handler.
 #[derive(Debug)]
 pub enum AnswerStart {
-    /// Events follow.
+    /// A stream of events.
     Streaming(mpsc::Receiver<Result<Bytes, io::Error>>),
-    /// All of it.
+    /// A complete answer.
     Whole(AnswerHead, Bytes),
-    /// Refused.
+    /// A refusal.
     Refused(crate::ports::CallerRefusal),
 }
 
-/// The caller is gone: nothing more is worth doing for a request that may be given up.
+/// The caller closed the connection, so that its request may be cancelled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerGone;
 
-/// The way to the caller.
+/// Delivers the answer of one request to its caller.
 #[derive(Debug)]
 pub struct AnswerDelivery {
     assembler: AnswerAssembler,
@@ -37,7 +37,7 @@
 }
 
 impl AnswerDelivery {
-    /// A delivery that begins with a message to `start`.
+    /// Creates a delivery whose start is sent to `start`.
     pub fn new(first: AttemptId, resume_after: Option<u64>, start: oneshot::Sender<AnswerStart>) -> Self {
         Self {
             assembler: AnswerAssembler::new(first, resume_after.unwrap_or(0)),
@@ -48,38 +48,38 @@
         }
     }
 
-    /// Frames are taken from this attempt from now on.
+    /// Accepts frames only from this attempt from now on.
     pub fn expect(&mut self, attempt: AttemptId) {
         self.assembler.restart(attempt);
     }
 
-    /// The last event that went to the caller, if any has.
+    /// Returns the last event that was sent to the caller, if any.
     pub fn last_event(&self) -> Option<u64> {
         let event = self.assembler.last_event();
         (event > 0).then_some(event)
     }
 
-    /// Whether a part of the answer is out.
+    /// Whether a part of the answer was sent to the caller.
     pub fn started(&self) -> bool {
         self.body.is_some()
     }
 
-    /// When the first byte went out.
+    /// Returns when the first byte was sent to the caller.
     pub fn first_byte_at(&self) -> Option<UnixMillis> {
         self.first_byte_at
     }
 
-    /// The assembler, for its counts.
+    /// Returns the assembler, for its counts.
     pub fn assembler(&self) -> &AnswerAssembler {
         &self.assembler
     }
 
-    /// Whether the frames that came are the whole stream.
+    /// Whether the received frames are the complete stream.
     pub fn complete(&self, frames: u64, digest: u64) -> bool {
         self.done_seen && self.assembler.complete(frames, digest)
     }
 
-    /// Takes a frame and sends its event on if it is the next one.
+    /// Checks a frame and sends its event to the caller if it is the next one.
     pub async fn frame(&mut self, now: UnixMillis, frame: &AnswerFrame) -> Result<FrameVerdict, CallerGone> {
         let verdict = self.assembler.frame(frame);
         if verdict != FrameVerdict::Deliver {
@@ -87,7 +87,7 @@
         }
         self.done_seen |= frame.data.as_ref() == DONE_MARK;
         if self.done_seen {
-            // The end mark is held back until the end is verified.
+            // The end mark is sent only after the complete stream was verified.
             return Ok(verdict);
         }
         let event = event_bytes(frame.event, &frame.data);
@@ -106,7 +106,7 @@
     }
 
     fn open(&mut self, now: UnixMillis) -> Result<(), CallerGone> {
-        let (sender, receiver) = mpsc::channel(BODY_PIECES);
+        let (sender, receiver) = mpsc::channel(MAX_WAITING_PIECES);
         let start = self.start.take().ok_or(CallerGone)?;
         start.send(AnswerStart::Streaming(receiver)).map_err(|_closed| CallerGone)?;
         self.first_byte_at = Some(now);
@@ -114,7 +114,7 @@
         Ok(())
     }
 
-    /// The stream is whole: the end mark goes out.
+    /// Ends a complete stream by sending the end mark.
     pub async fn finish_stream(&mut self, now: UnixMillis) -> Result<(), CallerGone> {
         let event = event_bytes(self.assembler.last_event(), DONE_MARK);
         self.send(now, event).await?;
@@ -122,17 +122,17 @@
         Ok(())
     }
 
-    /// Sends a whole answer.
+    /// Sends a complete answer.
     pub fn finish_whole(&mut self, now: UnixMillis, head: AnswerHead, body: Bytes) -> Result<(), CallerGone> {
         let start = self.start.take().ok_or(CallerGone)?;
         self.first_byte_at = Some(now);
         start.send(AnswerStart::Whole(head, body)).map_err(|_closed| CallerGone)
     }
 
-    /// Sends the refusal, or breaks off a stream so that it can't be taken for whole.
+    /// Sends the refusal, or aborts the stream so that the caller does not take it for complete.
     pub async fn refuse(&mut self, refusal: crate::ports::CallerRefusal) {
         if let Some(start) = self.start.take() {
-            // A caller that is gone needs no refusal.
+            // A caller that closed the connection needs no refusal.
             drop(start.send(AnswerStart::Refused(refusal)));
             return;
         }
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Waits until the caller is gone.
+    /// Waits until the caller closes the connection.
     pub async fn gone(&mut self) {
         match (&mut self.start, &self.body) {
             (Some(start), _) => start.closed().await,
--- a/crates/porthoist-caller/src/handler.rs
+++ b/crates/porthoist-caller/src/handler.rs
@@ -1,6 +1,6 @@
-//! The course of one request: route, offer, retry or hedge, and the final answer or refusal.
+//! Handling of one request: routing, offers, retries and hedges, and the final answer or refusal.
 
-use crate::attempt::{AttemptNews, OpenAttempt};
+use crate::attempt::{AttemptEvent, OpenAttempt};
 use crate::delivery::{AnswerDelivery, CallerGone};
 use crate::ports::{CallerPorts, CallerRefusal, OfferFailure, RouteReply, RouteRequest};
 use crate::request::{CallerKey, CallerRequest};
@@ -15,36 +15,36 @@
 use porthoist_policy::retry::FailedAttempt;
 use std::time::Duration;
 
-/// Pause before a target is tried again that broke off, where nobody else serves; it doubles each time.
+/// Pause before a failed target is tried again because no other serves the request; doubles each time.
 const SAME_TARGET_PAUSE: Duration = Duration::from_millis(100);
 
-/// How an attempt ended for the caller.
+/// How an attempt ended, as far as the caller is concerned.
 #[derive(Debug)]
 pub(crate) enum AttemptEnd {
-    /// A whole answer.
+    /// A complete answer.
     Whole(AnswerHead, Bytes),
-    /// All events are out but for the end mark.
+    /// All events were sent to the caller except the end mark.
     Streamed,
-    /// It failed.
+    /// The attempt failed.
     Failed(OfferFailure, Option<UnixMillis>),
-    /// The caller is gone.
+    /// The caller closed the connection.
     Gone,
 }
 
 /// How the request ended.
 #[derive(Debug)]
-pub(crate) enum CourseEnd {
-    /// A whole answer.
+pub(crate) enum RequestEnd {
+    /// A complete answer.
     Whole(AnswerHead, Bytes),
-    /// All events are out but for the end mark.
+    /// All events were sent to the caller except the end mark.
     Streamed,
-    /// Refused.
+    /// The request was refused.
     Refused(CallerRefusal),
-    /// The caller is gone.
+    /// The caller closed the connection.
     Gone,
 }
 
-/// One request on its way.
+/// Handles one request of a caller.
 #[derive(Debug)]
 pub struct RequestHandler {
     pub(crate) ports: CallerPorts,
@@ -55,12 +55,14 @@
     pub(crate) attempts: u32,
     received_at: UnixMillis,
     admitted: bool,
+    /// Whether an attempt is open.
     open: bool,
+    /// The highest verdict of the attempts so far.
     worst: RunVerdict,
 }
 
 impl RequestHandler {
-    /// A course at its beginning.
+    /// Creates a handler for a request that was just received.
     pub fn new(
         ports: CallerPorts,
         entry: IncarnationId,
@@ -84,16 +86,17 @@
         }
     }
 
-    /// Runs the course to its end and tells the caller.
+    /// Handles the request to its end and answers the caller.
     pub async fn run(mut self) {
         let team = self.request.team.clone();
         let service = self.request.service.clone();
         let prompt_tokens = self.request.prompt_tokens;
-        self.ports.decided(self.id, DecisionKind::Received { team: team.clone(), service, prompt_tokens });
+        self.ports
+            .record_decision(self.id, DecisionKind::Received { team: team.clone(), service, prompt_tokens });
         let remaining = self.request.deadline.remaining(self.ports.clock.now());
-        let end = match tokio::time::timeout(remaining, self.drive()).await {
+        let end = match tokio::time::timeout(remaining, self.answer()).await {
             Ok(end) => end,
-            Err(_elapsed) => CourseEnd::Refused(self.late()),
+            Err(_elapsed) => RequestEnd::Refused(self.deadline_refusal()),
         };
         self.conclude(end).await;
         if self.admitted {
@@ -101,15 +104,15 @@
         }
     }
 
-    async fn drive(&mut self) -> CourseEnd {
+    async fn answer(&mut self) -> RequestEnd {
         match self.request.key.clone() {
-            None => self.unkeyed().await,
+            None => self.without_key().await,
             Some(CallerKey::Ticket(ticket)) => self.with_ticket(ticket).await,
             Some(CallerKey::Own(key)) => self.with_own_key(key).await,
         }
     }
 
-    fn late(&self) -> CallerRefusal {
+    fn deadline_refusal(&self) -> CallerRefusal {
         let keyed = self.request.key.is_some();
         let verdict = if self.open || keyed { RunVerdict::MayHaveRun } else { self.worst };
         CallerRefusal {
@@ -120,13 +123,13 @@
         }
     }
 
-    async fn conclude(&mut self, end: CourseEnd) {
+    async fn conclude(&mut self, end: RequestEnd) {
         let now = self.ports.clock.now();
         let delivered = match end {
-            CourseEnd::Whole(head, body) => self.delivery.finish_whole(now, head, body),
-            CourseEnd::Streamed => self.delivery.finish_stream(now).await,
-            CourseEnd::Refused(refusal) => return self.refuse(refusal).await,
-            CourseEnd::Gone => Err(CallerGone),
+            RequestEnd::Whole(head, body) => self.delivery.finish_whole(now, head, body),
+            RequestEnd::Streamed => self.delivery.finish_stream(now).await,
+            RequestEnd::Refused(refusal) => return self.refuse(refusal).await,
+            RequestEnd::Gone => Err(CallerGone),
         };
         let dropped = self.delivery.assembler().dropped();
         self.ports.metrics.dropped_frames("foreign", dropped.foreign);
@@ -135,52 +138,52 @@
             let first_byte = self.delivery.first_byte_at().unwrap_or(now).since(self.received_at);
             self.ports.metrics.answer(first_byte as f64);
             self.ports.routing.first_token(first_byte);
-            self.ports.decided(self.id, DecisionKind::Answered { first_byte_millis: first_byte });
+            self.ports.record_decision(self.id, DecisionKind::Answered { first_byte_millis: first_byte });
         }
     }
 
     async fn refuse(&mut self, refusal: CallerRefusal) {
         self.ports.metrics.refusal(refusal.reason, refusal.verdict);
         let CallerRefusal { reason, verdict, .. } = refusal;
-        self.ports.decided(self.id, DecisionKind::Refused { reason, verdict });
+        self.ports.record_decision(self.id, DecisionKind::Refused { reason, verdict });
         self.delivery.refuse(refusal).await;
     }
 
-    async fn unkeyed(&mut self) -> CourseEnd {
+    async fn without_key(&mut self) -> RequestEnd {
         let mut exclude: Vec<TargetName> = Vec::new();
-        let mut same_again = false;
+        let mut retry_same_target = false;
         let mut pause = SAME_TARGET_PAUSE;
         loop {
-            let told = match self.route(&exclude, self.attempts > 0).await {
-                Ok(told) => told,
-                Err(refusal) if refusal.reason == RefusalReason::NoTarget && same_again => {
-                    // Nobody else serves it, and a target that broke off may do better after a moment.
+            let reply = match self.route(&exclude, self.attempts > 0).await {
+                Ok(reply) => reply,
+                Err(refusal) if refusal.reason == RefusalReason::NoTarget && retry_same_target => {
+                    // No other target serves the request, and the failed one may have recovered after a pause.
                     tokio::time::sleep(pause).await;
                     pause *= 2;
                     exclude.clear();
-                    same_again = false;
+                    retry_same_target = false;
                     continue;
                 }
-                Err(refusal) => return CourseEnd::Refused(self.worsened(refusal)),
+                Err(refusal) => return RequestEnd::Refused(self.with_worst_verdict(refusal)),
             };
-            let target = told.choice.target.clone();
-            let (failure, retry_at) = match self.offer_routed(told, &mut exclude).await {
-                AttemptEnd::Whole(head, body) => return CourseEnd::Whole(head, body),
-                AttemptEnd::Streamed => return CourseEnd::Streamed,
-                AttemptEnd::Gone => return CourseEnd::Gone,
+            let target = reply.choice.target.clone();
+            let (failure, retry_at) = match self.offer_routed(reply, &mut exclude).await {
+                AttemptEnd::Whole(head, body) => return RequestEnd::Whole(head, body),
+                AttemptEnd::Streamed => return RequestEnd::Streamed,
+                AttemptEnd::Gone => return RequestEnd::Gone,
                 AttemptEnd::Failed(failure, retry_at) => (failure, retry_at),
             };
             exclude.push(target);
-            same_again = failure.verdict == RunVerdict::MayHaveRun || self.delivery.started();
+            retry_same_target = failure.verdict == RunVerdict::MayHaveRun || self.delivery.started();
             let refusal = self.failure_refusal(failure, retry_at);
             let Some(reason) = self.retry_reason(failure) else {
-                return CourseEnd::Refused(refusal);
+                return RequestEnd::Refused(refusal);
             };
-            self.retried(reason);
+            self.record_retry(reason);
         }
     }
 
-    /// The refusal that a failure becomes if nothing else is tried.
+    /// Converts a failure into the refusal that is returned if there is no further attempt.
     pub(crate) fn failure_refusal(
         &self,
         failure: OfferFailure,
@@ -191,7 +194,8 @@
         CallerRefusal { reason: failure.reason, verdict, retry_at, detail }
     }
 
-    fn worsened(&self, mut refusal: CallerRefusal) -> CallerRefusal {
+    /// Raises the refusal's verdict to the highest one of the attempts so far.
+    fn with_worst_verdict(&self, mut refusal: CallerRefusal) -> CallerRefusal {
         refusal.verdict = refusal.verdict.max(self.worst);
         refusal
     }
@@ -208,16 +212,16 @@
         failed.retry_reason(self.ports.clock.now())
     }
 
-    pub(crate) fn retried(&self, reason: RetryReason) {
+    pub(crate) fn record_retry(&self, reason: RetryReason) {
         self.ports.metrics.retry(reason);
-        self.ports.decided(self.id, DecisionKind::Retried { reason });
+        self.ports.record_decision(self.id, DecisionKind::Retried { reason });
     }
 
     fn next_attempt(&self) -> AttemptId {
         AttemptId { entry: self.entry, request: self.id, attempt: self.attempts }
     }
 
-    /// Asks for a target; the first call also asks for admission.
+    /// Asks for a target. The first call also asks for admission.
     pub(crate) async fn route(
         &mut self,
         exclude: &[TargetName],
@@ -235,9 +239,9 @@
             retry,
             peek: self.request.key.is_some(),
         };
-        let told = self.ports.routing.route(ask).await?;
+        let reply = self.ports.routing.route(ask).await?;
         self.admitted = true;
-        Ok(told)
+        Ok(reply)
     }
 
     fn offer_message(&mut self, ticket: Option<TicketText>) -> RequestOffer {
@@ -270,8 +274,8 @@
         OpenAttempt::open(self.ports.offers.as_ref(), target, offer)
     }
 
-    fn open_routed(&mut self, told: &RouteReply) -> OpenAttempt {
-        let choice = &told.choice;
+    fn open_routed(&mut self, reply: &RouteReply) -> OpenAttempt {
+        let choice = &reply.choice;
         let decision = DecisionKind::Offered {
             attempt: self.attempts,
             target: choice.target.clone(),
@@ -279,13 +283,13 @@
             cached_tokens: choice.cached_tokens,
             candidates: choice.candidates,
         };
-        self.ports.decided(self.id, decision);
+        self.ports.record_decision(self.id, decision);
         self.open(choice.target.clone(), None)
     }
 
-    async fn offer_routed(&mut self, told: RouteReply, exclude: &mut Vec<TargetName>) -> AttemptEnd {
-        let primary = self.open_routed(&told);
-        let hedge_at = told.hedge_at.filter(|_at| self.request.repeat == RepeatPolicy::Safe);
+    async fn offer_routed(&mut self, reply: RouteReply, exclude: &mut Vec<TargetName>) -> AttemptEnd {
+        let primary = self.open_routed(&reply);
+        let hedge_at = reply.hedge_at.filter(|_at| self.request.repeat == RepeatPolicy::Safe);
         let Some(hedge_at) = hedge_at else {
             return self.follow(primary).await;
         };
@@ -294,7 +298,7 @@
         self.follow(winner).await
     }
 
-    /// Opens a second attempt if the first has no news in time, and returns the one that has news first.
+    /// Opens a second attempt if the first has no event in time, and returns the one that has an event first.
     async fn hedged(
         &mut self,
         mut primary: OpenAttempt,
@@ -307,16 +311,16 @@
         }
         let mut elsewhere = exclude.clone();
         elsewhere.push(primary.target.clone());
-        let Ok(told) = self.route(&elsewhere, true).await else {
+        let Ok(reply) = self.route(&elsewhere, true).await else {
             return primary;
         };
-        self.retried(RetryReason::Hedge);
-        let mut second = self.open_routed(&told);
+        self.record_retry(RetryReason::Hedge);
+        let mut second = self.open_routed(&reply);
         tokio::select! {
             () = primary.ready() => {}
             () = second.ready() => std::mem::swap(&mut primary, &mut second),
         }
-        // A failure does not win while the other may still answer.
+        // A failed attempt does not win while the other one may still answer.
         if let Some(failure) = primary.failed() {
             self.worst = self.worst.max(failure.verdict);
             exclude.push(primary.target);
@@ -325,7 +329,7 @@
         primary
     }
 
-    /// Offers under a ticket, to the target that minted it.
+    /// Offers the request under a ticket, to the target that minted it.
     pub(crate) async fn offer_ticket(&mut self, ticket: TicketText) -> AttemptEnd {
         let attempt = self.open(ticket.target.clone(), Some(ticket));
         self.follow(attempt).await
@@ -335,12 +339,12 @@
         self.delivery.expect(attempt.id);
         let mut first = true;
         loop {
-            let news = tokio::select! {
-                news = attempt.next() => news,
+            let event = tokio::select! {
+                event = attempt.next() => event,
                 () = self.delivery.gone() => return AttemptEnd::Gone,
             };
-            let end = match news {
-                AttemptNews::Frame(frame) => {
+            let end = match event {
+                AttemptEvent::Frame(frame) => {
                     if std::mem::take(&mut first) {
                         self.ports.routing.first_frame(attempt.target.clone(), attempt.id);
                     }
@@ -349,15 +353,15 @@
                         None => continue,
                     }
                 }
-                AttemptNews::Ended(Ok(outcome)) => self.outcome(outcome),
-                AttemptNews::Ended(Err(failure)) => AttemptEnd::Failed(failure, None),
+                AttemptEvent::Ended(Ok(outcome)) => self.outcome(outcome),
+                AttemptEvent::Ended(Err(failure)) => AttemptEnd::Failed(failure, None),
             };
             self.close(attempt.id, &end);
             return end;
         }
     }
 
-    /// Sends a frame on; returns the attempt's end if it can't go on.
+    /// Delivers a frame to the caller; returns the attempt's end if it can't continue.
     async fn deliver(&mut self, frame: &AnswerFrame) -> Option<AttemptEnd> {
         match self.delivery.frame(self.ports.clock.now(), frame).await {
             Err(CallerGone) => Some(AttemptEnd::Gone),
@@ -365,7 +369,7 @@
                 self.ports.metrics.dropped_frames("gap", 1);
                 Some(corrupt())
             }
-            Ok(_taken) => None,
+            Ok(_verdict) => None,
         }
     }
 
@@ -388,11 +392,13 @@
         self.open = false;
         if let AttemptEnd::Failed(OfferFailure { reason, verdict }, _retry_at) = *end {
             self.worst = self.worst.max(verdict);
-            self.ports.decided(self.id, DecisionKind::Failed { attempt: attempt.attempt, reason, verdict });
+            self.ports
+                .record_decision(self.id, DecisionKind::Failed { attempt: attempt.attempt, reason, verdict });
         }
     }
 }
 
+/// The end of an attempt whose answer is incomplete or damaged.
 fn corrupt() -> AttemptEnd {
     let (reason, verdict) = (RefusalReason::AnswerCorrupt, RunVerdict::MayHaveRun);
     AttemptEnd::Failed(OfferFailure { reason, verdict }, None)
--- a/crates/porthoist-caller/src/keyed.rs
+++ b/crates/porthoist-caller/src/keyed.rs
@@ -1,6 +1,6 @@
-//! Requests with an idempotency key: a ticket, or a key of the caller's own that is claimed in the table.
+//! Requests with an idempotency key, which is a ticket or a key of the caller's own that is claimed in the table.
 
-use crate::handler::{AttemptEnd, CourseEnd, RequestHandler};
+use crate::handler::{AttemptEnd, RequestEnd, RequestHandler};
 use crate::ports::{CallerRefusal, OfferFailure};
 use porthoist_core::offer::AnswerDigest;
 use porthoist_core::{RefusalReason, RetryReason, RunVerdict, TicketText, UnixDeadline};
@@ -9,45 +9,45 @@
 
 /// Pause before a ticket is offered again to a target that could not be reached.
 const REPLAY_PAUSE: Duration = Duration::from_millis(100);
-/// Offers of one ticket at most.
+/// Largest number of offers under one ticket.
 const MAX_TICKET_OFFERS: u32 = 5;
-/// A ticket minted for a claimed key is remembered so long after the request's deadline, in milliseconds.
+/// How long a ticket minted for a claimed key outlives the request's deadline, in milliseconds.
 const CLAIM_TICKET_MILLIS: u64 = 60 * 60 * 1000;
 
 impl RequestHandler {
-    /// Runs under a ticket: offered only to the incarnation that minted it, as often as answers are lost.
-    pub(crate) async fn with_ticket(&mut self, ticket: TicketText) -> CourseEnd {
+    /// Runs the request under a ticket. It is offered only to the incarnation that minted it, and again if answers are lost.
+    pub(crate) async fn with_ticket(&mut self, ticket: TicketText) -> RequestEnd {
         if let Err(refusal) = self.admitted_for_key().await {
-            return CourseEnd::Refused(refusal);
+            return RequestEnd::Refused(refusal);
         }
         loop {
             let (failure, retry_at) = match self.offer_ticket(ticket.clone()).await {
-                AttemptEnd::Whole(head, body) => return CourseEnd::Whole(head, body),
-                AttemptEnd::Streamed => return CourseEnd::Streamed,
-                AttemptEnd::Gone => return CourseEnd::Gone,
+                AttemptEnd::Whole(head, body) => return RequestEnd::Whole(head, body),
+                AttemptEnd::Streamed => return RequestEnd::Streamed,
+                AttemptEnd::Gone => return RequestEnd::Gone,
                 AttemptEnd::Failed(failure, retry_at) => (failure, retry_at),
             };
-            let silent = silent(failure);
-            if !silent || self.attempts >= MAX_TICKET_OFFERS {
+            let unanswered = is_unanswered(failure);
+            if !unanswered || self.attempts >= MAX_TICKET_OFFERS {
                 let mut refusal = self.failure_refusal(failure, retry_at);
-                if silent {
-                    // This try did not run, but an earlier one under the same ticket may have.
+                if unanswered {
+                    // This attempt did not run, but an earlier one under the same ticket may have.
                     refusal.verdict = RunVerdict::MayHaveRun;
                 }
-                if failure.verdict == RunVerdict::NotRun && !silent {
+                if failure.verdict == RunVerdict::NotRun && !unanswered {
                     refusal.verdict = RunVerdict::NotRun;
                 }
-                return CourseEnd::Refused(refusal);
+                return RequestEnd::Refused(refusal);
             }
-            self.retried(RetryReason::TicketReplay);
+            self.record_retry(RetryReason::TicketReplay);
             tokio::time::sleep(REPLAY_PAUSE).await;
         }
     }
 
-    /// Runs under a key of the caller's own.
-    pub(crate) async fn with_own_key(&mut self, key: String) -> CourseEnd {
+    /// Runs the request under a key of the caller's own.
+    pub(crate) async fn with_own_key(&mut self, key: String) -> RequestEnd {
         if let Err(refusal) = self.admitted_for_key().await {
-            return CourseEnd::Refused(refusal);
+            return RequestEnd::Refused(refusal);
         }
         let claim_key = format!("{}/{key}", self.request.team);
         let writer = rand::random::<u64>();
@@ -68,27 +68,27 @@
                     }
                     Err(end) => return end,
                 },
-                ClaimAction::Answer => return answer.unwrap_or(CourseEnd::Gone),
+                ClaimAction::Answer => return answer.unwrap_or(RequestEnd::Gone),
                 ClaimAction::Refuse(reason, verdict) => {
-                    return CourseEnd::Refused(key_refusal(reason, verdict));
+                    return RequestEnd::Refused(key_refusal(reason, verdict));
                 }
             };
             action = if let Some(next) = machine.on(event) {
                 next
             } else {
                 let refusal = key_refusal(RefusalReason::ClaimUnavailable, RunVerdict::MayHaveRun);
-                return CourseEnd::Refused(refusal);
+                return RequestEnd::Refused(refusal);
             };
         }
     }
 
-    /// Admission without an offer: the target is fixed by the ticket.
+    /// Asks for admission only: the ticket determines the target.
     async fn admitted_for_key(&mut self) -> Result<(), CallerRefusal> {
         match self.route(&[], false).await {
-            Ok(_told) => Ok(()),
+            Ok(_reply) => Ok(()),
             Err(refusal) if refusal.reason == RefusalReason::NoTarget => Ok(()),
             Err(mut refusal) => {
-                // Of this try it is known, but an earlier one with the same key may have run.
+                // This attempt is known not to have run, but an earlier one with the same key may have.
                 refusal.verdict = RunVerdict::MayHaveRun;
                 Err(refusal)
             }
@@ -107,13 +107,13 @@
     }
 
     async fn mint_event(&mut self) -> ClaimEvent<TicketText> {
-        let told = match self.route(&[], false).await {
-            Ok(told) => told,
+        let reply = match self.route(&[], false).await {
+            Ok(reply) => reply,
             Err(refusal) => return ClaimEvent::MintFailed(refusal.reason),
         };
         let team = self.request.team.clone();
         let deadline = UnixDeadline(self.request.deadline.0.plus(CLAIM_TICKET_MILLIS));
-        match self.ports.offers.mint(told.choice.target, team, 1, deadline).await {
+        match self.ports.offers.mint(reply.choice.target, team, 1, deadline).await {
             Ok(tickets) => match tickets.into_iter().next() {
                 Some(ticket) => ClaimEvent::Minted(ticket),
                 None => ClaimEvent::MintFailed(RefusalReason::Draining),
@@ -125,17 +125,17 @@
     async fn offer_event(
         &mut self,
         ticket: TicketText,
-    ) -> Result<(ClaimEvent<TicketText>, Option<CourseEnd>), CourseEnd> {
+    ) -> Result<(ClaimEvent<TicketText>, Option<RequestEnd>), RequestEnd> {
         let failure = match self.offer_ticket(ticket).await {
             AttemptEnd::Whole(head, body) => {
-                return Ok((ClaimEvent::Answered, Some(CourseEnd::Whole(head, body))));
+                return Ok((ClaimEvent::Answered, Some(RequestEnd::Whole(head, body))));
             }
-            AttemptEnd::Streamed => return Ok((ClaimEvent::Answered, Some(CourseEnd::Streamed))),
-            AttemptEnd::Gone => return Err(CourseEnd::Gone),
+            AttemptEnd::Streamed => return Ok((ClaimEvent::Answered, Some(RequestEnd::Streamed))),
+            AttemptEnd::Gone => return Err(RequestEnd::Gone),
             AttemptEnd::Failed(failure, _retry_at) => failure,
         };
-        if silent(failure) {
-            self.retried(RetryReason::TicketReplay);
+        if is_unanswered(failure) {
+            self.record_retry(RetryReason::TicketReplay);
             tokio::time::sleep(REPLAY_PAUSE).await;
             return Ok((ClaimEvent::OfferLost, None));
         }
@@ -143,8 +143,8 @@
     }
 }
 
-/// Whether the target said nothing: what became of the ticket is unknown.
-fn silent(failure: OfferFailure) -> bool {
+/// Whether the target gave no usable answer, so that the ticket's fate is unknown.
+fn is_unanswered(failure: OfferFailure) -> bool {
     matches!(
         failure.reason,
         RefusalReason::Unreachable | RefusalReason::ConnectionLost | RefusalReason::AnswerCorrupt
--- a/crates/porthoist-caller/src/lib.rs
+++ b/crates/porthoist-caller/src/lib.rs
@@ -1,6 +1,6 @@
-//! Callers as peers: their requests, answers and refusals over HTTP.
+//! The caller side: requests, answers and refusals over HTTP.
 //!
-//! The course of one request is driven here; routing, offers and claims are reached through the traits in
+//! This package handles each request from start to end. Routing, offers and claims are reached through the traits in
 //! [`ports`].
 
 pub mod attempt;
--- a/crates/porthoist-caller/src/ports.rs
+++ b/crates/porthoist-caller/src/ports.rs
@@ -1,4 +1,4 @@
-//! What the course of a request needs from the rest of the entry process.
+//! Interfaces to the rest of the entry process that handling a request needs.
 
 use futures::future::BoxFuture;
 use porthoist_core::{
@@ -17,63 +17,63 @@
 /// The final refusal of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallerRefusal {
-    /// Why.
+    /// The reason.
     pub reason: RefusalReason,
-    /// Whether the request, or the key it stands for, may have run.
+    /// Whether the request, or an earlier one with the same key, may have run.
     pub verdict: RunVerdict,
-    /// When another try makes sense.
+    /// The earliest time at which a retry is useful.
     pub retry_at: Option<UnixMillis>,
-    /// What was wrong, in words.
+    /// Explanation of the refusal.
     pub detail: String,
 }
 
 impl CallerRefusal {
-    /// A refusal before anything was sent.
+    /// Creates a refusal from before anything was sent.
     pub fn not_run(reason: RefusalReason, detail: impl Into<String>) -> Self {
         Self { reason, verdict: RunVerdict::NotRun, retry_at: None, detail: detail.into() }
     }
 }
 
-/// An offer without an outcome.
+/// Failure of an offer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OfferFailure {
-    /// Why.
+    /// The reason.
     pub reason: RefusalReason,
-    /// Whether it may have run.
+    /// Whether the request may have run.
     pub verdict: RunVerdict,
 }
 
-/// What a target is asked for.
+/// A request for admission and routing.
 #[derive(Debug, Clone)]
 pub struct RouteRequest {
-    /// The attempt that will be made.
+    /// The next attempt.
     pub attempt: AttemptId,
-    /// Who pays.
+    /// The team whose limits the request counts against.
     pub team: TeamName,
     /// The service.
     pub service: ServiceName,
     /// When the answer is due.
     pub deadline: UnixDeadline,
-    /// Estimated prompt length.
+    /// Estimated prompt length in tokens.
     pub prompt_tokens: u32,
     /// Hashes of the prompt's prefix blocks.
     pub prefix_blocks: Arc<[u64]>,
-    /// Targets that refused already.
+    /// Targets that must not be chosen, because they have refused or failed.
     pub exclude: Vec<TargetName>,
-    /// Counts against the team's limits; false for a further attempt of an admitted request.
+    /// Whether to count the request against the team's limits; false for further attempts of an admitted request.
     pub admit: bool,
-    /// Spends the retry budget.
+    /// Whether the attempt is a retry, which uses the retry budget.
     pub retry: bool,
-    /// Only asks: the attempt is not counted as sent to the target.
+    /// Whether to choose a target without counting the attempt as sent to it.
     pub peek: bool,
 }
 
-/// A target, and when a second attempt beside this one makes sense.
+/// The chosen target, and when to hedge with a second attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RouteReply {
-    /// The choice.
+    /// The chosen target.
     pub choice: RouteChoice,
-    /// Time of the hedge, if hedging is on.
+    /// When to start the hedge, if hedging is enabled.
     pub hedge_at: Option<UnixMillis>,
 }
 
@@ -81,24 +81,24 @@
 pub trait RoutingPort: fmt::Debug + Send + Sync {
     /// Admits and routes an attempt.
     fn route(&self, ask: RouteRequest) -> BoxFuture<'_, Result<RouteReply, CallerRefusal>>;
-    /// An admitted request is over.
+    /// Reports that an admitted request has ended.
     fn release(&self, team: TeamName);
-    /// The first frame of an attempt came back.
+    /// Reports the first frame of an attempt.
     fn first_frame(&self, target: TargetName, attempt: AttemptId);
-    /// The first token of a request took so long, in milliseconds.
+    /// Reports a request's time to the first token, in milliseconds.
     fn first_token(&self, millis: u64);
 }
 
 /// Offers to targets.
 pub trait OfferPort: fmt::Debug + Send + Sync {
-    /// Offers a request to a target; dropping the future gives the offer up.
+    /// Offers a request to a target. Dropping the future cancels the offer.
     fn offer(
         &self,
         target: TargetName,
         offer: RequestOffer,
         frames: mpsc::Sender<AnswerFrame>,
     ) -> BoxFuture<'static, Result<OfferOutcome, OfferFailure>>;
-    /// Asks a target for tickets.
+    /// Requests tickets from a target.
     fn mint(
         &self,
         target: TargetName,
@@ -108,7 +108,7 @@
     ) -> BoxFuture<'static, Result<Vec<TicketText>, OfferFailure>>;
 }
 
-/// Claims of callers' own keys in the table.
+/// Access to the claims of callers' own keys in the table.
 pub trait ClaimPort: fmt::Debug + Send + Sync {
     /// Writes a claim row if its version is `expected`.
     fn write(
@@ -121,38 +121,38 @@
     fn read(&self, key: String) -> BoxFuture<'_, ClaimEvent<TicketText>>;
 }
 
-/// The configuration in force.
+/// Access to the configuration in force.
 pub trait ConfigPort: fmt::Debug + Send + Sync {
     /// Whether any configuration is in force.
     fn ready(&self) -> bool;
-    /// A team's row.
+    /// Returns a team's row.
     fn team(&self, team: &TeamName) -> Option<TeamRow>;
-    /// A service's row.
+    /// Returns a service's row.
     fn service(&self, service: &ServiceName) -> Option<ServiceRow>;
 }
 
-/// All of them.
+/// All interfaces that handling a request needs.
 #[derive(Debug, Clone)]
 pub struct CallerPorts {
     /// Limits and routing.
     pub routing: Arc<dyn RoutingPort>,
-    /// Offers.
+    /// Offers to targets.
     pub offers: Arc<dyn OfferPort>,
-    /// Claims.
+    /// Claims of callers' own keys.
     pub claims: Arc<dyn ClaimPort>,
-    /// Configuration.
+    /// The configuration in force.
     pub config: Arc<dyn ConfigPort>,
-    /// The time.
+    /// The source of the current time.
     pub clock: Arc<dyn ClockSource>,
-    /// Counters.
+    /// The metrics of the process.
     pub metrics: Arc<MetricsHub>,
     /// Decisions for `porthoist explain`.
     pub decisions: Arc<Mutex<DecisionLog>>,
 }
 
 impl CallerPorts {
-    /// Records a decision.
-    pub fn decided(&self, request: RequestId, kind: DecisionKind) {
+    /// Records a decision for `porthoist explain`.
+    pub fn record_decision(&self, request: RequestId, kind: DecisionKind) {
         let now = self.clock.now();
         if let Ok(mut decisions) = self.decisions.lock() {
             decisions.record(now, request, kind);
--- a/crates/porthoist-caller/src/problem.rs
+++ b/crates/porthoist-caller/src/problem.rs
@@ -7,9 +7,9 @@
 use porthoist_http::{HttpResponse, full_body};
 use serde::{Deserialize, Serialize};
 
-/// Header with the verdict of a refusal.
+/// Header that carries the verdict of a refusal.
 pub const VERDICT_HEADER: HeaderName = HeaderName::from_static("porthoist-verdict");
-/// Header with the request's identifier, for `porthoist explain`.
+/// Header that carries the request's identifier, for `porthoist explain`.
 pub const REQUEST_HEADER: HeaderName = HeaderName::from_static("porthoist-request");
 
 /// The body of a refusal.
@@ -22,17 +22,17 @@
     pub title: String,
     /// HTTP status.
     pub status: u16,
-    /// What was wrong.
+    /// Explanation of the refusal.
     pub detail: String,
-    /// The reason as it is counted.
+    /// The reason, as counted in metrics.
     pub reason: String,
-    /// not-run, may-have-run or ran.
+    /// The verdict: not-run, may-have-run or ran.
     pub verdict: String,
     /// The request's identifier.
     pub request: String,
 }
 
-/// Writes a refusal.
+/// Creates the response for a refusal.
 pub fn problem_response(now: UnixMillis, request: &str, refusal: &CallerRefusal) -> HttpResponse {
     let status = refusal.reason.status();
     let reason = refusal.reason.as_str();
--- a/crates/porthoist-caller/src/request.rs
+++ b/crates/porthoist-caller/src/request.rs
@@ -1,4 +1,4 @@
-//! Reading a caller's request; everything wrong with it is a refusal with the verdict "not run".
+//! Parsing and validation of callers' requests. An invalid request is refused with the verdict "not run".
 
 use crate::ports::{CallerRefusal, ConfigPort};
 use bytes::Bytes;
@@ -17,11 +17,11 @@
 
 /// Longest `Idempotency-Key`, in bytes.
 pub const MAX_KEY_BYTES: usize = 256;
-/// Prefix blocks computed for a prompt at most.
+/// Largest number of prefix blocks that are hashed for a prompt.
 pub const MAX_PREFIX_BLOCKS: usize = 64;
-/// Bytes of text taken for one token.
+/// Estimated bytes of text per token.
 pub const BYTES_PER_TOKEN: usize = 4;
-/// A deadline may lie at most so far ahead, in milliseconds.
+/// Longest time until a deadline, in milliseconds; later deadlines are shortened.
 pub const MAX_DEADLINE_MILLIS: u64 = 10 * 60 * 1000;
 
 /// The caller's idempotency key.
@@ -33,14 +33,14 @@
     Own(String),
 }
 
-/// A request that was read and may be offered.
+/// A valid request, ready to be offered.
 #[derive(Debug, Clone)]
 pub struct CallerRequest {
-    /// Who sent it.
+    /// The team that sent the request.
     pub team: TeamName,
-    /// The service.
+    /// The requested service.
     pub service: ServiceName,
-    /// Model or plain.
+    /// The kind of the service.
     pub kind: ServiceKind,
     /// HTTP method.
     pub method: String,
@@ -48,30 +48,30 @@
     pub path: String,
     /// Headers to pass on.
     pub headers: Vec<(String, String)>,
-    /// Body.
+    /// The body.
     pub body: Bytes,
     /// When the answer is due.
     pub deadline: UnixDeadline,
-    /// Priority.
+    /// Priority in the target's queue.
     pub priority: RequestPriority,
-    /// Whether it may be repeated.
+    /// Whether the request may be run again.
     pub repeat: RepeatPolicy,
     /// Whether the answer is streamed.
     pub stream: bool,
-    /// The last event that the caller has.
+    /// The last event that the caller already received, for a resumed stream.
     pub resume_after: Option<u64>,
-    /// The caller's key.
+    /// The idempotency key.
     pub key: Option<CallerKey>,
-    /// Estimated prompt length.
+    /// Estimated prompt length in tokens.
     pub prompt_tokens: u32,
     /// Hashes of the prompt's prefix blocks.
     pub prefix_blocks: Arc<[u64]>,
 }
 
-/// Defaults for what a request doesn't name.
+/// Defaults for values that a request does not specify.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestDefaults {
-    /// Deadline of a request that names none, in milliseconds from its arrival.
+    /// Default deadline, in milliseconds from the arrival of the request.
     pub deadline_millis: u64,
 }
 
@@ -108,7 +108,8 @@
     stream: bool,
 }
 
-struct Addressed {
+/// What a request's path and body address.
+struct AddressedService {
     service: ServiceName,
     path: String,
     stream: bool,
@@ -116,7 +117,7 @@
     kind: ServiceKind,
 }
 
-fn addressed(parts: &Parts, body: &Bytes) -> Result<Addressed, CallerRefusal> {
+fn addressed(parts: &Parts, body: &Bytes) -> Result<AddressedService, CallerRefusal> {
     let path = parts.uri.path();
     match path {
         "/v1/completions" | "/v1/chat/completions" => completion(path, parts, body),
@@ -124,7 +125,7 @@
     }
 }
 
-fn completion(path: &str, parts: &Parts, body: &Bytes) -> Result<Addressed, CallerRefusal> {
+fn completion(path: &str, parts: &Parts, body: &Bytes) -> Result<AddressedService, CallerRefusal> {
     if parts.method != hyper::Method::POST {
         return Err(malformed("completions are asked for by POST"));
     }
@@ -135,20 +136,26 @@
     for message in &parsed.messages {
         prompt.extend_from_slice(message.to_string().as_bytes());
     }
-    Ok(Addressed { service, path: path.to_owned(), stream: parsed.stream, prompt, kind: ServiceKind::Model })
+    Ok(AddressedService {
+        service,
+        path: path.to_owned(),
+        stream: parsed.stream,
+        prompt,
+        kind: ServiceKind::Model,
+    })
 }
 
-fn plain(path: &str, parts: &Parts) -> Result<Addressed, CallerRefusal> {
+fn plain(path: &str, parts: &Parts) -> Result<AddressedService, CallerRefusal> {
     let unknown = || CallerRefusal::not_run(RefusalReason::UnknownService, format!("no such path: {path}"));
     let rest = path.strip_prefix("/services/").ok_or_else(unknown)?;
     let (name, tail) = rest.split_once('/').unwrap_or((rest, ""));
     let service = name.parse().map_err(|error| malformed(format!("service in the path: {error}")))?;
     let query = parts.uri.query().map(|query| format!("?{query}")).unwrap_or_default();
     let path = format!("/{tail}{query}");
-    Ok(Addressed { service, path, stream: false, prompt: Vec::new(), kind: ServiceKind::Plain })
+    Ok(AddressedService { service, path, stream: false, prompt: Vec::new(), kind: ServiceKind::Plain })
 }
 
-/// Headers that are this system's or the connection's own, and are not passed on.
+/// Headers that concern only this system or the caller's connection, and are not passed on.
 const OWN_HEADERS: [&str; 11] = [
     "authorization",
     "connection",
@@ -177,7 +184,7 @@
     passed
 }
 
-/// Hashes of a prompt's prefixes, each over all blocks up to its own.
+/// Returns the hashes of a prompt's prefixes. Each covers all blocks up to its own.
 pub fn prefix_blocks(prompt: &[u8]) -> Arc<[u64]> {
     let block = BLOCK_TOKENS as usize * BYTES_PER_TOKEN;
     let mut hash = 0;
@@ -231,7 +238,7 @@
     Ok(deadline.min(UnixDeadline::after(now, MAX_DEADLINE_MILLIS)))
 }
 
-/// Checks the team and its token; an error does not say which of the two was wrong.
+/// Checks the team and its token. An error does not reveal which of the two was wrong.
 pub fn authorized_team(
     headers: &HeaderMap,
     config: &dyn ConfigPort,
@@ -244,7 +251,7 @@
     if allowed { Ok((team, row.priority)) } else { Err(refused()) }
 }
 
-/// Reads a request whose body is whole.
+/// Parses and validates a request with its complete body.
 pub fn read_request(
     parts: &Parts,
     body: Bytes,
@@ -254,7 +261,7 @@
 ) -> Result<CallerRequest, CallerRefusal> {
     let (team, row_priority) = authorized_team(&parts.headers, config)?;
     let deadline = deadline(&parts.headers, now, defaults)?;
-    let Addressed { service, path, stream, prompt, kind } = addressed(parts, &body)?;
+    let AddressedService { service, path, stream, prompt, kind } = addressed(parts, &body)?;
     let row = config.service(&service).filter(|row| row.mode == kind).ok_or_else(|| {
         CallerRefusal::not_run(RefusalReason::UnknownService, format!("no {kind} service named {service}"))
     })?;
--- a/crates/porthoist-caller/src/server.rs
+++ b/crates/porthoist-caller/src/server.rs
@@ -1,4 +1,4 @@
-//! The callers' listener.
+//! HTTP server for callers.
 
 use crate::delivery::{AnswerDelivery, AnswerStart};
 use crate::handler::RequestHandler;
@@ -21,23 +21,23 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// Settings of the callers' listener.
+/// Settings of the server for callers.
 #[derive(Debug, Clone, bon::Builder)]
 pub struct CallerSettings {
-    /// This life of the entry process.
+    /// Identifies this run of the entry process.
     pub entry: IncarnationId,
-    /// Deadline of a request that names none, in milliseconds from its arrival.
+    /// Default deadline, in milliseconds from the arrival of the request.
     #[builder(default = 30_000)]
     pub deadline_millis: u64,
-    /// Largest body in bytes.
+    /// Largest accepted body in bytes.
     #[builder(default = 4 * 1024 * 1024)]
     pub body_bytes: usize,
-    /// Largest sum of all header names and values in bytes.
+    /// Largest accepted total size of header names and values in bytes.
     #[builder(default = 16 * 1024)]
     pub header_bytes: usize,
 }
 
-/// The callers' server; clones share their state.
+/// The server for callers. Clones share their state.
 #[derive(Debug, Clone)]
 pub struct CallerServer {
     shared: Arc<ServerShared>,
@@ -65,7 +65,7 @@
     1
 }
 
-/// Lifetime of tickets whose request names no deadline, in milliseconds.
+/// Lifetime of tickets that are requested without a deadline, in milliseconds.
 const TICKET_MILLIS: u64 = 60 * 60 * 1000;
 
 #[derive(Debug, Serialize)]
@@ -74,18 +74,18 @@
 }
 
 impl CallerServer {
-    /// A server; while `stopping` holds `true` it says that it is not ready, and still answers.
+    /// Creates a server. While `stopping` is `true` it reports that it is not ready, but still handles requests.
     pub fn new(settings: CallerSettings, ports: CallerPorts, stopping: watch::Receiver<bool>) -> Self {
         let (next_request, in_flight) = (AtomicU64::new(1), AtomicU64::new(0));
         Self { shared: Arc::new(ServerShared { settings, ports, next_request, in_flight, stopping }) }
     }
 
-    /// Requests whose course has not ended.
+    /// Returns the number of requests that are being handled.
     pub fn in_flight(&self) -> u64 {
         self.shared.in_flight.load(Ordering::Relaxed)
     }
 
-    /// Answers one request.
+    /// Handles one HTTP request.
     pub async fn handle(self, request: Request<Incoming>) -> HttpResponse {
         match (request.method(), request.uri().path()) {
             (&Method::GET, "/livez") => return text_response(StatusCode::OK, "live\n"),
@@ -211,8 +211,8 @@
             retry: false,
             peek: true,
         };
-        let told = ports.routing.route(ask).await?;
-        let minted = ports.offers.mint(told.choice.target, team.clone(), wanted.count, deadline).await;
+        let reply = ports.routing.route(ask).await?;
+        let minted = ports.offers.mint(reply.choice.target, team.clone(), wanted.count, deadline).await;
         ports.routing.release(team);
         match minted {
             Ok(tickets) => Ok(json_response(StatusCode::OK, &TicketAnswer { tickets })),
--- a/crates/porthoist-caller/tests/request.rs
+++ b/crates/porthoist-caller/tests/request.rs
@@ -1,4 +1,4 @@
-//! Reading callers' requests: whatever outsiders send, the answer is a request or a refusal that says "not run".
+//! Parsing of callers' requests: any input gives a valid request or a refusal with the verdict "not run".
 
 use bytes::Bytes;
 use hyper::Request;
