--- a/crates/porthoist-table/src/client.rs
+++ b/crates/porthoist-table/src/client.rs
@@ -1,4 +1,4 @@
-//! The platform's client over HTTP.
+//! Client of the platform, over HTTP.
 
 use crate::wire::{ChangeFeed, HostEntry, HostFeed, ItemRead, TableWrite, TransactAnswer, TransactRequest};
 use bytes::Bytes;
@@ -11,18 +11,18 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// What a platform call returns.
+/// Pending result of a platform call.
 pub type PlatformFuture<'a, T> = BoxFuture<'a, Result<T, CallError>>;
 
-/// The platform, whatever its wire.
+/// The platform, independent of its protocol.
 pub trait PlatformClient: fmt::Debug + Send + Sync {
-    /// Writes in one transaction. After an error with the verdict "may have run" it may still take effect.
+    /// Writes items in one transaction. After an error with the verdict "may have run", it may still take effect.
     fn transact(&self, atomic: bool, writes: Vec<TableWrite>) -> PlatformFuture<'_, TransactAnswer>;
     /// Reads one item.
     fn item(&self, key: String) -> PlatformFuture<'_, Option<ItemRead>>;
-    /// Items below `prefix` changed since a revision.
+    /// Reads the items with the key prefix `prefix` that changed since a revision.
     fn changes(&self, prefix: &'static str, since: u64) -> PlatformFuture<'_, ChangeFeed>;
-    /// The host list, which lags behind reality, if it changed since the revision known.
+    /// Reads the host list if it changed since the revision `known`. The list lags behind the actual state.
     fn hosts(&self, known: u64) -> PlatformFuture<'_, HostFeed>;
     /// Adds this process to the host list.
     fn register(&self, host: HostEntry) -> PlatformFuture<'_, ()>;
@@ -32,10 +32,10 @@
     fn put_object(&self, name: String, bytes: Bytes) -> PlatformFuture<'_, ()>;
 }
 
-/// Milliseconds that a platform call may take.
-pub const CALL_MILLIS: u64 = 2000;
+/// Timeout of a platform call, in milliseconds.
+pub const CALL_TIMEOUT_MILLIS: u64 = 2000;
 
-/// The platform over HTTP and JSON.
+/// Client of the platform over HTTP and JSON.
 #[derive(Debug, Clone)]
 pub struct HttpPlatform {
     base: String,
@@ -44,18 +44,21 @@
 }
 
 impl HttpPlatform {
-    /// A client of the platform at `base`, for example `http://127.0.0.1:7000`.
+    /// Creates a client of the platform at `base`, for example `http://127.0.0.1:7000`.
     pub fn new(base: impl Into<String>) -> Self {
         let base = base.into().trim_end_matches('/').to_owned();
         Self { base, client: HttpClient::new(), clock: Arc::new(AnchoredClock::new()) }
     }
 
-    async fn bounded<T>(&self, call: impl Future<Output = Result<T, CallError>>) -> Result<T, CallError> {
-        let deadline = UnixDeadline::after(self.clock.now(), CALL_MILLIS);
+    async fn with_timeout<T>(
+        &self,
+        call: impl Future<Output = Result<T, CallError>>,
+    ) -> Result<T, CallError> {
+        let deadline = UnixDeadline::after(self.clock.now(), CALL_TIMEOUT_MILLIS);
         let remaining = deadline.remaining(self.clock.now());
         match tokio::time::timeout(remaining, call).await {
             Ok(result) => result,
-            Err(_elapsed) => Err(CallError::unknown(format!("no answer in {CALL_MILLIS} ms"))),
+            Err(_elapsed) => Err(CallError::unknown(format!("no answer in {CALL_TIMEOUT_MILLIS} ms"))),
         }
     }
 
@@ -66,7 +69,7 @@
     {
         let url = format!("{}{path}", self.base);
         let (status, value): (StatusCode, serde_json::Value) =
-            self.bounded(self.client.json(method, &url, body)).await?;
+            self.with_timeout(self.client.json(method, &url, body)).await?;
         if !status.is_success() {
             return Err(CallError::unknown(format!("status {status} from {path}: {value}")));
         }
@@ -84,7 +87,7 @@
             .uri(format!("{}/v1/objects/{name}", self.base))
             .body(Full::new(bytes))
             .map_err(|error| CallError::not_sent(error.to_string()))?;
-        let answer = self.bounded(self.client.fetch(request)).await?;
+        let answer = self.with_timeout(self.client.fetch(request)).await?;
         match answer.status() {
             StatusCode::NOT_FOUND => Ok(None),
             status if status.is_success() => Ok(Some(answer.into_body())),
--- a/crates/porthoist-table/src/lib.rs
+++ b/crates/porthoist-table/src/lib.rs
@@ -1,8 +1,8 @@
-//! The table of the product's own operators as a peer: table service, object store and host list, as the roles `entry`, `target`
-//! and `local` speak to them. The Rambursa Turist platform is another one: see the package porthoist-turist.
+//! Client of the platform that the roles `entry`, `target` and `local` use: table service, object store and host list. The
+//! Rambursa Turist platform is a different one: see the package porthoist-turist.
 //!
-//! Everything that must last lives there. The service is behind the [`PlatformClient`] trait, so that another wire
-//! changes this package only.
+//! All persistent data is stored there. The platform is behind the [`PlatformClient`] trait, so that a different protocol
+//! affects only this package.
 
 pub mod client;
 pub mod wire;
@@ -13,9 +13,9 @@
     ChangeFeed, HostEntry, HostFeed, HostRole, HostState, ItemRead, TableWrite, TransactAnswer, WriteResult,
 };
 
-/// Prefix of the keys of the operators' rows.
+/// Key prefix of the operators' configuration rows.
 pub const CONFIG_PREFIX: &str = "config/";
-/// Prefix of the keys of claims.
+/// Key prefix of claims of idempotency keys.
 pub const CLAIM_PREFIX: &str = "claim/";
-/// Name of the object that holds a snapshot of the configuration.
+/// Name of the object that contains a snapshot of the configuration.
 pub const SNAPSHOT_OBJECT: &str = "porthoist-config";
--- a/crates/porthoist-table/src/wire.rs
+++ b/crates/porthoist-table/src/wire.rs
@@ -1,6 +1,6 @@
-//! The platform's messages in JSON.
+//! The platform's JSON messages.
 //!
-//! These shapes are ours until the users' bench brings its own; see docs/INTERFACES.md.
+//! Their format is this project's own until the users' test bench defines one; see docs/INTERFACES.md.
 
 use porthoist_core::{HostName, TargetName, ZoneName};
 use serde::{Deserialize, Serialize};
@@ -11,76 +11,76 @@
 pub struct TableWrite {
     /// The item's key.
     pub key: String,
-    /// Version that the item must have; absent: the item must not exist.
+    /// Version that the item must have; if absent, the item must not exist.
     pub if_version: Option<u64>,
-    /// Writes whatever the version is.
+    /// Whether to write regardless of the version.
     #[serde(default)]
     pub unconditional: bool,
-    /// The new value; absent: the item is removed.
+    /// The new value; if absent, the item is removed.
     pub value: Option<Value>,
 }
 
 /// Several writes in one transaction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TransactRequest {
-    /// All or none; otherwise each write stands for itself.
+    /// Whether all writes take effect or none; otherwise each one is independent.
     pub atomic: bool,
     /// The writes.
     pub writes: Vec<TableWrite>,
 }
 
-/// What became of one write.
+/// The result of one write.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "result", rename_all = "lowercase")]
 pub enum WriteResult {
-    /// Took effect with this version.
+    /// The write took effect.
     Written {
         /// The item's new version.
         version: u64,
     },
-    /// The condition failed, or that of another write in an atomic transaction.
+    /// The condition of the write failed, or that of another write in the same atomic transaction.
     Conflict {
-        /// Version in force, if the item exists.
+        /// The item's current version, if it exists.
         version: Option<u64>,
-        /// Value in force.
+        /// The item's current value.
         value: Option<Value>,
     },
 }
 
-/// Answer to a transaction.
+/// The result of a transaction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TransactAnswer {
-    /// The table's revision after it.
+    /// The table's revision after the transaction.
     pub revision: u64,
-    /// Whether the writes took effect (for an atomic one: all of them).
+    /// Whether the writes took effect; in an atomic transaction, whether all did.
     pub committed: bool,
-    /// One for each write, in order.
+    /// The result of each write, in order.
     pub results: Vec<WriteResult>,
 }
 
 /// An item as read.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ItemRead {
-    /// Its key.
+    /// The item's key.
     pub key: String,
-    /// Its version: the revision that wrote it.
+    /// The item's version: the revision that wrote it.
     pub version: u64,
-    /// Its value; absent: it was removed.
+    /// The item's value; absent if it was removed.
     pub value: Option<Value>,
 }
 
 /// Items changed since a revision.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ChangeFeed {
-    /// The revision asked since; 0 makes it a snapshot.
+    /// The revision that the feed starts after; 0 for a snapshot.
     pub since: u64,
     /// The revision that the feed leads to.
     pub revision: u64,
-    /// The items.
+    /// The changed items.
     pub items: Vec<ItemRead>,
 }
 
-/// What a host runs.
+/// The kind of process that a host runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum HostRole {
@@ -96,32 +96,32 @@
 pub enum HostState {
     /// In service.
     Live,
-    /// About to go.
+    /// About to leave.
     Leaving,
 }
 
-/// The host list, whole if it changed since the revision that the asker knows.
+/// The host list, if it changed since the revision that the caller knows.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostFeed {
     /// The list's revision.
     pub revision: u64,
-    /// The list; absent where it has not changed.
+    /// The complete list; absent if it has not changed.
     pub hosts: Option<Vec<HostEntry>>,
 }
 
-/// One line of the host list.
+/// One entry of the host list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostEntry {
     /// The host.
     pub host: HostName,
-    /// The process's name: the target's, or the entry's.
+    /// Name of the target or entry process.
     pub name: TargetName,
-    /// Its availability zone.
+    /// The availability zone of the host.
     pub zone: ZoneName,
-    /// What it runs.
+    /// The kind of process that the host runs.
     pub role: HostRole,
-    /// Address of its fleet listener, as IP:PORT.
+    /// Address of the process's fleet listener, as IP:PORT.
     pub address: String,
-    /// Whether it is leaving.
+    /// Whether the host is leaving.
     pub state: HostState,
 }
