--- a/crates/porthoist-operator/src/edit.rs
+++ b/crates/porthoist-operator/src/edit.rs
@@ -1,4 +1,4 @@
-//! Edits of the operators' table: conditional, whole or not at all, and read back when the answer is lost.
+//! Edits of the operators' table. They are conditional and atomic, and are read back if the answer is lost.
 
 use porthoist_core::RunVerdict;
 use porthoist_policy::adoption::ConfigChange;
@@ -7,19 +7,19 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// A row as it lies in the table service.
+/// A row as stored in the table service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredRow {
     /// The cells as the operator wrote them.
     pub cells: RowCells,
-    /// Identifies the edit that wrote it, so that its writer recognises it.
+    /// Identifies the edit that wrote the row, so that its writer recognizes it.
     pub edit: String,
 }
 
-/// A row with its version, as operators see it.
+/// A row with its version, as shown to operators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionedRow {
-    /// Version for a conditional edit.
+    /// The version to name in a conditional edit.
     pub version: u64,
     /// The cells.
     pub cells: RowCells,
@@ -28,11 +28,11 @@
 /// One row of an edit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowEdit {
-    /// The row in full; kind and name say which.
+    /// The complete row; its kind and name identify it.
     pub cells: RowCells,
-    /// Version that the row must have; absent: it must not exist.
+    /// Version that the row must have; if absent, the row must not exist.
     pub if_version: Option<u64>,
-    /// Removes the row.
+    /// Whether to remove the row.
     #[serde(default)]
     pub remove: bool,
 }
@@ -40,30 +40,30 @@
 /// A committed edit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EditAnswer {
-    /// The table's revision with it; in force where at least this revision is.
+    /// The table's revision after the edit. The edit is in force at a process once this or a later revision is.
     pub revision: u64,
-    /// Whether the platform's answer was lost and the edit was found by reading back.
+    /// Whether the platform's answer was lost and the edit was confirmed by reading it back.
     pub read_back: bool,
 }
 
-/// An edit that is not in the table, or of which that is not known.
+/// Error of an edit that failed, or whose outcome is unknown.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "problem", rename_all = "snake_case")]
 pub enum EditProblem {
-    /// A cell can't be read.
+    /// A cell is not valid.
     Cell {
         /// Index of the row in the edit, from 0.
         row: usize,
         /// The column.
         column: String,
-        /// What stood there.
+        /// The given value.
         given: String,
-        /// What may stand there.
+        /// The accepted values.
         expected: String,
     },
-    /// Another edit came first; nothing was changed.
+    /// Another edit was committed first; nothing was changed.
     Conflict {
-        /// The rows in force, for those whose version did not hold.
+        /// The rows in force, for those whose version did not match.
         in_force: Vec<Option<VersionedRow>>,
     },
     /// The platform did not answer.
@@ -75,7 +75,7 @@
     },
 }
 
-/// Edits the table through the platform.
+/// Edits the operators' table through the platform.
 #[derive(Debug, Clone)]
 pub struct TableEditor {
     platform: Arc<dyn PlatformClient>,
@@ -95,12 +95,12 @@
 }
 
 impl TableEditor {
-    /// An editor on a platform.
+    /// Creates an editor that uses `platform`.
     pub fn new(platform: Arc<dyn PlatformClient>) -> Self {
         Self { platform }
     }
 
-    /// All rows, with the table's revision.
+    /// Reads all rows and the table's revision.
     pub async fn rows(&self) -> Result<(u64, Vec<VersionedRow>), CallError> {
         let feed = self.platform.changes(CONFIG_PREFIX, 0).await?;
         let mut rows = Vec::with_capacity(feed.items.len());
@@ -113,7 +113,7 @@
         Ok((feed.revision, rows))
     }
 
-    /// Commits all edits or none; `edit` identifies this edit and is new for each.
+    /// Commits all row edits or none. `edit` identifies the edit and must be new for each one.
     pub async fn commit(&self, edits: &[RowEdit], edit: &str) -> Result<EditAnswer, EditProblem> {
         let mut writes = Vec::with_capacity(edits.len());
         for (index, row) in edits.iter().enumerate() {
@@ -135,18 +135,18 @@
         }
     }
 
-    /// The answer was lost: the edit is committed if and only if its own mark stands in the table.
+    /// Checks whether an edit whose answer was lost was committed: it was if the table has its identifier.
     async fn read_back(
         &self,
         writes: &[TableWrite],
         edit: &str,
         lost: CallError,
     ) -> Result<EditAnswer, EditProblem> {
-        let Some(marked) = writes.iter().find(|write| write.value.is_some()) else {
+        let Some(written) = writes.iter().find(|write| write.value.is_some()) else {
             return Err(platform_problem(lost));
         };
         let item =
-            self.platform.item(marked.key.clone()).await.map_err(|_silent| platform_problem(lost.clone()))?;
+            self.platform.item(written.key.clone()).await.map_err(|_error| platform_problem(lost.clone()))?;
         let Some(item) = item else {
             return Err(platform_problem(lost));
         };
@@ -154,7 +154,7 @@
         if stored.is_some_and(|stored| stored.edit == edit) {
             return Ok(EditAnswer { revision: item.version, read_back: true });
         }
-        // The mark is missing: overwritten since, or not yet written. Neither can be told from here.
+        // The row was overwritten since or not written yet, which can't be distinguished here.
         Err(platform_problem(lost))
     }
 }
@@ -176,7 +176,7 @@
     Err(EditProblem::Conflict { in_force })
 }
 
-/// Reads a change of configuration from the table's feed; rows that can't be read are left as they are in force.
+/// Converts the table's feed to a configuration change and the keys of unreadable rows, whose rows in force stay.
 pub fn config_change(feed: porthoist_table::ChangeFeed) -> (ConfigChange, Vec<String>) {
     let mut rows = Vec::with_capacity(feed.items.len());
     let mut unreadable = Vec::new();
--- a/crates/porthoist-operator/src/lib.rs
+++ b/crates/porthoist-operator/src/lib.rs
@@ -1,6 +1,6 @@
-//! Operators as peers: the table of rows, status, explain and metrics over HTTP.
+//! The operator side: configuration table, status, explain and metrics over HTTP.
 //!
-//! The endpoint listens apart from the callers' one and asks for a token.
+//! The server has a listener separate from that for callers, and requires a token.
 
 pub mod edit;
 pub mod server;
--- a/crates/porthoist-operator/src/server.rs
+++ b/crates/porthoist-operator/src/server.rs
@@ -1,4 +1,4 @@
-//! The operators' listener.
+//! HTTP server for operators.
 
 use crate::edit::{EditProblem, RowEdit, TableEditor, VersionedRow};
 use crate::status::StatusReport;
@@ -15,20 +15,20 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Largest body of an edit in bytes: 41,000 rows fit.
+/// Largest body of an edit in bytes, which is enough for 41,000 rows.
 const MAX_EDIT_BYTES: usize = 32 * 1024 * 1024;
 
-/// What the process shows its operators.
+/// Interface to the process that the server reports on.
 pub trait OperatorPort: fmt::Debug + Send + Sync {
-    /// The status report.
+    /// Returns the status report.
     fn status(&self) -> StatusReport;
     /// Whether the process accepts work.
     fn ready(&self) -> bool;
-    /// Decisions kept on a request.
+    /// Returns the recorded decisions on a request.
     fn decisions(&self, request: RequestId) -> Vec<DecisionRecord>;
 }
 
-/// The operators' server; clones share their state.
+/// The server for operators. Clones share their state.
 #[derive(Debug, Clone)]
 pub struct OperatorServer {
     token: SharedSecret,
@@ -37,17 +37,17 @@
     metrics: Arc<MetricsHub>,
 }
 
-/// An edit as the tool sends it.
+/// An edit as sent by the command-line tool.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EditRequest {
-    /// Random, new for each edit.
+    /// Identifies the edit: random, and new for each one.
     pub edit: String,
-    /// The rows.
+    /// The edited rows.
     pub rows: Vec<RowEdit>,
 }
 
-/// The table as the tool reads it.
+/// The table as read by the command-line tool.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct TableAnswer {
     /// The table's revision.
@@ -57,7 +57,7 @@
 }
 
 impl OperatorServer {
-    /// A server that asks for `token`.
+    /// Creates a server that requires `token`.
     pub fn new(
         token: SharedSecret,
         port: Arc<dyn OperatorPort>,
@@ -67,7 +67,7 @@
         Self { token, port, editor, metrics }
     }
 
-    /// Answers one request. Health and metrics need no token: they name no caller and change nothing.
+    /// Handles one request. Health checks and metrics need no token: they reveal no caller and change nothing.
     pub async fn handle(self, request: Request<Incoming>) -> HttpResponse {
         match (request.method(), request.uri().path()) {
             (&Method::GET, "/livez") => return text_response(StatusCode::OK, "live\n"),
--- a/crates/porthoist-operator/src/status.rs
+++ b/crates/porthoist-operator/src/status.rs
@@ -1,77 +1,77 @@
-//! What an entry knows of the fleet, for `porthoist status`.
+//! An entry's knowledge of the fleet, for `porthoist status`.
 
 use porthoist_core::{IncarnationId, LoadReport, ServiceName, TargetName, ZoneName};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A target as the answering entry sees it.
+/// A target as seen by the reporting entry.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TargetStatus {
-    /// Its name.
+    /// The name of the process.
     pub target: TargetName,
-    /// Its availability zone.
+    /// The availability zone of the process.
     pub zone: ZoneName,
-    /// Whether the entry hears it.
+    /// Whether the reporting entry can reach the process.
     pub heard: bool,
-    /// Its life, if it was ever heard.
+    /// Identifies the run of the process, if it was ever reached.
     pub incarnation: Option<IncarnationId>,
-    /// The configuration revision in force there.
+    /// The configuration revision in force at the process.
     pub revision: u64,
-    /// Whether it is leaving.
+    /// Whether the target is draining.
     pub draining: bool,
-    /// The services it runs.
+    /// The services that the target runs.
     pub services: Vec<ServiceName>,
-    /// Its last load report.
+    /// The last load report of the target.
     pub load: LoadReport,
 }
 
-/// Another entry as the answering entry sees it.
+/// Another entry as seen by the reporting entry.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct NodeStatus {
-    /// Its name.
+    /// The name of the process.
     pub node: TargetName,
-    /// Its availability zone.
+    /// The availability zone of the process.
     pub zone: ZoneName,
-    /// Whether the entry hears it.
+    /// Whether the reporting entry can reach the process.
     pub heard: bool,
-    /// The configuration revision in force there.
+    /// The configuration revision in force at the process.
     pub revision: u64,
 }
 
-/// An availability zone, summed up.
+/// Summary of an availability zone.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneStatus {
-    /// Lowest revision in force on any process that is heard; absent where none is.
+    /// Lowest revision in force at any reachable process; absent if none is reachable.
     pub revision: Option<u64>,
-    /// Processes heard.
+    /// Number of reachable processes.
     pub heard: u32,
-    /// Processes on the host list that are not heard.
+    /// Names of the unreachable processes on the host list.
     pub silent: Vec<String>,
 }
 
-/// The status report.
+/// Status report of one process.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StatusReport {
-    /// The answering process.
+    /// The name of the reporting process.
     pub node: TargetName,
-    /// Its availability zone.
+    /// The availability zone of the process.
     pub zone: ZoneName,
-    /// Its life.
+    /// Identifies the run of the reporting process.
     pub incarnation: IncarnationId,
-    /// The configuration revision in force there.
+    /// The configuration revision in force at the process.
     pub revision: u64,
     /// Whether the platform answered the last call.
     pub platform_heard: bool,
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub in_flight: u64,
-    /// Other entries.
+    /// The other entries.
     pub entries: Vec<NodeStatus>,
-    /// Targets.
+    /// The targets.
     pub targets: Vec<TargetStatus>,
 }
 
 impl StatusReport {
-    /// Sums the report up by availability zone.
+    /// Summarizes the report by availability zone.
     pub fn zones(&self) -> BTreeMap<ZoneName, ZoneStatus> {
         let mut zones: BTreeMap<ZoneName, ZoneStatus> = BTreeMap::new();
         let own = (self.zone.clone(), self.node.to_string(), true, self.revision);
