--- a/crates/porthoist-metrics/src/lib.rs
+++ b/crates/porthoist-metrics/src/lib.rs
@@ -1,6 +1,6 @@
-//! Counters of the daemon, by OpenTelemetry, exported as Prometheus text.
+//! Metrics of the daemon, collected by OpenTelemetry and exported as Prometheus text.
 //!
-//! Every refusal reason and every retry reason has its own time series, present from the start with the value 0.
+//! Every refusal reason and every retry reason has its own time series, which exists from the start with the value 0.
 
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Counter, Gauge, Histogram, MeterProvider as _};
@@ -8,7 +8,7 @@
 use porthoist_core::{RefusalReason, RetryReason, RunVerdict};
 use prometheus::{Encoder as _, Registry, TextEncoder};
 
-/// What can become of deaths that are held against requests: the level that a new one led to, and what follows.
+/// Events of crashes that are attributed to requests: the level that a new one leads to, and later changes.
 const CRASH_EVENTS: [&str; 11] = [
     "watched",
     "held",
@@ -22,9 +22,9 @@
     "dropped",
     "unwritten",
 ];
-/// What can change in what a target says of itself.
+/// Changes of the backpressure that a target reports.
 const NEED_CHANGES: [&str; 6] = ["limited", "lifted", "resting", "rested", "leaving", "unreadable"];
-/// Bounds of the latency histogram's buckets, in milliseconds.
+/// Bucket bounds of the latency histograms, in milliseconds.
 const LATENCY_BOUNDS: [f64; 12] = [0.5, 1.0, 2.0, 5.0, 10.0, 20.0, 50.0, 100.0, 250.0, 500.0, 1400.0, 5000.0];
 
 /// Error of setting up the exporter.
@@ -105,6 +105,7 @@
         Ok(hub)
     }
 
+    /// Creates all time series whose labels are known, with the value 0.
     fn start_at_zero(&self) {
         for reason in RefusalReason::ALL {
             self.refusals.add(0, &[KeyValue::new("reason", reason.as_str())]);
@@ -132,12 +133,12 @@
         self.cold_targets.record(0, &[]);
     }
 
-    /// Sets how many targets count as cold.
+    /// Sets the number of cold targets.
     pub fn cold_targets(&self, targets: u64) {
         self.cold_targets.record(targets, &[]);
     }
 
-    /// Sets since which Unix millisecond operators have emptied a zone, as far as this process knows; 0 where they have not.
+    /// Sets since when operators have emptied a zone, in Unix milliseconds; 0 if, as far as this process knows, they have not.
     pub fn zone_emptied(&self, zone: &str, since: u64) {
         self.zones_emptied.record(since, &[KeyValue::new("zone", zone.to_owned())]);
     }
@@ -147,22 +148,22 @@
         self.connections.add(1, &[]);
     }
 
-    /// Counts a stream that ended unfinished.
+    /// Counts a stream that ended before it was complete.
     pub fn broken_stream(&self) {
         self.broken_streams.add(1, &[]);
     }
 
-    /// Counts what became of deaths that are held against requests.
+    /// Counts an event of crashes that are attributed to requests.
     pub fn crash_event(&self, event: &'static str) {
         self.crash_events.add(1, &[KeyValue::new("event", event)]);
     }
 
-    /// Counts a change of what a target says of itself.
+    /// Counts a change of the backpressure that a target reports.
     pub fn need_change(&self, change: &'static str) {
         self.need_changes.add(1, &[KeyValue::new("change", change)]);
     }
 
-    /// Sets how many requests something is held against.
+    /// Sets the number of requests to which crashes are attributed.
     pub fn suspects(&self, requests: u64) {
         self.suspects.record(requests, &[]);
     }
@@ -172,12 +173,12 @@
         self.table_calls.add(1, &[]);
     }
 
-    /// Counts a question to the table service that another process could have spared this one, and why it did not.
+    /// Counts a query to the table service that another process could have answered, with the reason why it did not.
     pub fn table_asked(&self, reason: &'static str) {
         self.table_asked.add(1, &[KeyValue::new("reason", reason)]);
     }
 
-    /// Sets how old what is believed of a table is, in milliseconds: the time since an answer showed it to be the newest.
+    /// Sets the age of the known state of a table, in milliseconds: the time since it was last confirmed to be the newest.
     pub fn belief_age(&self, table: &'static str, millis: u64) {
         self.belief_age.record(millis, &[KeyValue::new("table", table)]);
     }
@@ -187,7 +188,7 @@
         self.table_era.record(era, &[]);
     }
 
-    /// Records how long a request waited for a place, in milliseconds.
+    /// Records how long a request waited for a slot, in milliseconds.
     pub fn queue_wait(&self, millis: f64) {
         self.queue_wait.record(millis, &[]);
     }
@@ -212,7 +213,7 @@
         self.retries.add(1, &[KeyValue::new("reason", reason.as_str())]);
     }
 
-    /// Counts a whole answer and the time to its first byte in milliseconds.
+    /// Counts a complete answer and records the time to its first byte, in milliseconds.
     pub fn answer(&self, first_byte_millis: f64) {
         self.answers.add(1, &[]);
         self.first_byte.record(first_byte_millis, &[]);
@@ -230,7 +231,7 @@
         self.runs.add(1, &[]);
     }
 
-    /// Counts bytes sent for control.
+    /// Counts bytes of control traffic.
     pub fn control_bytes(&self, bytes: u64) {
         self.control_bytes.add(bytes, &[]);
     }
@@ -240,7 +241,7 @@
         self.revision.record(revision, &[]);
     }
 
-    /// The metrics as Prometheus text.
+    /// Returns the metrics as Prometheus text.
     pub fn text(&self) -> String {
         let mut buffer = Vec::new();
         let families = self.registry.gather();
