--- a/crates/porthoist-fleet/src/rank/maps.rs
+++ b/crates/porthoist-fleet/src/rank/maps.rs
@@ -17,7 +17,8 @@
 }
 
 impl MapCache {
-    /// Applies changes and returns the resulting map; `None` if their base is unknown or the result is not the sender's map.
+    /// Applies changes and returns the resulting map; `None` if their base is unknown or the result differs from the
+    /// sender's map.
     pub(super) fn apply(&self, received: MapChanges) -> Option<EqualShareMap> {
         let MapChanges { version, base, changes, digest } = received;
         let base = match base {
--- a/crates/porthoist-fleet/src/rank/peer.rs
+++ b/crates/porthoist-fleet/src/rank/peer.rs
@@ -161,8 +161,8 @@
         answered.await.map_err(|error: Error| self.lost(&error))
     }
 
-    /// Queries a table on behalf of an entry. Rows may come in pieces; the first one must come within `timeout` plus the time
-    /// for which the process may hold the query.
+    /// Queries a table on behalf of an entry. Rows may come in pieces; the first one must come within `timeout` plus the
+    /// time for which the process may hold the query.
     pub async fn query(
         &self,
         ask: TableQuery,
--- a/crates/porthoist-fleet/src/rank/table_update.rs
+++ b/crates/porthoist-fleet/src/rank/table_update.rs
@@ -19,8 +19,8 @@
 const COMPRESSION_LEVEL: u8 = 1;
 /// Largest size of decompressed rows: about ten thousand targets.
 const MAX_UNPACKED_BYTES: usize = 4 * 1024 * 1024;
-/// Largest size of compressed rows that are passed on: a host next to a rank has a link of 6 to 10 Mbit/s for about a hundred
-/// entries. A process that lacks more asks the table service, whose link has hundreds of times the bandwidth.
+/// Largest size of compressed rows that are passed on: a host next to a rank has a link of 6 to 10 Mbit/s for about a
+/// hundred entries. A process that lacks more asks the table service, whose link has hundreds of times the bandwidth.
 const MAX_COMPRESSED_BYTES: usize = 128 * 1024;
 /// Size of one piece: an answer to one entry must not delay the others' for long.
 const PIECE_BYTES: usize = 4 * 1024;
--- a/crates/porthoist-fleet/tests/branches.rs
+++ b/crates/porthoist-fleet/tests/branches.rs
@@ -295,8 +295,8 @@
 /// Bytes per rank that a map which differs in one list may cost all processes together.
 const CHANGE_BYTES_PER_RANK: u64 = 700;
 
-/// The base of map changes must outlive the connection. Otherwise every later map is sent whole, which takes 1.7 s of a link
-/// of 6 Mbit/s.
+/// The base of map changes must outlive the connection. Otherwise every later map is sent whole, which takes 1.7 s of a
+/// link of 6 Mbit/s.
 #[tokio::test]
 async fn maps_go_as_changes_also_over_new_connections_and_whole_to_a_process_that_began_anew() {
     const RANKS: usize = 40;
--- a/crates/porthoist-group/src/controller.rs
+++ b/crates/porthoist-group/src/controller.rs
@@ -1,4 +1,4 @@
-//! Controller that keeps a group's expert map close to the demand, for engines that synchronize their steps themselves.
+//! Controller that keeps a group's expert map close to the demand, where the engines themselves hold the group for a switch.
 //!
 //! The process next to the first rank plans and switches maps. The other processes observe their own engine and forward
 //! orders to it.
@@ -41,7 +41,7 @@
     Shifting,
     /// Experts are being copied.
     Copying,
-    /// The group is held between two steps, or about to be.
+    /// The group is held before its next pass, or about to be.
     Holding,
     /// The first rank could not be reached, or the group is not running.
     Unreachable,
--- a/crates/porthoist-group/src/rank_control.rs
+++ b/crates/porthoist-group/src/rank_control.rs
@@ -1,5 +1,5 @@
-//! Interfaces to the ranks of a group that synchronize their steps themselves: to the engine next to this process, and to
-//! the other ranks through the processes next to their engines.
+//! Interfaces to the ranks of a group whose engines themselves hold the group for a switch: to the engine next to this
+//! process, and to the other ranks through the processes next to their engines.
 
 use futures::future::LocalBoxFuture;
 use porthoist_core::StartMillis;
@@ -56,7 +56,7 @@
 /// An engine's answer to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderAnswer {
-    /// Whether the order was accepted, or already had its effect.
+    /// Whether the order was accepted, or what it asks for was already the case.
     pub taken: bool,
     /// The engine's state right after the order; `None` if the engine did not report it.
     pub view: Option<RankView>,
