--- a/crates/porthoist-standin/src/cmd.rs
+++ b/crates/porthoist-standin/src/cmd.rs
@@ -1,4 +1,4 @@
-//! The subcommands, a file for each.
+//! Subcommands, one module each.
 
 pub(crate) mod engine;
 pub(crate) mod platform;
@@ -11,7 +11,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// Listens, prints the address as the first line, and serves until the process is ended.
+/// Listens, prints the address as the first line of output, and serves requests until the process exits.
 pub(crate) async fn serve<F, R>(listen: &str, handler: F) -> miette::Result<()>
 where
     F: Fn(Request<Incoming>) -> R + Clone + Send + 'static,
@@ -23,7 +23,7 @@
         .wrap_err_with(|| format!("can't listen on {listen:?}"))?;
     let address = listener.local_addr().into_diagnostic()?;
     println!("listening {address}");
-    let (_keep, stop) = watch::channel(false);
+    let (_stop_sender, stop) = watch::channel(false);
     serve_until(listener, ServerSettings::default(), stop, handler).await;
     Ok(())
 }
--- a/crates/porthoist-standin/src/cmd/engine.rs
+++ b/crates/porthoist-standin/src/cmd/engine.rs
@@ -1,9 +1,9 @@
-//! `porthoist-standin engine`.
+//! The subcommand `engine`.
 
 use argh::FromArgs;
 use porthoist_standin::engine::{EngineFaults, EngineStandin};
 
-/// Serve completions as a model engine would.
+/// Serve completions like a model engine.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "engine")]
 pub(crate) struct EngineArgs {
@@ -13,7 +13,7 @@
     /// time between tokens in milliseconds (default 0)
     #[argh(option, default = "0")]
     step_ms: u64,
-    /// time of a step of the rank group in milliseconds (default 5)
+    /// duration of a step of the rank group in milliseconds (default 5)
     #[argh(option, default = "5")]
     group_step_ms: u64,
     /// accept orders with any fencing number
--- a/crates/porthoist-standin/src/cmd/platform.rs
+++ b/crates/porthoist-standin/src/cmd/platform.rs
@@ -1,4 +1,4 @@
-//! `porthoist-standin platform`.
+//! The subcommand `platform`.
 
 use argh::FromArgs;
 use miette::{Context, IntoDiagnostic};
@@ -13,7 +13,7 @@
     /// address to listen on (default 127.0.0.1:0)
     #[argh(option, default = "String::from(\"127.0.0.1:0\")")]
     listen: String,
-    /// file with the table's items at the start: a JSON object from key to value
+    /// file with the initial table items: a JSON object that maps keys to values
     #[argh(option)]
     items: Option<String>,
 }
--- a/crates/porthoist-standin/src/cmd/service.rs
+++ b/crates/porthoist-standin/src/cmd/service.rs
@@ -1,9 +1,9 @@
-//! `porthoist-standin service`.
+//! The subcommand `service`.
 
 use argh::FromArgs;
 use porthoist_standin::service::ServiceStandin;
 
-/// Serve any HTTP call by echoing it.
+/// Echo any HTTP request.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "service")]
 pub(crate) struct ServiceArgs {
--- a/crates/porthoist-standin/src/engine.rs
+++ b/crates/porthoist-standin/src/engine.rs
@@ -1,10 +1,10 @@
 //! Stand-in of a model engine: streamed completions, load, cache events and orders with fencing numbers.
 //!
-//! The text is a function of the prompt, so that a resumed stream can be compared with a whole one.
+//! The text is a function of the prompt, so that a resumed stream can be compared with an uninterrupted one.
 
 use crate::group::GroupStandin;
 use crate::journal::RunJournal;
-use crate::{broken, done, read_json};
+use crate::{broken_response, empty_response, read_json};
 use bytes::Bytes;
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::{Frame, Incoming};
@@ -17,21 +17,21 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// Faults and pace of the engine.
+/// Faults and speed of the engine.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineFaults {
     /// Time between tokens in milliseconds, 0 for none.
     pub step_ms: u64,
-    /// Every completion fails with 500.
+    /// Whether every completion fails with status 500.
     pub fail: bool,
-    /// So many streams break after `break_after` events.
+    /// Number of streams that break after `break_after` events.
     pub breaks: u32,
-    /// Events before such a break.
+    /// Number of events before a break.
     pub break_after: u64,
-    /// Every event is sent twice.
+    /// Whether every event is sent twice.
     pub repeat_events: bool,
-    /// Each pair of events is swapped.
+    /// Whether the events of each pair are swapped.
     pub swap_events: bool,
 }
 
@@ -43,19 +43,19 @@
     checks_fence: bool,
 }
 
-/// The stand-in; clones share one state.
+/// A model engine in memory. Clones share one state.
 #[derive(Debug, Clone, Default)]
 pub struct EngineStandin {
     state: Arc<Mutex<EngineState>>,
     group: GroupStandin,
 }
 
-/// An order as the engine takes it.
+/// Body of a `POST /orders` request.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct EngineOrder {
-    /// Fencing number: one more than the highest the engine has seen.
+    /// Fencing number. An order is refused unless its number is higher than all earlier ones.
     pub fence: u64,
-    /// What to do.
+    /// Contents of the order, which the stand-in ignores.
     pub order: Value,
 }
 
@@ -80,23 +80,23 @@
     "desk", "queue", "shift", "note", "clear",
 ];
 
-/// The word at a position of the answer to a prompt, from 1.
+/// Returns the word at a position, counted from 1, of the completion of a prompt.
 pub fn answer_word(prompt: &str, position: u64) -> &'static str {
-    let mixed = prompt.bytes().fold(position.wrapping_mul(0x9e37_79b9), |hash, byte| {
-        (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
+    let hash = prompt.bytes().fold(position.wrapping_mul(0x9e37_79b9), |state, byte| {
+        (state ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
     });
-    WORDS[(mixed >> 16) as usize % WORDS.len()]
+    WORDS[(hash >> 16) as usize % WORDS.len()]
 }
 
 impl EngineStandin {
-    /// An engine that refuses orders with an old fencing number, or ignores the numbers.
+    /// Creates an engine that refuses orders with an old fencing number if `checks_fence` is set.
     pub fn new(checks_fence: bool) -> Self {
         let standin = Self::default();
         standin.state().checks_fence = checks_fence;
         standin
     }
 
-    /// The engine's part in its rank group.
+    /// Returns the engine's member of the rank group.
     pub fn group(&self) -> GroupStandin {
         self.group.clone()
     }
@@ -110,13 +110,13 @@
         self.state().faults = faults;
     }
 
-    /// Answers one request.
+    /// Handles one request.
     pub async fn handle(self, request: Request<Incoming>) -> HttpResponse {
         let path = request.uri().path().to_owned();
         match (request.method().clone(), path.as_str()) {
             (Method::POST, "/v1/completions" | "/v1/chat/completions") => self.complete(&path, request).await,
             (Method::GET, "/load") => self.load(),
-            (Method::GET, "/group") => self.group.kept_response(),
+            (Method::GET, "/group") => self.group.state_response(),
             (Method::POST, "/group") => self.group.order(request).await,
             (Method::GET, "/experts") => self.group.window_response(),
             (Method::POST, "/experts/load") => self.group.load(request).await,
@@ -130,7 +130,7 @@
             (Method::POST, "/standin/faults") => match read_json(request).await {
                 Ok(faults) => {
                     self.set_faults(faults);
-                    done()
+                    empty_response()
                 }
                 Err(response) => response,
             },
@@ -160,7 +160,7 @@
         let last_event =
             request.headers().get("last-event-id").and_then(|value| value.to_str().ok()?.parse().ok());
         let Ok(body) = request.into_body().collect().await else {
-            return broken();
+            return broken_response();
         };
         let bytes = body.to_bytes();
         let completion: CompletionRequest = match serde_json::from_slice(&bytes) {
--- a/crates/porthoist-standin/src/group.rs
+++ b/crates/porthoist-standin/src/group.rs
@@ -1,7 +1,7 @@
-//! The engine's part in a rank group: it steps on by itself, holds before an armed step, and keeps a record of the
+//! Stand-in of one rank of a group: it starts a step at each interval, waits before an armed step, and records the expert
 //! map that each step used.
 
-use crate::{done, read_json};
+use crate::{empty_response, read_json};
 use hyper::body::Incoming;
 use hyper::{Request, StatusCode};
 use porthoist_group::engine::MapLoad;
@@ -11,19 +11,19 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// Steps recorded at most.
+/// Maximum number of recorded steps.
 const MAX_STEPS: usize = 1_000_000;
 
 #[derive(Debug, Default)]
 struct GroupState {
-    kept: SavedRank,
+    saved: SavedRank,
     used: Vec<MapVersion>,
     held: u64,
     window: ExpertWindow,
     loads: Vec<MapLoad>,
 }
 
-/// One rank's engine; clones share one state.
+/// The engine of one rank. Clones share one state.
 #[derive(Debug, Clone, Default)]
 pub struct GroupStandin {
     state: Arc<Mutex<GroupState>>,
@@ -31,11 +31,11 @@
 
 impl GroupState {
     fn step(&mut self) {
-        let mut machine = RankMachine::restored(self.kept);
+        let mut machine = RankMachine::restored(self.saved);
         match machine.start_step() {
             Some((_step, map)) if self.used.len() < MAX_STEPS => {
                 self.used.push(map);
-                self.kept = machine.saved();
+                self.saved = machine.saved();
             }
             Some(_full) => {}
             None => self.held += 1,
@@ -43,14 +43,14 @@
     }
 
     fn order(&mut self, order: RankOrder) -> bool {
-        let armed_too_late = order.hold.armed.is_some_and(|armed| armed.step <= self.kept.started);
-        let newly_armed = order.hold.armed != self.kept.armed;
-        if LeaderBallot(order.fence) < self.kept.promised || (newly_armed && armed_too_late) {
+        let armed_too_late = order.hold.armed.is_some_and(|armed| armed.step <= self.saved.started);
+        let newly_armed = order.hold.armed != self.saved.armed;
+        if LeaderBallot(order.fence) < self.saved.promised || (newly_armed && armed_too_late) {
             return false;
         }
-        self.kept.promised = LeaderBallot(order.fence);
-        self.kept.armed = order.hold.armed;
-        self.kept.committed = order.hold.committed;
+        self.saved.promised = LeaderBallot(order.fence);
+        self.saved.armed = order.hold.armed;
+        self.saved.committed = order.hold.committed;
         true
     }
 }
@@ -60,7 +60,7 @@
         self.state.lock().expect("no thread panics while it holds the state")
     }
 
-    /// Steps on for ever.
+    /// Runs steps forever, one per interval.
     pub async fn run(self, step: Duration) {
         loop {
             tokio::time::sleep(step).await;
@@ -68,39 +68,39 @@
         }
     }
 
-    /// What it counted.
+    /// Responds with the counts of the current window.
     pub fn window_response(&self) -> HttpResponse {
         json_response(StatusCode::OK, &self.state().window)
     }
 
-    /// Sets what it counts from now on.
+    /// Sets the counts of the current window.
     pub async fn set_window(&self, request: Request<Incoming>) -> HttpResponse {
         match read_json(request).await {
             Ok(window) => {
                 self.state().window = window;
-                done()
+                empty_response()
             }
             Err(response) => response,
         }
     }
 
-    /// Loads experts; they are there at once.
+    /// Loads experts, which takes no time.
     pub async fn load(&self, request: Request<Incoming>) -> HttpResponse {
         match read_json(request).await {
             Ok(load) => {
                 self.state().loads.push(load);
-                done()
+                empty_response()
             }
             Err(response) => response,
         }
     }
 
-    /// What it holds.
-    pub fn kept_response(&self) -> HttpResponse {
-        json_response(StatusCode::OK, &self.state().kept)
+    /// Responds with the saved state of the rank.
+    pub fn state_response(&self) -> HttpResponse {
+        json_response(StatusCode::OK, &self.state().saved)
     }
 
-    /// Takes an order.
+    /// Applies an order, or refuses it with status 409 if it is outdated or arms a step too late.
     pub async fn order(&self, request: Request<Incoming>) -> HttpResponse {
         let order: RankOrder = match read_json(request).await {
             Ok(order) => order,
@@ -108,31 +108,31 @@
         };
         let mut state = self.state();
         let status = if state.order(order) { StatusCode::OK } else { StatusCode::CONFLICT };
-        json_response(status, &state.kept)
+        json_response(status, &state.saved)
     }
 
-    /// The map of each step from 1 on, and how often a step had to wait.
+    /// Responds with the [`GroupRecord`].
     pub fn record_response(&self) -> HttpResponse {
         let state = self.state();
         let record = GroupRecord {
             used: state.used.clone(),
             held: state.held,
-            started: state.kept.started,
+            started: state.saved.started,
             loads: state.loads.clone(),
         };
         json_response(StatusCode::OK, &record)
     }
 }
 
-/// What a rank did.
+/// History of a rank.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
 pub struct GroupRecord {
-    /// The map of each step, from step 1 on.
+    /// Map version that each step used, from step 1.
     pub used: Vec<MapVersion>,
-    /// Times that a step was due and held.
+    /// Number of times that a due step had to wait.
     pub held: u64,
-    /// The last step started.
+    /// Last step started.
     pub started: StepNumber,
-    /// Experts loaded for maps, in order.
+    /// Expert loads, in order.
     pub loads: Vec<MapLoad>,
 }
--- a/crates/porthoist-standin/src/journal.rs
+++ b/crates/porthoist-standin/src/journal.rs
@@ -1,27 +1,27 @@
-//! The journal of what a stand-in ran, against which "at most once" and "not run" are checked.
+//! Journal of executed requests. Tests use it to check that requests ran at most once, or did not run if refused as not run.
 
 use serde::{Deserialize, Serialize};
 
-/// Runs kept at most.
+/// Maximum number of recorded runs.
 pub const MAX_RUNS: usize = 1_000_000;
 
-/// One run.
+/// An executed request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JournalRun {
     /// Path of the request.
     pub path: String,
-    /// Its body as text.
+    /// Body as text.
     pub body: String,
 }
 
-/// All runs of one stand-in.
+/// Requests that a stand-in has executed.
 #[derive(Debug, Default)]
 pub struct RunJournal {
     runs: Vec<JournalRun>,
 }
 
 impl RunJournal {
-    /// Adds a run.
+    /// Records a run, unless the journal is full.
     pub fn record(&mut self, path: &str, body: &[u8]) {
         if self.runs.len() < MAX_RUNS {
             let body = String::from_utf8_lossy(body).into_owned();
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The runs so far.
+    /// Returns all recorded runs.
     pub fn runs(&self) -> &[JournalRun] {
         &self.runs
     }
--- a/crates/porthoist-standin/src/main.rs
+++ b/crates/porthoist-standin/src/main.rs
@@ -1,10 +1,10 @@
-//! `porthoist-standin`: one stand-in as a process.
+//! `porthoist-standin`: runs one stand-in as a process.
 
 mod cmd;
 
 use argh::FromArgs;
 
-/// Stand-ins for the platform, model engines and plain services; for tests and trials only.
+/// Stand-ins for the platform, model engines and plain services, for testing only.
 #[derive(Debug, FromArgs)]
 struct StandinArgs {
     #[argh(subcommand)]
--- a/crates/porthoist-standin/src/platform.rs
+++ b/crates/porthoist-standin/src/platform.rs
@@ -1,6 +1,6 @@
-//! Stand-in of the platform: table, objects and host list.
+//! Stand-in of the platform: table, object store and host list.
 
-use crate::{broken, done, query_value, read_json};
+use crate::{broken_response, empty_response, query_value, read_json};
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -19,13 +19,13 @@
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformFaults {
-    /// Every call fails with 503.
+    /// Whether every call fails with status 503.
     pub outage: bool,
-    /// Every call takes so much longer, in milliseconds.
+    /// Delay of every call in milliseconds.
     pub delay_ms: u64,
-    /// So many transactions take effect without an answer.
+    /// Number of transactions that take effect but get no response.
     pub lose_answers: u32,
-    /// The host list shows what it showed when this was set.
+    /// Whether the host list stays as it was when this was set.
     pub freeze_hosts: bool,
 }
 
@@ -47,14 +47,14 @@
     calls: u64,
 }
 
-/// The stand-in; clones share one state.
+/// A platform in memory. Clones share one state.
 #[derive(Debug, Clone, Default)]
 pub struct PlatformStandin {
     state: Arc<Mutex<PlatformState>>,
 }
 
 impl PlatformState {
-    fn holds(&self, write: &TableWrite) -> bool {
+    fn meets_precondition(&self, write: &TableWrite) -> bool {
         let version = self.items.get(&write.key).filter(|item| item.value.is_some()).map(|item| item.version);
         write.unconditional || version == write.if_version
     }
@@ -74,22 +74,22 @@
     }
 
     fn transact(&mut self, request: &TransactRequest) -> TransactAnswer {
-        let all_hold = request.writes.iter().all(|write| self.holds(write));
-        let any_hold = request.writes.iter().any(|write| self.holds(write));
-        let committed = if request.atomic { all_hold } else { any_hold };
+        let all_met = request.writes.iter().all(|write| self.meets_precondition(write));
+        let any_met = request.writes.iter().any(|write| self.meets_precondition(write));
+        let committed = if request.atomic { all_met } else { any_met };
         if committed {
             self.revision += 1;
         }
         let mut results = Vec::with_capacity(request.writes.len());
         for write in &request.writes {
-            let effective = committed && self.holds(write);
+            let effective = committed && self.meets_precondition(write);
             results.push(if effective { self.apply(write) } else { self.conflict(write) });
         }
         TransactAnswer { revision: self.revision, committed, results }
     }
 
     fn changes(&self, prefix: &str, since: u64) -> ChangeFeed {
-        let wanted = |(key, item): &(&String, &TableItem)| {
+        let matches = |(key, item): &(&String, &TableItem)| {
             key.starts_with(prefix) && item.version > since && (since > 0 || item.value.is_some())
         };
         let read = |(key, item): (&String, &TableItem)| ItemRead {
@@ -97,7 +97,7 @@
             version: item.version,
             value: item.value.clone(),
         };
-        let items = self.items.iter().filter(wanted).map(read).collect();
+        let items = self.items.iter().filter(matches).map(read).collect();
         ChangeFeed { since, revision: self.revision, items }
     }
 
@@ -117,7 +117,7 @@
 }
 
 impl PlatformStandin {
-    /// A stand-in whose table holds `rows` as key and value.
+    /// Creates a platform whose table contains `rows` as pairs of key and value.
     pub fn with_items(rows: Vec<(String, Value)>) -> Self {
         let standin = Self::default();
         let write =
@@ -142,12 +142,12 @@
         state.faults = faults;
     }
 
-    /// Calls answered so far.
+    /// Number of calls so far, without fault settings.
     pub fn calls(&self) -> u64 {
         self.state().calls
     }
 
-    /// Answers one request.
+    /// Handles one request.
     pub async fn handle(self, request: Request<Incoming>) -> HttpResponse {
         let path = request.uri().path().to_owned();
         if path.starts_with("/standin/") {
@@ -186,7 +186,7 @@
         match read_json(request).await {
             Ok(faults) => {
                 self.set_faults(faults);
-                done()
+                empty_response()
             }
             Err(response) => response,
         }
@@ -201,7 +201,7 @@
         let answer = state.transact(&request);
         if state.faults.lose_answers > 0 {
             state.faults.lose_answers -= 1;
-            return broken();
+            return broken_response();
         }
         json_response(StatusCode::OK, &answer)
     }
@@ -223,17 +223,17 @@
             state.hosts_revision += 1;
         }
         drop(state);
-        done()
+        empty_response()
     }
 
     async fn object(&self, method: Method, path: &str, request: Request<Incoming>) -> HttpResponse {
         let name = path.trim_start_matches("/v1/objects/").to_owned();
         if method == Method::PUT {
             let Ok(body) = request.into_body().collect().await else {
-                return broken();
+                return broken_response();
             };
             self.state().objects.insert(name, body.to_bytes());
-            return done();
+            return empty_response();
         }
         match self.state().objects.get(&name) {
             Some(bytes) => typed_response(StatusCode::OK, "application/octet-stream", bytes.clone()),
--- a/crates/porthoist-standin/src/service.rs
+++ b/crates/porthoist-standin/src/service.rs
@@ -1,7 +1,7 @@
-//! Stand-in of a plain service: it echoes what it got and keeps a journal of what it ran.
+//! Stand-in of a plain service: it echoes requests and records them in a journal.
 
 use crate::journal::RunJournal;
-use crate::{broken, done, read_json};
+use crate::{broken_response, empty_response, read_json};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use hyper::{Request, StatusCode};
@@ -15,9 +15,9 @@
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServiceFaults {
-    /// Every call takes so much longer, in milliseconds.
+    /// Delay of every call in milliseconds.
     pub delay_ms: u64,
-    /// So many calls run without an answer.
+    /// Number of calls that run but get no response.
     pub lose_answers: u32,
 }
 
@@ -27,7 +27,7 @@
     journal: RunJournal,
 }
 
-/// The stand-in; clones share one state.
+/// An echo service in memory. Clones share one state.
 #[derive(Debug, Clone, Default)]
 pub struct ServiceStandin {
     state: Arc<Mutex<ServiceState>>,
@@ -38,7 +38,7 @@
         self.state.lock().expect("no thread panics while it holds the state")
     }
 
-    /// Answers one request.
+    /// Handles one request.
     pub async fn handle(self, request: Request<Incoming>) -> HttpResponse {
         let path = request.uri().path().to_owned();
         match path.as_str() {
@@ -47,7 +47,7 @@
                 return match read_json(request).await {
                     Ok(faults) => {
                         self.state().faults = faults;
-                        done()
+                        empty_response()
                     }
                     Err(response) => response,
                 };
@@ -57,7 +57,7 @@
         }
         let method = request.method().to_string();
         let Ok(body) = request.into_body().collect().await else {
-            return broken();
+            return broken_response();
         };
         let bytes = body.to_bytes();
         let (faults, run) = {
@@ -69,7 +69,7 @@
         };
         tokio::time::sleep(Duration::from_millis(faults.delay_ms)).await;
         if faults.lose_answers > 0 {
-            return broken();
+            return broken_response();
         }
         let body = String::from_utf8_lossy(&bytes);
         json_response(StatusCode::OK, &json!({ "method": method, "path": path, "run": run, "body": body }))
