--- a/crates/porthoist-scenario/src/backend.rs
+++ b/crates/porthoist-scenario/src/backend.rs
@@ -1,4 +1,4 @@
-//! Fake back ends on virtual time, with a journal of what ran.
+//! Fake back ends on virtual time that record the requests they run.
 
 use bytes::Bytes;
 use futures::future::BoxFuture;
@@ -11,62 +11,62 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// One run.
+/// A request run by a back end.
 #[derive(Debug, Clone)]
 pub struct FakeRun {
-    /// The request's name.
+    /// Name of the request.
     pub request: String,
-    /// When, in milliseconds from the start.
+    /// Start of the run, in milliseconds from the start of the scenario.
     pub at: u64,
 }
 
-/// A back end that outlives the process beside it.
+/// A back end that keeps running when the target process dies.
 #[derive(Debug)]
 pub struct FakeBackend {
     step: u64,
-    began: Instant,
+    started: Instant,
     runs: Mutex<Vec<FakeRun>>,
-    slowness: AtomicU64,
-    breaks: AtomicU64,
+    slowdown: AtomicU64,
+    streams_to_break: AtomicU64,
 }
 
-/// Tokens after which a broken stream breaks.
-const BREAK_AFTER: u64 = 3;
+/// Number of tokens that a broken stream sends before it breaks.
+const TOKENS_BEFORE_BREAK: u64 = 3;
 
-/// Name and answer length of a request, as the scenario writes them into its body.
-pub fn body_of(request: &str, tokens: u64) -> Bytes {
+/// Returns the body of a request, which contains its name and its number of tokens.
+pub fn request_body(request: &str, tokens: u64) -> Bytes {
     Bytes::from(format!("{request} {tokens}"))
 }
 
-/// The token at a position of a request's answer.
+/// Returns the token at a position of a request's response.
 pub fn token(request: &str, position: u64) -> Bytes {
     Bytes::from(format!("{request}.{position}"))
 }
 
 impl FakeBackend {
-    /// A back end whose token, or plain call, takes so many milliseconds.
-    pub fn new(step: u64, began: Instant) -> Arc<Self> {
-        let (runs, slowness, breaks) = (Mutex::default(), AtomicU64::new(1), AtomicU64::new(0));
-        Arc::new(Self { step, began, runs, slowness, breaks })
+    /// Creates a back end that needs `step` milliseconds for each token or plain call.
+    pub fn new(step: u64, started: Instant) -> Arc<Self> {
+        let (runs, slowdown, streams_to_break) = (Mutex::default(), AtomicU64::new(1), AtomicU64::new(0));
+        Arc::new(Self { step, started, runs, slowdown, streams_to_break })
     }
 
-    /// Makes it slower by a factor.
+    /// Multiplies the time of each step by a factor.
     pub fn slow(&self, times: u64) {
-        self.slowness.store(times, Ordering::Relaxed);
+        self.slowdown.store(times, Ordering::Relaxed);
     }
 
-    /// Breaks so many streams.
+    /// Breaks the next `count` streams.
     pub fn break_streams(&self, count: u64) {
-        self.breaks.store(count, Ordering::Relaxed);
+        self.streams_to_break.store(count, Ordering::Relaxed);
     }
 
-    /// What ran.
+    /// Returns all runs so far.
     pub fn runs(&self) -> Vec<FakeRun> {
         self.runs.lock().expect("no run panics").clone()
     }
 
     async fn pause(&self) {
-        let millis = self.step * self.slowness.load(Ordering::Relaxed);
+        let millis = self.step * self.slowdown.load(Ordering::Relaxed);
         tokio::time::sleep(Duration::from_millis(millis)).await;
     }
 
@@ -74,7 +74,7 @@
         let text = String::from_utf8_lossy(&job.offer.body).into_owned();
         let (request, tokens) = text.split_once(' ').unwrap_or((&text, "0"));
         let tokens: u64 = tokens.parse().unwrap_or(0);
-        let at = self.began.elapsed().as_millis() as u64;
+        let at = self.started.elapsed().as_millis() as u64;
         self.runs.lock().expect("no run panics").push(FakeRun { request: request.to_owned(), at });
         if tokens == 0 {
             self.pause().await;
@@ -82,12 +82,12 @@
             let head = AnswerHead { status: 200, headers: Vec::new() };
             return LogEnd::Whole { head, body: Bytes::from(request.to_owned()) };
         }
-        let left = self.breaks.load(Ordering::Relaxed);
-        self.breaks.store(left.saturating_sub(1), Ordering::Relaxed);
+        let breaks_left = self.streams_to_break.load(Ordering::Relaxed);
+        self.streams_to_break.store(breaks_left.saturating_sub(1), Ordering::Relaxed);
         let resumed = job.offer.resume_after.unwrap_or(0);
         let mut first_event = Some(first_event);
         for position in resumed + 1..=tokens {
-            if left > 0 && position > resumed + BREAK_AFTER {
+            if breaks_left > 0 && position > resumed + TOKENS_BEFORE_BREAK {
                 let (reason, verdict) = (RefusalReason::BackendFailed, RunVerdict::MayHaveRun);
                 return LogEnd::Refused { reason, verdict, retry_at: None };
             }
@@ -107,7 +107,7 @@
     }
 }
 
-/// A runner on a fake back end.
+/// Runs jobs on a fake back end.
 #[derive(Debug, Clone)]
 pub struct FakeRunner(pub Arc<FakeBackend>);
 
--- a/crates/porthoist-scenario/src/lib.rs
+++ b/crates/porthoist-scenario/src/lib.rs
@@ -1,7 +1,7 @@
-//! Scripted scenarios: hosts, requests and timed faults in KDL, run on virtual time.
+//! Scripted scenarios: hosts, requests and timed faults, written in KDL and run on virtual time.
 //!
-//! The requests go through the daemon's own request course and offers actor; only the network, the platform and the
-//! back ends are fakes. docs/SCENARIOS.md describes the language.
+//! Requests go through the daemon's real request handler and offers actor. Only the network, the platform and the back ends
+//! are fakes. docs/SCENARIOS.md describes the language.
 
 pub mod backend;
 pub mod platform;
--- a/crates/porthoist-scenario/src/platform.rs
+++ b/crates/porthoist-scenario/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform in memory: a table with outages, lost answers and a network that can be cut.
+//! In-memory platform: a table that can be unavailable or lose responses.
 
 use bytes::Bytes;
 use porthoist_table::{
@@ -17,7 +17,7 @@
     lose_answers: u32,
 }
 
-/// The table.
+/// A platform with an in-memory table. Clones share one table.
 #[derive(Debug, Clone)]
 pub struct MemoryPlatform(Arc<Mutex<TableState>>);
 
@@ -28,19 +28,19 @@
 }
 
 impl TableState {
-    fn holds(&self, write: &TableWrite) -> bool {
+    fn meets_precondition(&self, write: &TableWrite) -> bool {
         let live = self.items.get(&write.key).filter(|(_version, value)| value.is_some());
         write.unconditional || live.map(|(version, _value)| *version) == write.if_version
     }
 
     fn transact(&mut self, atomic: bool, writes: &[TableWrite]) -> TransactAnswer {
-        let all = writes.iter().all(|write| self.holds(write));
-        let any = writes.iter().any(|write| self.holds(write));
+        let all = writes.iter().all(|write| self.meets_precondition(write));
+        let any = writes.iter().any(|write| self.meets_precondition(write));
         let committed = if atomic { all } else { any };
         self.revision += u64::from(committed);
         let mut results = Vec::with_capacity(writes.len());
         for write in writes {
-            if committed && self.holds(write) {
+            if committed && self.meets_precondition(write) {
                 self.items.insert(write.key.clone(), (self.revision, write.value.clone()));
                 results.push(WriteResult::Written { version: self.revision });
                 continue;
@@ -59,17 +59,17 @@
         self.0.lock().expect("no thread panics while it holds the table")
     }
 
-    /// Takes the platform away, or brings it back.
+    /// Makes the platform available or unavailable.
     pub fn set_up(&self, up: bool) {
         self.state().up = up;
     }
 
-    /// So many writes take effect without an answer.
+    /// Makes the next `count` transactions take effect without a response.
     pub fn lose_answers(&self, count: u32) {
         self.state().lose_answers = count;
     }
 
-    fn answered<T>(&self, call: impl FnOnce(&mut TableState) -> T) -> Result<T, CallError> {
+    fn call_table<T>(&self, call: impl FnOnce(&mut TableState) -> T) -> Result<T, CallError> {
         let mut state = self.state();
         if !state.up {
             return Err(CallError::unknown("the platform is away"));
@@ -84,13 +84,13 @@
 
 impl PlatformClient for MemoryPlatform {
     fn transact(&self, atomic: bool, writes: Vec<TableWrite>) -> PlatformFuture<'_, TransactAnswer> {
-        let answered = self.answered(|state| {
+        let result = self.call_table(|state| {
             let answer = state.transact(atomic, &writes);
             let lost = state.lose_answers > 0;
             state.lose_answers = state.lose_answers.saturating_sub(1);
             (answer, lost)
         });
-        ready(match answered {
+        ready(match result {
             Ok((_answer, true)) => Err(CallError::unknown("the answer was lost")),
             Ok((answer, false)) => Ok(answer),
             Err(error) => Err(error),
@@ -98,7 +98,7 @@
     }
 
     fn item(&self, key: String) -> PlatformFuture<'_, Option<ItemRead>> {
-        ready(self.answered(|state| {
+        ready(self.call_table(|state| {
             let (version, value) =
                 state.items.get(&key).filter(|(_version, value)| value.is_some()).cloned()?;
             Some(ItemRead { key, version, value })
@@ -106,7 +106,7 @@
     }
 
     fn changes(&self, prefix: &'static str, since: u64) -> PlatformFuture<'_, ChangeFeed> {
-        ready(self.answered(|state| {
+        ready(self.call_table(|state| {
             let own = || state.items.iter().filter(|(key, _item)| key.starts_with(prefix));
             let revision = own().map(|(_key, (version, _value))| *version).max().unwrap_or(0);
             let changed =
@@ -121,18 +121,18 @@
     }
 
     fn hosts(&self, known: u64) -> PlatformFuture<'_, HostFeed> {
-        ready(self.answered(|_state| HostFeed { revision: known, hosts: None }))
+        ready(self.call_table(|_state| HostFeed { revision: known, hosts: None }))
     }
 
     fn register(&self, _host: HostEntry) -> PlatformFuture<'_, ()> {
-        ready(self.answered(|_state| ()))
+        ready(self.call_table(|_state| ()))
     }
 
     fn object(&self, _name: String) -> PlatformFuture<'_, Option<Bytes>> {
-        ready(self.answered(|_state| None))
+        ready(self.call_table(|_state| None))
     }
 
     fn put_object(&self, _name: String, _bytes: Bytes) -> PlatformFuture<'_, ()> {
-        ready(self.answered(|_state| ()))
+        ready(self.call_table(|_state| ()))
     }
 }
--- a/crates/porthoist-scenario/src/script.rs
+++ b/crates/porthoist-scenario/src/script.rs
@@ -1,11 +1,11 @@
-//! The language: a KDL node for each process, step and expectation.
+//! Scenario language: one KDL node for each process, step and expectation.
 //!
-//! An unknown word, a missing property or a name that was not declared is an error that shows the line.
+//! Unknown nodes and properties, and missing or malformed properties, are errors that show the line.
 
 use kdl::{KdlDocument, KdlNode, KdlValue};
 use miette::{Diagnostic, NamedSource, SourceSpan};
 
-/// An error in a script, with the line at fault.
+/// An error in a script, with its location.
 #[derive(Debug, thiserror::Error, Diagnostic)]
 #[error("{message}")]
 #[diagnostic(code(porthoist::scenario))]
@@ -17,18 +17,18 @@
     span: SourceSpan,
 }
 
-/// A scenario.
+/// A parsed scenario.
 #[derive(Debug, Clone, Default)]
 pub struct Scenario {
-    /// What it shows.
+    /// What the scenario shows.
     pub name: String,
-    /// Names and zones of the entries.
+    /// Entries.
     pub entries: Vec<EntrySpec>,
     /// Targets.
     pub targets: Vec<TargetSpec>,
-    /// Steps in the order of their times.
+    /// Steps, ordered by time.
     pub steps: Vec<TimedStep>,
-    /// What must hold at the end.
+    /// Expectations to check at the end.
     pub expectations: Vec<Expectation>,
 }
 
@@ -48,134 +48,134 @@
     pub name: String,
     /// Availability zone.
     pub zone: String,
-    /// The service that it runs; its requests are streamed completions if they have tokens.
+    /// Service that it runs. Requests with tokens get streamed completions.
     pub service: String,
-    /// Requests at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Time of a token, or of a plain call, in milliseconds.
+    /// Time for each token or plain call, in milliseconds.
     pub step: u64,
 }
 
 /// A request.
 #[derive(Debug, Clone)]
 pub struct SendSpec {
-    /// Name; it is the body too.
+    /// Name, which is also sent in the body.
     pub name: String,
-    /// The entry.
+    /// Entry that gets the request.
     pub entry: String,
-    /// The service.
+    /// Requested service.
     pub service: String,
-    /// Whether it may not be repeated.
+    /// Whether the request must not be repeated.
     pub never: bool,
-    /// `own:NAME` for a key of the caller's own, `ticket:NAME` for a ticket got by a `ticket` step.
+    /// `own:NAME` for a key chosen by the caller, `ticket:NAME` for a ticket of a `ticket` step.
     pub key: Option<String>,
-    /// Tokens of a streamed answer; 0 for a plain call.
+    /// Number of tokens of a streamed response; 0 for a plain call.
     pub tokens: u64,
-    /// Deadline in milliseconds from the step.
+    /// Deadline in milliseconds, from the time of the step.
     pub deadline: u64,
-    /// The name that the answer is kept under; the request's own where it is not repeated.
+    /// Name under which the outcome is recorded. The default is the request's name.
     pub label: String,
 }
 
-/// What happens in a step.
+/// Action of a step.
 #[derive(Debug, Clone)]
 pub enum StepKind {
     /// A caller sends a request.
     Send(SendSpec),
-    /// A caller gets a ticket of a target.
+    /// A caller gets a ticket from a target.
     Ticket {
-        /// Its name.
+        /// Name of the ticket.
         name: String,
         /// The target.
         target: String,
     },
-    /// A process dies without a word.
+    /// A process is killed.
     Kill(String),
-    /// A process starts again without memory.
+    /// A process restarts with empty state.
     Restart(String),
-    /// A process stops for a while, unaware.
+    /// A process is paused.
     Pause(String),
-    /// It goes on.
+    /// A paused process resumes.
     Resume(String),
-    /// Two zones can't hear each other; `platform` is a zone too.
+    /// Cuts the network between two zones; `platform` counts as a zone.
     Cut(String, String),
-    /// They can again.
+    /// Restores the network between two zones.
     Heal(String, String),
-    /// The platform is away, or back.
+    /// The platform becomes available (`true`) or unavailable.
     Platform(bool),
-    /// So many of its writes take effect without an answer.
+    /// This many of the next platform transactions take effect without a response.
     LoseAnswers(u32),
-    /// A target drains, or not.
+    /// A target starts or stops draining.
     Drain(String, bool),
-    /// A target's step takes so many times longer.
+    /// A target's steps become this many times longer.
     Slow(String, u64),
-    /// So many of a target's streams break after three tokens.
+    /// This many of a target's streams break after three tokens.
     BreakStreams(String, u64),
-    /// An operator edits a row on the version that was in force at the scenario's start or after `after`.
+    /// An operator edits a row, based on its version at the start or after the edit `after`.
     Edit {
         /// Name of the edit.
         name: String,
         /// The row as KIND/NAME.
         row: String,
-        /// Its weight cell.
+        /// New value of the weight cell.
         weight: String,
-        /// The edit whose row this one was read after; without it the row was read at the start.
+        /// Edit after which the operator read the row; at the start of the scenario if not given.
         after: Option<String>,
     },
 }
 
-/// A step with its time.
+/// A step and its time.
 #[derive(Debug, Clone)]
 pub struct TimedStep {
     /// Milliseconds from the start.
     pub at: u64,
-    /// What happens.
+    /// Action of the step.
     pub kind: StepKind,
 }
 
-/// What must hold at the end.
+/// A condition that must hold at the end.
 #[derive(Debug, Clone)]
 pub enum Expectation {
-    /// A request's answer: whole, broken, refused or lost.
+    /// Outcome of a request: whole, broken, refused or lost.
     Outcome {
         /// The request.
         request: String,
-        /// One of them, joined by `|`.
+        /// Allowed values, separated by `|`.
         is: String,
     },
-    /// The verdict of a refusal.
+    /// Verdict of a refusal.
     Verdict {
         /// The request.
         request: String,
-        /// One of them, joined by `|`.
+        /// Allowed values, separated by `|`.
         is: String,
     },
-    /// How often a request ran.
+    /// Number of runs of a request.
     Runs {
         /// The request.
         request: String,
-        /// At least.
+        /// Minimum.
         least: usize,
-        /// At most.
+        /// Maximum.
         most: usize,
     },
-    /// How often a target ran anything after a time.
+    /// Number of requests that a target ran from a given time.
     TargetRuns {
         /// The target.
         target: String,
         /// Milliseconds from the start.
         after: u64,
-        /// At most.
+        /// Maximum.
         most: usize,
     },
-    /// An edit's end: committed, conflict or unknown.
+    /// Result of an edit: committed, conflict or unknown.
     EditIs {
         /// The edit.
         edit: String,
-        /// What it came to.
+        /// Expected result.
         is: String,
     },
-    /// The weight of a row in force at every entry.
+    /// Weight of a row in force at every entry.
     InForce {
         /// The row.
         row: String,
@@ -227,7 +227,7 @@
         value.as_bool().ok_or_else(|| self.error(node, format!("{property} must be #true or #false")))
     }
 
-    fn only(&self, node: &KdlNode, allowed: &[&str]) -> Result<(), ScriptError> {
+    fn check_properties(&self, node: &KdlNode, allowed: &[&str]) -> Result<(), ScriptError> {
         for entry in node.entries() {
             let Some(name) = entry.name() else { continue };
             if !allowed.contains(&name.value()) {
@@ -243,7 +243,7 @@
         match node.name().value() {
             "scenario" => scenario.name = self.argument(node, 0)?,
             "entry" => {
-                self.only(node, &["zone"])?;
+                self.check_properties(node, &["zone"])?;
                 let spec = EntrySpec { name: self.argument(node, 0)?, zone: self.text(node, "zone", None)? };
                 scenario.entries.push(spec);
             }
@@ -260,7 +260,7 @@
     }
 
     fn target(&self, node: &KdlNode) -> Result<TargetSpec, ScriptError> {
-        self.only(node, &["zone", "service", "slots", "step"])?;
+        self.check_properties(node, &["zone", "service", "slots", "step"])?;
         Ok(TargetSpec {
             name: self.argument(node, 0)?,
             zone: self.text(node, "zone", None)?,
@@ -276,18 +276,18 @@
             "send" => return Ok(StepKind::Send(self.send(node)?)),
             "edit" => return self.edit(node),
             "ticket" => {
-                self.only(node, &["at", "target"])?;
+                self.check_properties(node, &["at", "target"])?;
                 return Ok(StepKind::Ticket {
                     name: self.argument(node, 0)?,
                     target: self.text(node, "target", None)?,
                 });
             }
             "lose-answers" => {
-                self.only(node, &["at", "count"])?;
+                self.check_properties(node, &["at", "count"])?;
                 return Ok(StepKind::LoseAnswers(self.number(node, "count", Some(1))? as u32));
             }
             "slow" | "break-streams" => {
-                self.only(node, &["at", "times"])?;
+                self.check_properties(node, &["at", "times"])?;
                 let (target, times) = (self.argument(node, 0)?, self.number(node, "times", Some(1))?);
                 let slow = name == "slow";
                 return Ok(if slow {
@@ -296,7 +296,7 @@
                     StepKind::BreakStreams(target, times)
                 });
             }
-            _ => self.only(node, &["at"])?,
+            _ => self.check_properties(node, &["at"])?,
         }
         Ok(match name {
             "kill" => StepKind::Kill(self.argument(node, 0)?),
@@ -314,7 +314,10 @@
     }
 
     fn send(&self, node: &KdlNode) -> Result<SendSpec, ScriptError> {
-        self.only(node, &["at", "entry", "service", "never", "key", "tokens", "deadline", "label"])?;
+        self.check_properties(
+            node,
+            &["at", "entry", "service", "never", "key", "tokens", "deadline", "label"],
+        )?;
         let name = self.argument(node, 0)?;
         Ok(SendSpec {
             entry: self.text(node, "entry", None)?,
@@ -329,7 +332,7 @@
     }
 
     fn edit(&self, node: &KdlNode) -> Result<StepKind, ScriptError> {
-        self.only(node, &["at", "row", "weight", "after"])?;
+        self.check_properties(node, &["at", "row", "weight", "after"])?;
         Ok(StepKind::Edit {
             name: self.argument(node, 0)?,
             row: self.text(node, "row", None)?,
@@ -342,24 +345,24 @@
         let subject = self.argument(node, 0)?;
         match node.name().value() {
             "runs" => {
-                self.only(node, &["least", "most"])?;
+                self.check_properties(node, &["least", "most"])?;
                 let least = self.number(node, "least", Some(0))? as usize;
                 let most = self.number(node, "most", Some(u64::from(u32::MAX)))? as usize;
                 Ok(Expectation::Runs { request: subject, least, most })
             }
             "target-runs" => {
-                self.only(node, &["after", "most"])?;
+                self.check_properties(node, &["after", "most"])?;
                 let after = self.number(node, "after", Some(0))?;
                 let most = self.number(node, "most", None)? as usize;
                 Ok(Expectation::TargetRuns { target: subject, after, most })
             }
             "edit-is" => Ok(Expectation::EditIs { edit: subject, is: self.argument(node, 1)? }),
             "in-force" => {
-                self.only(node, &["weight"])?;
+                self.check_properties(node, &["weight"])?;
                 Ok(Expectation::InForce { row: subject, weight: self.text(node, "weight", None)? })
             }
             _ => {
-                self.only(node, &["answer", "verdict"])?;
+                self.check_properties(node, &["answer", "verdict"])?;
                 if node.get("verdict").is_some() {
                     return Ok(Expectation::Verdict {
                         request: subject,
@@ -372,7 +375,7 @@
     }
 }
 
-/// Reads a script.
+/// Parses a script.
 pub fn parse(file: &str, text: &str) -> Result<Scenario, ScriptError> {
     let reader = ScriptReader { file, text };
     let document: KdlDocument = text.parse().map_err(|error: kdl::KdlError| {
--- a/crates/porthoist-scenario/src/world.rs
+++ b/crates/porthoist-scenario/src/world.rs
@@ -1,4 +1,4 @@
-//! The world of a scenario: entries, targets and the network between them, on virtual time.
+//! Simulated environment of a scenario: entries, targets and the network between them, on virtual time.
 
 pub mod entry;
 pub mod network;
@@ -23,49 +23,49 @@
 use target::TargetNode;
 use tokio::time::Instant;
 
-/// The team of every request.
+/// Team of all requests.
 pub const TEAM: &str = "team";
-/// After the last step everything has so long to come to its end.
+/// Maximum time to wait for outcomes after the last step.
 const SETTLE_TIME: Duration = Duration::from_mins(2);
-/// The scenario begins at this time.
+/// Time at the start of the scenario, in milliseconds since the Unix epoch.
 const START_MILLIS: u64 = 1_000_000;
 
-/// Virtual time.
+/// Clock that follows the runtime's virtual time.
 #[derive(Debug)]
 pub struct VirtualClock {
-    began: Instant,
+    started: Instant,
 }
 
 impl ClockSource for VirtualClock {
     fn now(&self) -> UnixMillis {
-        UnixMillis(START_MILLIS + self.began.elapsed().as_millis() as u64)
+        UnixMillis(START_MILLIS + self.started.elapsed().as_millis() as u64)
     }
 }
 
-/// What came of a scenario.
+/// Result of a scenario.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ScenarioReport {
-    /// Expectations that do not hold, and answers that were wrong.
+    /// Violated expectations and guarantees, and wrong responses.
     pub failures: Vec<String>,
-    /// Requests sent.
+    /// Number of requests sent.
     pub sent: usize,
-    /// Answers whole.
+    /// Number of complete responses.
     pub whole: usize,
-    /// Refusals by verdict.
+    /// Number of refusals by verdict.
     pub refused: BTreeMap<String, usize>,
-    /// Streams broken off, and requests whose entry died.
+    /// Number of broken streams and of requests whose entry died.
     pub broken: usize,
-    /// Runs in the journals.
+    /// Number of runs at all back ends.
     pub runs: usize,
-    /// Requests that may not be repeated and ran more than once.
-    pub doubled: usize,
-    /// Refusals with "not run" of requests that ran.
-    pub untrue: usize,
+    /// Number of non-repeatable requests that ran more than once.
+    pub run_twice: usize,
+    /// Number of requests that ran although they were refused with the verdict "not-run".
+    pub false_not_run: usize,
 }
 
-/// Everything that scenario steps act on.
+/// State that scenario steps act on.
 pub(crate) struct ScenarioWorld {
-    pub(crate) began: Instant,
+    pub(crate) started: Instant,
     pub(crate) clock: Arc<VirtualClock>,
     pub(crate) network: Arc<ScenarioNetwork>,
     pub(crate) platform: MemoryPlatform,
@@ -88,7 +88,7 @@
     runtime.block_on(async {
         let mut world = ScenarioWorld::new(scenario).await;
         for step in &scenario.steps {
-            world.perform(step).await;
+            world.run_step(step).await;
         }
         world.settle().await;
         world.report(scenario)
@@ -105,15 +105,15 @@
 
 impl ScenarioWorld {
     async fn new(scenario: &Scenario) -> Self {
-        let began = Instant::now();
-        let clock = Arc::new(VirtualClock { began });
+        let started = Instant::now();
+        let clock = Arc::new(VirtualClock { started });
         let network = Arc::new(ScenarioNetwork::default());
         let platform = MemoryPlatform::default();
         let mut targets = BTreeMap::new();
         let mut rows = vec![cells(&[("kind", "team"), ("name", TEAM), ("weight", "1"), ("rate", "100000")])];
         for spec in &scenario.targets {
             rows.push(cells(&[("kind", "service"), ("name", &spec.service), ("mode", "model")]));
-            let node = TargetNode::start(spec.clone(), began, Arc::<VirtualClock>::clone(&clock)).await;
+            let node = TargetNode::start(spec.clone(), started, Arc::<VirtualClock>::clone(&clock)).await;
             targets.insert(spec.name.clone(), Arc::new(node));
         }
         rows.dedup();
@@ -127,7 +127,7 @@
             node.follow_config(&entries.values().cloned().collect::<Vec<_>>());
         }
         Self {
-            began,
+            started,
             clock,
             network,
             platform,
@@ -141,8 +141,8 @@
         }
     }
 
-    async fn perform(&mut self, step: &TimedStep) {
-        tokio::time::sleep_until(self.began + Duration::from_millis(step.at)).await;
+    async fn run_step(&mut self, step: &TimedStep) {
+        tokio::time::sleep_until(self.started + Duration::from_millis(step.at)).await;
         match &step.kind {
             StepKind::Send(spec) => {
                 let ticket = spec.key.as_ref().and_then(|key| key.strip_prefix("ticket:"));
@@ -216,7 +216,7 @@
         }
     }
 
-    /// Waits until every request has its outcome.
+    /// Waits until every request has an outcome, and at least 10 s.
     async fn settle(&self) {
         let ends = Instant::now() + SETTLE_TIME;
         loop {
@@ -251,17 +251,17 @@
         if outcomes.len() < self.sent.len() {
             report.failures.push(format!("{} requests have no outcome", self.sent.len() - outcomes.len()));
         }
-        self.check_promises(&outcomes, &runs, &mut report);
+        self.check_guarantees(&outcomes, &runs, &mut report);
         for expectation in &scenario.expectations {
-            if let Some(failure) = self.broken(expectation, &outcomes, &runs) {
+            if let Some(failure) = self.check_expectation(expectation, &outcomes, &runs) {
                 report.failures.push(failure);
             }
         }
         report
     }
 
-    /// What must always hold, whatever the scenario expects.
-    fn check_promises(
+    /// Checks the guarantees that hold in every scenario.
+    fn check_guarantees(
         &self,
         outcomes: &BTreeMap<String, SentOutcome>,
         runs: &[FakeRun],
@@ -270,7 +270,7 @@
         for spec in &self.sent {
             let count = runs.iter().filter(|run| run.request == spec.name).count();
             if spec.never && count > 1 {
-                report.doubled += 1;
+                report.run_twice += 1;
                 report.failures.push(format!("{} ran {count} times", spec.name));
             }
             let not_run = matches!(
@@ -278,13 +278,13 @@
                 Some(SentOutcome::Refused { verdict, .. }) if verdict == "not-run"
             );
             if not_run && count > 0 {
-                report.untrue += 1;
+                report.false_not_run += 1;
                 report.failures.push(format!("{} was called not run, and ran", spec.name));
             }
         }
     }
 
-    fn broken(
+    fn check_expectation(
         &self,
         expectation: &Expectation,
         outcomes: &BTreeMap<String, SentOutcome>,
@@ -292,7 +292,7 @@
     ) -> Option<String> {
         match expectation {
             Expectation::Outcome { request, is } => {
-                let found = outcomes.get(request).map_or("none", SentOutcome::word);
+                let found = outcomes.get(request).map_or("none", SentOutcome::name);
                 (!is.split('|').any(|word| word == found)).then(|| format!("{request} is {found}, not {is}"))
             }
             Expectation::Verdict { request, is } => {
--- a/crates/porthoist-scenario/src/world/entry.rs
+++ b/crates/porthoist-scenario/src/world/entry.rs
@@ -1,11 +1,11 @@
-//! An entry: the daemon's request course over ports that can fail.
+//! An entry: the daemon's request handler on ports with simulated failures.
 
 use super::network::ScenarioNetwork;
 use super::outcome::{SentOutcome, collect};
 use super::ports::{EntryPort, EntryShared};
 use super::target::TargetNode;
 use super::{TEAM, VirtualClock};
-use crate::backend::body_of;
+use crate::backend::request_body;
 use crate::platform::MemoryPlatform;
 use crate::script::{EntrySpec, SendSpec};
 use porthoist_caller::CallerPorts;
@@ -28,12 +28,13 @@
 use tokio::sync::{oneshot, watch};
 use tokio::task::JoinHandle;
 
-const POLL: Duration = Duration::from_millis(500);
+/// Interval at which an entry reads the configuration.
+const CONFIG_INTERVAL: Duration = Duration::from_millis(500);
 
 type Outcomes = Arc<Mutex<BTreeMap<String, SentOutcome>>>;
 type SharedParts = (Arc<ScenarioNetwork>, MemoryPlatform, Arc<VirtualClock>);
 
-/// The entry.
+/// A simulated entry process.
 #[derive(Debug)]
 pub struct EntryNode {
     shared: Arc<EntryShared>,
@@ -55,7 +56,7 @@
 }
 
 impl EntryNode {
-    /// Starts an entry that knows all targets.
+    /// Starts an entry that can route to all targets.
     pub fn start(
         spec: &EntrySpec,
         common: SharedParts,
@@ -92,12 +93,12 @@
         Arc::new(Self { shared, ports, incarnation, next_request, tasks })
     }
 
-    /// The entry's name.
+    /// Returns the entry's name.
     pub fn name(&self) -> &str {
         &self.shared.name
     }
 
-    /// Follows the table's changes and the other entries.
+    /// Starts a task that adopts configuration changes from the table and the other entries.
     pub fn follow_config(&self, others: &[Arc<Self>]) {
         let shared = Arc::clone(&self.shared);
         let others: Vec<Arc<EntryShared>> = others.iter().map(|other| Arc::clone(&other.shared)).collect();
@@ -105,31 +106,31 @@
             loop {
                 shared.adopt_from_table().await;
                 shared.adopt_from_peers(&others);
-                tokio::time::sleep(POLL).await;
+                tokio::time::sleep(CONFIG_INTERVAL).await;
             }
         });
     }
 
-    /// Weight cell of a row in force.
+    /// Returns the weight cell of a row in force.
     pub fn weight(&self, row: &str) -> Option<String> {
         let key: RowKey = row.parse().ok()?;
         let config = self.shared.config.lock().expect("no task panics");
         config.row(&key).and_then(|found| found.to_cells(&key).get("weight").cloned())
     }
 
-    /// Pauses the process, or lets it go on.
+    /// Pauses or resumes the process.
     pub fn set_paused(&self, paused: bool) {
         self.shared.paused.send_replace(paused);
     }
 
-    /// The process dies: every request on its way is lost.
+    /// Kills the process: all requests in progress are lost.
     pub fn kill(&self) {
         for task in self.tasks.lock().expect("no task panics").drain(..) {
             task.abort();
         }
     }
 
-    /// A caller sends a request.
+    /// Sends a request from a caller and records its outcome.
     pub fn send(&self, spec: &SendSpec, ticket: Option<TicketText>, outcomes: Outcomes) {
         let id = RequestId(self.next_request.fetch_add(1, Ordering::Relaxed));
         let request = self.request(spec, ticket);
@@ -156,7 +157,7 @@
             method: "POST".to_owned(),
             path: "/run".to_owned(),
             headers: Vec::new(),
-            body: body_of(&spec.name, spec.tokens),
+            body: request_body(&spec.name, spec.tokens),
             deadline: UnixDeadline::after(self.shared.clock.now(), spec.deadline),
             priority: RequestPriority::default(),
             repeat: if spec.never { RepeatPolicy::Never } else { RepeatPolicy::Safe },
--- a/crates/porthoist-scenario/src/world/network.rs
+++ b/crates/porthoist-scenario/src/world/network.rs
@@ -1,18 +1,18 @@
-//! The network: zones that can be cut off from each other and from the platform.
+//! Simulated network between zones, which can be cut off from each other and from the platform.
 
 use std::collections::BTreeSet;
 use std::sync::{Mutex, MutexGuard};
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Name of the platform as an end of a cut.
+/// Name of the platform in cuts.
 pub const PLATFORM: &str = "platform";
-/// One way within a zone.
+/// One-way latency within a zone.
 const SAME_ZONE: Duration = Duration::from_micros(500);
-/// One way to another zone.
+/// One-way latency between zones.
 const OTHER_ZONE: Duration = Duration::from_micros(1500);
 
-/// The network.
+/// Network with its current cuts.
 #[derive(Debug)]
 pub struct ScenarioNetwork {
     cuts: Mutex<BTreeSet<(String, String)>>,
@@ -34,34 +34,34 @@
         self.cuts.lock().expect("no task panics while it holds the cuts")
     }
 
-    /// Cuts two zones off from each other.
+    /// Cuts the connection between two zones.
     pub fn cut(&self, left: &str, right: &str) {
         self.cuts().insert(pair(left, right));
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Heals a cut.
+    /// Restores the connection between two zones.
     pub fn heal(&self, left: &str, right: &str) {
         self.cuts().remove(&pair(left, right));
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Whether two zones hear each other.
-    pub fn hears(&self, left: &str, right: &str) -> bool {
+    /// Returns whether two zones are connected.
+    pub fn connected(&self, left: &str, right: &str) -> bool {
         !self.cuts().contains(&pair(left, right))
     }
 
-    /// Waits until two zones don't hear each other.
-    pub async fn broken(&self, left: &str, right: &str) {
+    /// Waits until two zones are cut off from each other.
+    pub async fn wait_for_cut(&self, left: &str, right: &str) {
         let mut changed = self.changed.subscribe();
-        while self.hears(left, right) {
+        while self.connected(left, right) {
             if changed.changed().await.is_err() {
                 return std::future::pending().await;
             }
         }
     }
 
-    /// One way between two zones.
+    /// Returns the one-way latency between two zones.
     pub fn latency(left: &str, right: &str) -> Duration {
         if left == right { SAME_ZONE } else { OTHER_ZONE }
     }
--- a/crates/porthoist-scenario/src/world/outcome.rs
+++ b/crates/porthoist-scenario/src/world/outcome.rs
@@ -1,4 +1,4 @@
-//! What a caller sees of its request in the end.
+//! Outcome of a request as its caller sees it.
 
 use crate::backend::token;
 use crate::script::SendSpec;
@@ -10,26 +10,26 @@
 /// How a request ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SentOutcome {
-    /// Its whole answer came.
+    /// The complete response arrived.
     Whole,
-    /// Refused.
+    /// The request was refused.
     Refused {
-        /// Why.
+        /// Reason of the refusal.
         reason: String,
-        /// not-run, may-have-run or ran.
+        /// `not-run`, `may-have-run` or `ran`.
         verdict: String,
     },
-    /// The stream broke off.
+    /// The stream broke.
     Broken,
-    /// The entry died.
+    /// The entry died or the stream ended early.
     Lost,
-    /// Another answer than its own.
+    /// The response differs from the expected one.
     Wrong(String),
 }
 
 impl SentOutcome {
-    /// The outcome as expectations name it.
-    pub fn word(&self) -> &str {
+    /// Returns the name of the outcome in expectations.
+    pub fn name(&self) -> &str {
         match self {
             Self::Whole => "whole",
             Self::Refused { .. } => "refused",
@@ -39,16 +39,16 @@
         }
     }
 
-    /// The verdict of a refusal.
+    /// Returns the verdict of a refusal, or the name of another outcome.
     pub fn verdict(&self) -> &str {
         match self {
             Self::Refused { verdict, .. } => verdict,
-            other => other.word(),
+            other => other.name(),
         }
     }
 }
 
-/// Waits for the outcome of a request and compares its answer with the one it must have.
+/// Waits for the outcome of a request and compares the response with the expected one.
 pub(super) async fn collect(start: oneshot::Receiver<AnswerStart>, spec: &SendSpec) -> SentOutcome {
     match start.await {
         Err(_dead) => SentOutcome::Lost,
@@ -65,8 +65,8 @@
 
 async fn collect_stream(mut body: mpsc::Receiver<Result<Bytes, io::Error>>, spec: &SendSpec) -> SentOutcome {
     let mut text = String::new();
-    while let Some(piece) = body.recv().await {
-        match piece {
+    while let Some(chunk) = body.recv().await {
+        match chunk {
             Ok(bytes) => text.push_str(&String::from_utf8_lossy(&bytes)),
             Err(_broken) => return SentOutcome::Broken,
         }
@@ -76,7 +76,7 @@
         return SentOutcome::Lost;
     };
     let expected: Vec<Bytes> = (1..=spec.tokens).map(|position| token(&spec.name, position)).collect();
-    if tokens.iter().map(|one| one.as_bytes()).eq(expected.iter().map(AsRef::as_ref)) {
+    if tokens.iter().map(|text| text.as_bytes()).eq(expected.iter().map(AsRef::as_ref)) {
         return SentOutcome::Whole;
     }
     SentOutcome::Wrong(text)
--- a/crates/porthoist-scenario/src/world/ports.rs
+++ b/crates/porthoist-scenario/src/world/ports.rs
@@ -1,4 +1,4 @@
-//! The ports of an entry: routing, offers, claims and configuration over a network and a platform that can fail.
+//! Ports of an entry: routing, offers, claims and configuration on a simulated network and platform that can fail.
 
 use super::VirtualClock;
 use super::network::{PLATFORM, ScenarioNetwork};
@@ -28,10 +28,10 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// A peer that says nothing for so long is taken for lost.
-const SILENCE: Duration = Duration::from_millis(1500);
+/// Time after which a silent peer counts as lost.
+const PEER_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// What the ports of one entry share.
+/// State shared by the ports of one entry.
 #[derive(Debug)]
 pub(super) struct EntryShared {
     pub(super) name: String,
@@ -46,15 +46,15 @@
 }
 
 impl EntryShared {
-    /// Waits while the process is paused.
-    async fn awake(&self) {
+    /// Waits until the process is not paused.
+    async fn wait_until_resumed(&self) {
         let mut paused = self.paused.subscribe();
-        // The sender lives as long as this entry.
-        let _awake = paused.wait_for(|paused| !*paused).await;
+        // `self` holds the sender, so an error is impossible.
+        let _resumed = paused.wait_for(|paused| !*paused).await;
     }
 
     pub(super) async fn adopt_from_table(&self) {
-        if !self.network.hears(&self.zone, PLATFORM) {
+        if !self.network.connected(&self.zone, PLATFORM) {
             return;
         }
         let since = self.config.lock().expect("no task panics").revision();
@@ -66,7 +66,7 @@
 
     pub(super) fn adopt_from_peers(&self, others: &[Arc<Self>]) {
         for other in others.iter().filter(|other| other.name != self.name) {
-            if self.network.hears(&self.zone, &other.zone) {
+            if self.network.connected(&self.zone, &other.zone) {
                 let change = other.config.lock().expect("no task panics").snapshot();
                 self.config.lock().expect("no task panics").adopt(change);
             }
@@ -83,10 +83,10 @@
         offer: RequestOffer,
         frames: &mpsc::Sender<AnswerFrame>,
     ) -> Result<OfferOutcome, OfferFailure> {
-        let mut broken = node.lives();
-        broken.borrow_and_update();
+        let mut restarts = node.restarts();
+        restarts.borrow_and_update();
         tokio::time::sleep(ScenarioNetwork::latency(&self.zone, &node.spec.zone)).await;
-        if !self.network.hears(&self.zone, &node.spec.zone) || node.actor().is_none() {
+        if !self.network.connected(&self.zone, &node.spec.zone) || node.actor().is_none() {
             return Err(UNREACHABLE);
         }
         if *node.paused().borrow() {
@@ -94,13 +94,13 @@
         }
         tokio::select! {
             biased;
-            _ = broken.changed() => Err(LOST),
-            () = self.network.broken(&self.zone, &node.spec.zone) => Err(LOST),
+            _ = restarts.changed() => Err(LOST),
+            () = self.network.wait_for_cut(&self.zone, &node.spec.zone) => Err(LOST),
             outcome = self.run_offer(node, offer, frames) => outcome,
         }
     }
 
-    /// The offer lies in the paused process's socket: it is taken when the process goes on.
+    /// Leaves the offer in the socket of the paused process, which reads it when it resumes.
     async fn offer_to_paused(
         &self,
         node: &TargetNode,
@@ -111,11 +111,11 @@
             if paused.wait_for(|paused| !*paused).await.is_ok()
                 && let Some(actor) = actor
             {
-                // Nobody listens any more; whether it runs is for the actor to say.
+                // The entry no longer waits for the response. The actor decides whether to run the offer.
                 drop(actor.ask(OfferRequest(Arc::new(offer))).await);
             }
         });
-        tokio::time::sleep(SILENCE).await;
+        tokio::time::sleep(PEER_TIMEOUT).await;
         Err(LOST)
     }
 
@@ -138,7 +138,7 @@
         };
         let outcome = self.follow(node, &mut follower, attempt, frames).await;
         drop(follower);
-        let _told = actor.tell(OfferAbandoned(attempt)).await;
+        let _sent = actor.tell(OfferAbandoned(attempt)).await;
         outcome
     }
 
@@ -151,13 +151,13 @@
     ) -> Result<OfferOutcome, OfferFailure> {
         let (mut sequence, mut digest) = (0, AnswerDigest::default());
         loop {
-            let news = follower.next().await;
+            let update = follower.next().await;
             let mut paused = node.paused();
-            let awake = paused.wait_for(|paused| !*paused);
-            if tokio::time::timeout(SILENCE, awake).await.is_err() {
+            let resumed = paused.wait_for(|paused| !*paused);
+            if tokio::time::timeout(PEER_TIMEOUT, resumed).await.is_err() {
                 return Err(LOST);
             }
-            match news {
+            match update {
                 LogUpdate::Events(first, events) => {
                     for (event, data) in (first..).zip(events) {
                         digest.update(&data);
@@ -195,22 +195,22 @@
 pub(super) struct EntryPort(pub(super) Arc<EntryShared>);
 
 impl RoutingPort for EntryPort {
-    fn route(&self, ask: RouteRequest) -> BoxFuture<'_, Result<RouteReply, CallerRefusal>> {
+    fn route(&self, request: RouteRequest) -> BoxFuture<'_, Result<RouteReply, CallerRefusal>> {
         Box::pin(async move {
-            self.0.awake().await;
+            self.0.wait_until_resumed().await;
             let query = RouteQuery {
-                service: &ask.service,
+                service: &request.service,
                 now: self.0.clock.now(),
-                deadline: ask.deadline,
-                prompt_tokens: ask.prompt_tokens,
-                prefix_blocks: &ask.prefix_blocks,
-                exclude: &ask.exclude,
+                deadline: request.deadline,
+                prompt_tokens: request.prompt_tokens,
+                prefix_blocks: &request.prefix_blocks,
+                exclude: &request.exclude,
             };
             let mut router = self.0.router.lock().expect("no task panics");
             match router.choose(&query) {
                 Ok(choice) => {
-                    if !ask.peek {
-                        router.sent(query.now, &choice.target, ask.attempt, &query);
+                    if !request.peek {
+                        router.sent(query.now, &choice.target, request.attempt, &query);
                     }
                     Ok(RouteReply { choice, hedge_at: None })
                 }
@@ -261,10 +261,11 @@
     ) -> BoxFuture<'static, Result<Vec<TicketText>, OfferFailure>> {
         let shared = Arc::clone(&self.0);
         Box::pin(async move {
-            shared.awake().await;
+            shared.wait_until_resumed().await;
             let node = shared.target(&target).ok_or(UNREACHABLE)?;
-            let heard = shared.network.hears(&shared.zone, &node.spec.zone) && !*node.paused().borrow();
-            let actor = node.actor().filter(|_actor| heard).ok_or(UNREACHABLE)?;
+            let reachable =
+                shared.network.connected(&shared.zone, &node.spec.zone) && !*node.paused().borrow();
+            let actor = node.actor().filter(|_actor| reachable).ok_or(UNREACHABLE)?;
             actor.ask(MintTickets { team, count, deadline }).await.map_err(|_dead| UNREACHABLE)
         })
     }
@@ -278,9 +279,9 @@
         row: ClaimRow<TicketText>,
     ) -> BoxFuture<'_, ClaimEvent<TicketText>> {
         Box::pin(async move {
-            self.0.awake().await;
+            self.0.wait_until_resumed().await;
             let Ok(value) = serde_json::to_value(row) else { return ClaimEvent::TableUnavailable };
-            if !self.0.network.hears(&self.0.zone, PLATFORM) {
+            if !self.0.network.connected(&self.0.zone, PLATFORM) {
                 return ClaimEvent::TableUnavailable;
             }
             let key = format!("{CLAIM_PREFIX}{key}");
@@ -301,8 +302,8 @@
 
     fn read(&self, key: String) -> BoxFuture<'_, ClaimEvent<TicketText>> {
         Box::pin(async move {
-            self.0.awake().await;
-            if !self.0.network.hears(&self.0.zone, PLATFORM) {
+            self.0.wait_until_resumed().await;
+            if !self.0.network.connected(&self.0.zone, PLATFORM) {
                 return ClaimEvent::TableUnavailable;
             }
             match self.0.platform.item(format!("{CLAIM_PREFIX}{key}")).await {
--- a/crates/porthoist-scenario/src/world/target.rs
+++ b/crates/porthoist-scenario/src/world/target.rs
@@ -1,4 +1,4 @@
-//! A target: the daemon's offers actor in one life, beside a back end that outlives it.
+//! A target: the daemon's offers actor, which can be killed and restarted, and a back end that keeps running.
 
 use super::{TEAM, VirtualClock};
 use crate::backend::{FakeBackend, FakeRunner};
@@ -17,26 +17,29 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-const QUEUE: usize = 64;
-const TICK: Duration = Duration::from_millis(20);
+/// Capacity of the admission queue.
+const QUEUE_LENGTH: usize = 64;
+/// Interval of queue ticks.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Lifetime of a ticket in milliseconds.
 const TICKET_MILLIS: u64 = 3_600_000;
 
-/// One life of the process.
-struct TargetLife {
+/// State of one run of the target process.
+struct TargetProcess {
     actor: ActorRef<OffersActor>,
     load: watch::Receiver<LoadReport>,
     tasks: Vec<JoinHandle<()>>,
 }
 
-/// The target.
+/// A simulated target host.
 pub struct TargetNode {
-    /// What the script says.
+    /// Settings from the script.
     pub spec: TargetSpec,
-    /// The back end.
+    /// Back end of the target.
     pub backend: Arc<FakeBackend>,
     clock: Arc<VirtualClock>,
-    life: Mutex<Option<TargetLife>>,
-    lives: watch::Sender<u64>,
+    process: Mutex<Option<TargetProcess>>,
+    restarts: watch::Sender<u64>,
     paused: watch::Sender<bool>,
 }
 
@@ -47,68 +50,68 @@
 }
 
 impl TargetNode {
-    /// Starts the back end and the first life.
-    pub async fn start(spec: TargetSpec, began: Instant, clock: Arc<VirtualClock>) -> Self {
-        let backend = FakeBackend::new(spec.step, began);
+    /// Starts the back end and the process.
+    pub async fn start(spec: TargetSpec, started: Instant, clock: Arc<VirtualClock>) -> Self {
+        let backend = FakeBackend::new(spec.step, started);
         let node = Self {
             spec,
             backend,
             clock,
-            life: Mutex::new(None),
-            lives: watch::Sender::new(0),
+            process: Mutex::new(None),
+            restarts: watch::Sender::new(0),
             paused: watch::Sender::new(false),
         };
         node.restart().await;
         node
     }
 
-    fn life(&self) -> MutexGuard<'_, Option<TargetLife>> {
-        self.life.lock().expect("no task panics while it holds the life")
+    fn process(&self) -> MutexGuard<'_, Option<TargetProcess>> {
+        self.process.lock().expect("no task panics while it holds the process")
     }
 
-    /// The actor of the present life.
+    /// Returns the actor of the running process.
     pub fn actor(&self) -> Option<ActorRef<OffersActor>> {
-        self.life().as_ref().map(|life| life.actor.clone())
+        self.process().as_ref().map(|process| process.actor.clone())
     }
 
-    /// Its load.
+    /// Returns the reported load.
     pub fn load(&self) -> LoadReport {
-        self.life().as_ref().map(|life| *life.load.borrow()).unwrap_or_default()
+        self.process().as_ref().map(|process| *process.load.borrow()).unwrap_or_default()
     }
 
-    /// Follows the lives: a change means that connections broke.
-    pub fn lives(&self) -> watch::Receiver<u64> {
-        self.lives.subscribe()
+    /// Returns a receiver that changes when the process is killed or restarted, which breaks its connections.
+    pub fn restarts(&self) -> watch::Receiver<u64> {
+        self.restarts.subscribe()
     }
 
-    /// Follows whether the process is paused.
+    /// Returns a receiver that tells whether the process is paused.
     pub fn paused(&self) -> watch::Receiver<bool> {
         self.paused.subscribe()
     }
 
-    /// Pauses the process, or lets it go on.
+    /// Pauses or resumes the process.
     pub fn set_paused(&self, paused: bool) {
         self.paused.send_replace(paused);
     }
 
-    /// The process dies.
+    /// Kills the process.
     pub fn kill(&self) {
-        if let Some(life) = self.life().take() {
-            life.actor.kill();
-            for task in life.tasks {
+        if let Some(process) = self.process().take() {
+            process.actor.kill();
+            for task in process.tasks {
                 task.abort();
             }
         }
-        self.lives.send_modify(|count| *count += 1);
+        self.restarts.send_modify(|count| *count += 1);
     }
 
-    /// A new life without memory.
+    /// Restarts the process with empty state.
     pub async fn restart(&self) {
         self.kill();
-        let number = *self.lives.borrow();
-        let (jobs, receiver) = bounded_ring(QUEUE * 2);
+        let number = *self.restarts.borrow();
+        let (jobs, receiver) = bounded_ring(QUEUE_LENGTH * 2);
         let load = watch::Sender::new(LoadReport::default());
-        let load_seen = load.subscribe();
+        let load_receiver = load.subscribe();
         let mut key = [0; 32];
         key[0] = number as u8;
         let name = self.spec.name.parse().expect("scenario names are valid");
@@ -116,7 +119,7 @@
             .target(name)
             .incarnation(IncarnationId(number + 1))
             .key(TicketKey::new(key))
-            .admission(AdmissionSettings::builder().slots(self.spec.slots).queue(QUEUE).build())
+            .admission(AdmissionSettings::builder().slots(self.spec.slots).queue(QUEUE_LENGTH).build())
             .clock(Arc::<VirtualClock>::clone(&self.clock))
             .jobs(jobs)
             .weights(Arc::new(|_team| 1.0))
@@ -129,14 +132,14 @@
             tokio::spawn(tick(actor.clone())),
             tokio::spawn(run_jobs(receiver, runner, actor.clone(), self.paused())),
         ];
-        *self.life() = Some(TargetLife { actor, load: load_seen, tasks });
-        self.lives.send_modify(|count| *count += 1);
+        *self.process() = Some(TargetProcess { actor, load: load_receiver, tasks });
+        self.restarts.send_modify(|count| *count += 1);
     }
 
     /// Sets the drain flag.
     pub async fn drain(&self, draining: bool) {
         if let Some(actor) = self.actor() {
-            let _told = actor.tell(SetDraining(draining)).await;
+            let _sent = actor.tell(SetDraining(draining)).await;
         }
     }
 
@@ -148,7 +151,7 @@
         minted.ok()?.into_iter().next()
     }
 
-    /// The present time.
+    /// Returns the current time.
     pub fn now(&self) -> UnixMillis {
         self.clock.now()
     }
@@ -156,14 +159,14 @@
 
 async fn tick(actor: ActorRef<OffersActor>) {
     loop {
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(TICK_INTERVAL).await;
         if actor.tell(QueueTick(None)).await.is_err() {
             return;
         }
     }
 }
 
-/// Runs jobs; when the process dies the requests at the back end go on, as they would, but nobody hears of them.
+/// Runs jobs. If the process dies, requests continue at the back end, but their results are lost.
 async fn run_jobs(
     mut jobs: RingReceiver<RunJob>,
     runner: Arc<FakeRunner>,
--- a/crates/porthoist-scenario/tests/scenarios.rs
+++ b/crates/porthoist-scenario/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Every script below tests/scenarios holds, and comes to the same twice.
+//! Runs every script in tests/scenarios twice. All expectations must hold, and both runs must give the same report.
 
 use porthoist_scenario::{parse, run};
 use std::path::Path;
@@ -31,8 +31,8 @@
             report.refused,
             report.broken,
             report.runs,
-            report.doubled,
-            report.untrue
+            report.run_twice,
+            report.false_not_run
         );
         table.push_str(&line);
         failures.extend(report.failures.iter().map(|failure| format!("{file}: {failure}")));
