--- a/crates/porthoist-standin/src/engine.rs
+++ b/crates/porthoist-standin/src/engine.rs
@@ -82,10 +82,10 @@
 
 /// Returns the word at a position, counted from 1, of the completion of a prompt.
 pub fn answer_word(prompt: &str, position: u64) -> &'static str {
-    let hash = prompt.bytes().fold(position.wrapping_mul(0x9e37_79b9), |state, byte| {
-        (state ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
+    let digest = prompt.bytes().fold(position.wrapping_mul(0x9e37_79b9), |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
     });
-    WORDS[(hash >> 16) as usize % WORDS.len()]
+    WORDS[(digest >> 16) as usize % WORDS.len()]
 }
 
 impl EngineStandin {
