--- a/crates/porthoist-fleet/src/rank/table_update.rs
+++ b/crates/porthoist-fleet/src/rank/table_update.rs
@@ -9,7 +9,7 @@
 use porthoist_policy::proxy::notes::AgedNote;
 use porthoist_policy::proxy::turns::EntryPosition;
 use porthoist_proxy::{
-    ControlTable, GapAges, RowUpdate, Stamped, TableEra, TableQuery, TableRevision, TableUpdate,
+    ControlTable, GapAges, RowUpdate, SourceAnswer, TableEra, TableQuery, TableRevision, TableUpdate,
 };
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
@@ -210,8 +210,8 @@
 ) {
     let (rows, keys, gap) = match update {
         TableUpdate::Newer { rows, keys, gap } => (rows, keys, gap),
-        TableUpdate::Nothing { failing } => return builder.set_nothing(*failing),
-        TableUpdate::TooMuch => return builder.set_too_much(()),
+        TableUpdate::Unchanged { failing } => return builder.set_nothing(*failing),
+        TableUpdate::TooLarge => return builder.set_too_much(()),
     };
     packed.compress(&rows.value);
     let key_bytes: usize = keys.iter().flatten().map(String::len).sum();
@@ -248,8 +248,8 @@
 fn read_update(reader: table_news::Reader<'_>, pieces: &mut RowPieces) -> Result<Option<TableUpdate>, Error> {
     let newer = match reader.which()? {
         table_news::Newer(newer) => newer,
-        table_news::Nothing(failing) => return Ok(Some(TableUpdate::Nothing { failing })),
-        table_news::TooMuch(()) => return Ok(Some(TableUpdate::TooMuch)),
+        table_news::Nothing(failing) => return Ok(Some(TableUpdate::Unchanged { failing })),
+        table_news::TooMuch(()) => return Ok(Some(TableUpdate::TooLarge)),
     };
     let piece = RowPiece {
         bytes: newer.get_rows()?,
@@ -273,5 +273,5 @@
         None
     };
     let revision = TableRevision::new(TableEra(newer.get_era()), newer.get_revision());
-    Ok(Some(TableUpdate::Newer { rows: Stamped::of(rows, revision, newer.get_stamp()), keys, gap }))
+    Ok(Some(TableUpdate::Newer { rows: SourceAnswer::of(rows, revision, newer.get_stamp()), keys, gap }))
 }
--- a/crates/porthoist-fleet/tests/zone.rs
+++ b/crates/porthoist-fleet/tests/zone.rs
@@ -15,7 +15,7 @@
 use porthoist_policy::proxy::turns::EntryPosition;
 use porthoist_policy::roll_forward::EngineOrder;
 use porthoist_proxy::{
-    ControlTable, RowSource, RowValue, SourceFuture, Stamped, TableEra, TableQuery, TableReader,
+    ControlTable, RowSource, RowValue, SourceAnswer, SourceFuture, TableEra, TableQuery, TableReader,
     TableRevision, TableRow, TableUpdate, ValueUpdate,
 };
 use slog::{Discard, Logger, o};
@@ -49,10 +49,10 @@
 
 impl RowSource for FixedTable {
     fn list(&self, _table: ControlTable) -> SourceFuture<'_, Vec<TableRow>> {
-        async { Ok(Stamped::of(self.0.clone(), TableRevision::new(TABLE_ERA, 1), 10)) }.boxed_local()
+        async { Ok(SourceAnswer::of(self.0.clone(), TableRevision::new(TABLE_ERA, 1), 10)) }.boxed_local()
     }
 
-    fn after(
+    fn changes_after(
         &self,
         _table: ControlTable,
         _revision: TableRevision,
@@ -178,7 +178,7 @@
                 assert_eq!(rows.revision, TableRevision::new(TABLE_ERA, 1));
                 assert_eq!(rows.value[0].value, ValueUpdate::Whole(row.value));
             }
-            other => assert_eq!((other, sent), (TableUpdate::TooMuch, false)),
+            other => assert_eq!((other, sent), (TableUpdate::TooLarge, false)),
         }
     };
     LocalSet::new().run_until(asked).await;
--- a/crates/porthoist-proxy/src/control.rs
+++ b/crates/porthoist-proxy/src/control.rs
@@ -6,7 +6,7 @@
 use crate::reader::GapAges;
 use crate::revision::TableEra;
 use crate::rows::{ANSWER_MILLIS, answer_within};
-use crate::source::{AnswerOrigin, ControlSource, OperatorUpdate, SourceError, Stamped};
+use crate::source::{AnswerOrigin, ControlSource, OperatorUpdate, SourceAnswer, SourceError};
 use porthoist_core::{ClockSource, UnixDeadline, UnixMillis};
 use porthoist_metrics::MetricsHub;
 use porthoist_policy::proxy::freshness::{FreshnessProof, StampedAnswer};
@@ -60,7 +60,7 @@
     /// Whether the targets have been listed at least once.
     pub targets_listed: bool,
     /// Proof that the routes are up to date.
-    pub proof: FreshnessProof,
+    pub routes_proof: FreshnessProof,
     /// Proof that the targets are up to date.
     pub targets_proof: FreshnessProof,
 }
@@ -70,7 +70,7 @@
 pub struct ControlWatch {
     /// Maximum age of the known targets.
     #[builder(default)]
-    bound: StalenessBound,
+    staleness_bound: StalenessBound,
     /// Source of routes and targets.
     source: Rc<dyn ControlSource>,
     /// Receives the updates.
@@ -208,7 +208,7 @@
     /// that the source accepts, requests would reach targets that have left. The connection may have failed
     /// during the pause before the poll, so the pause is subtracted.
     fn targets_wait(&self, paused: Duration) -> Duration {
-        let wait = self.bound.millis.saturating_sub(ANSWER_MILLIS + LIST_MARGIN_MILLIS);
+        let wait = self.staleness_bound.millis.saturating_sub(ANSWER_MILLIS + LIST_MARGIN_MILLIS);
         let wait = Duration::from_millis(wait.min(MAX_TARGETS_WAIT_MILLIS)).saturating_sub(paused);
         wait.max(Duration::from_millis(MIN_TARGETS_WAIT_MILLIS))
     }
@@ -240,13 +240,13 @@
     /// Records the age of routes and targets, and logs when the targets become too old or recover.
     fn record_ages(&self, now: UnixMillis) {
         let state = self.state.borrow();
-        for (table, proof) in [("routes", state.proof), ("targets", state.targets_proof)] {
+        for (table, proof) in [("routes", state.routes_proof), ("targets", state.targets_proof)] {
             if let Some(age) = proof.age(now) {
                 self.metrics.belief_age(table, age);
             }
         }
         let Some(age) = state.targets_proof.age(now) else { return };
-        let too_old = age > self.bound.millis;
+        let too_old = age > self.staleness_bound.millis;
         if self.outdated.replace(too_old) != too_old {
             info!(self.logger, "known targets became outdated or current"; "event" => "targets_age", "age_ms" => age,
                 "outdated" => too_old);
@@ -254,7 +254,7 @@
     }
 
     /// Applies an operator update. Only routes with a higher version come into force.
-    fn apply_operator_update(&self, answer: Stamped<OperatorUpdate>, sent: UnixMillis) {
+    fn apply_operator_update(&self, answer: SourceAnswer<OperatorUpdate>, sent: UnixMillis) {
         let stamped = StampedAnswer { sent, received: self.clock.now(), stamp: answer.stamp };
         let OperatorUpdate { routes, zones } = answer.value;
         let restored = record_era(&self.routes_era, answer.revision.era);
@@ -287,10 +287,10 @@
             }
             match answer.origin {
                 AnswerOrigin::Source => {
-                    state.proof.record_answer(stamped);
+                    state.routes_proof.record_answer(stamped);
                     state.targets_proof.update_clock_offset(stamped);
                 }
-                AnswerOrigin::Peer { .. } => state.proof.record_relayed_answer(stamped),
+                AnswerOrigin::Peer { .. } => state.routes_proof.record_relayed_answer(stamped),
             }
         });
     }
@@ -312,7 +312,7 @@
         }
     }
 
-    fn apply_targets(&self, answer: Stamped<TargetUpdate>, sent: UnixMillis) {
+    fn apply_targets(&self, answer: SourceAnswer<TargetUpdate>, sent: UnixMillis) {
         let received = self.clock.now();
         let stamped = StampedAnswer { sent, received, stamp: answer.stamp };
         let restored = record_era(&self.targets_era, answer.revision.era);
@@ -341,7 +341,7 @@
             match answer.origin {
                 AnswerOrigin::Source => {
                     state.targets_proof.record_answer(stamped);
-                    state.proof.update_clock_offset(stamped);
+                    state.routes_proof.update_clock_offset(stamped);
                 }
                 AnswerOrigin::Peer { .. } => state.targets_proof.record_relayed_answer(stamped),
             }
@@ -379,7 +379,7 @@
     /// Returns the end of the grace period for rows that disappear now, if the source has recently
     /// recovered.
     fn grace(&self) -> Option<UnixDeadline> {
-        self.gap.get()?.grace(self.bound, self.clock.now())
+        self.gap.get()?.grace(self.staleness_bound, self.clock.now())
     }
 
     /// Records a response. A response to either call ends an outage before its rows are applied. Otherwise,
--- a/crates/porthoist-proxy/src/crashes.rs
+++ b/crates/porthoist-proxy/src/crashes.rs
@@ -6,7 +6,7 @@
 use crate::control::ControlState;
 use crate::revision::{TableEra, TableRevision};
 use crate::rows::{ControlTable, RowChange, RowSource, RowValue, RowWriter, TableRow, answer_within};
-use crate::source::{SourceError, Stamped};
+use crate::source::{SourceAnswer, SourceError};
 use porthoist_core::ClockSource;
 use porthoist_metrics::MetricsHub;
 use porthoist_policy::proxy::quarantine::{CrashKey, CrashReport, CrashRows};
@@ -126,19 +126,23 @@
     /// Waits until the service has answered a poll for routes, so that an outage costs no additional calls.
     async fn wait_for_routes(&self) {
         let failed = self.clock.now();
-        let answered = |state: &ControlState| state.proof.proven().is_some_and(|proven| proven > failed);
+        let answered =
+            |state: &ControlState| state.routes_proof.proven().is_some_and(|proven| proven > failed);
         drop(tokio::time::timeout(MAX_RECOVERY_WAIT, self.state.clone().wait_for(answered)).await);
         tokio::time::sleep(jittered(MIN_BACKOFF)).await;
     }
 
-    async fn poll(&self, revision: Option<TableRevision>) -> Result<Stamped<Vec<TableRow>>, SourceError> {
+    async fn poll(
+        &self,
+        revision: Option<TableRevision>,
+    ) -> Result<SourceAnswer<Vec<TableRow>>, SourceError> {
         match revision {
             None => {
                 let answer_timeout = self.source.answer_timeout(Duration::ZERO);
                 answer_within(answer_timeout, self.source.list(ControlTable::Crashes)).await
             }
             Some(revision) => {
-                let call = self.source.after(ControlTable::Crashes, revision, POLL_TIMEOUT);
+                let call = self.source.changes_after(ControlTable::Crashes, revision, POLL_TIMEOUT);
                 answer_within(self.source.answer_timeout(POLL_TIMEOUT), call).await
             }
         }
@@ -146,14 +150,14 @@
 
     fn apply(
         &self,
-        answer: &Stamped<Vec<TableRow>>,
+        answer: &SourceAnswer<Vec<TableRow>>,
         is_listing: bool,
         unreadable: &mut HashSet<(String, TableRevision)>,
     ) {
         self.crashes.send_modify(|snapshot| {
             let known = if is_listing { CrashRows::new() } else { (*snapshot.rows).clone() };
             let known = answer.value.iter().fold(known, |mut known, row| {
-                match read_row(row) {
+                match parse_crash_row(row) {
                     Ok((key, Some(report))) => drop(known.insert(key, report)),
                     Ok((key, None)) => drop(known.remove(&key)),
                     Err(problem) => self.log_unreadable(row, &problem, unreadable),
@@ -177,7 +181,7 @@
 
 /// Parses a row into its crash, or nothing if it was removed. Returns a description of the problem if the
 /// row is unreadable.
-pub fn read_row(row: &TableRow) -> Result<(CrashKey, Option<CrashReport>), String> {
+pub fn parse_crash_row(row: &TableRow) -> Result<(CrashKey, Option<CrashReport>), String> {
     let key = row.key.parse::<CrashKey>().map_err(|error| error.to_string())?;
     match &row.value {
         RowValue::Removed => Ok((key, None)),
--- a/crates/porthoist-proxy/src/handler.rs
+++ b/crates/porthoist-proxy/src/handler.rs
@@ -62,9 +62,9 @@
 #[derive(Debug, Clone, bon::Builder)]
 pub struct ProxyHandlerSettings {
     /// Whether requests require a freshness proof of the configuration.
-    pub proof: FreshnessRule,
+    pub freshness: FreshnessRule,
     /// This process's retry budget.
-    pub share: RetryShareSettings,
+    pub retry_share: RetryShareSettings,
 }
 
 /// Handles the requests of a process and holds the state that they share.
--- a/crates/porthoist-proxy/src/handler/admission.rs
+++ b/crates/porthoist-proxy/src/handler/admission.rs
@@ -59,7 +59,7 @@
         let (version, age) = {
             let state = self.state.borrow();
             let version = state.routes.as_ref().map(|routes| routes.version.0);
-            (version, state.proof.age(self.clock.now()))
+            (version, state.routes_proof.age(self.clock.now()))
         };
         info!(self.logger, "admitted"; "event" => "admitted", "request" => &*facts.attempt,
             "route" => &*rule.name, "service" => service.as_str(), "version" => version, "proof_age_ms" => age,
@@ -76,13 +76,13 @@
     ) -> Result<RoutedRequest, ProxyRefusal> {
         let (routes, proof) = {
             let state = self.state.borrow();
-            (state.routes.clone(), state.proof)
+            (state.routes.clone(), state.routes_proof)
         };
         let Some(routes) = routes else {
             return Err(ProxyRefusal::retryable(RefusalReason::NotReady, UNREADY_RETRY_MILLIS));
         };
         let age = proof.age(arrival);
-        let rule = self.settings.proof;
+        let rule = self.settings.freshness;
         let decided = Self::decide(&routes, facts, head);
         match &decided {
             // A newer configuration may allow what this one denies.
--- a/crates/porthoist-proxy/src/handler/retries.rs
+++ b/crates/porthoist-proxy/src/handler/retries.rs
@@ -64,7 +64,7 @@
     ) -> T {
         let mut retry_shares = self.retry_shares.borrow_mut();
         let share =
-            retry_shares.entry(service.clone()).or_insert_with(|| RetryShare::new(self.settings.share));
+            retry_shares.entry(service.clone()).or_insert_with(|| RetryShare::new(self.settings.retry_share));
         act(share)
     }
 }
--- a/crates/porthoist-proxy/src/lib.rs
+++ b/crates/porthoist-proxy/src/lib.rs
@@ -32,5 +32,5 @@
 pub use revision::{ParseRevisionError, TableEra, TableRevision};
 pub use rows::{ControlTable, RowChange, RowSource, RowValue, RowWriter, TableRow};
 pub use server::{ProxyServer, serve_proxy};
-pub use source::{AnswerOrigin, ControlSource, OperatorUpdate, SourceError, SourceFuture, Stamped};
+pub use source::{AnswerOrigin, ControlSource, OperatorUpdate, SourceAnswer, SourceError, SourceFuture};
 pub use wire::{AnswerFacts, FactsError, RequestFacts, SendFacts, WireCodec};
--- a/crates/porthoist-proxy/src/peer_rows.rs
+++ b/crates/porthoist-proxy/src/peer_rows.rs
@@ -7,7 +7,7 @@
 use crate::reader::{RowUpdate, TableQuery, TableUpdate};
 use crate::revision::{TableEra, TableRevision};
 use crate::rows::{ControlTable, RowSource, RowValue, TableRow, answer_within};
-use crate::source::{AnswerOrigin, SourceError, SourceFuture, Stamped};
+use crate::source::{AnswerOrigin, SourceAnswer, SourceError, SourceFuture};
 use futures::future::LocalBoxFuture;
 use porthoist_core::{ClockSource, UnixDeadline, UnixMillis};
 use porthoist_metrics::MetricsHub;
@@ -115,9 +115,9 @@
     }
 
     /// Returns the complete rows, with patches applied, or `None` if a patch does not apply.
-    fn apply_patches(&self, update: Stamped<Vec<RowUpdate>>) -> Option<Stamped<Vec<TableRow>>> {
+    fn apply_patches(&self, update: SourceAnswer<Vec<RowUpdate>>) -> Option<SourceAnswer<Vec<TableRow>>> {
         let known = self.rows.borrow();
-        let Stamped { value, revision, stamp, origin } = update;
+        let SourceAnswer { value, revision, stamp, origin } = update;
         let rows: Option<Vec<TableRow>> = value
             .into_iter()
             .map(|row| {
@@ -125,7 +125,7 @@
                 row.into_row(revision.era, before)
             })
             .collect();
-        Some(Stamped { value: rows?, revision, stamp, origin })
+        Some(SourceAnswer { value: rows?, revision, stamp, origin })
     }
 
     /// Returns removals of all known rows whose keys are not in `keys`.
@@ -246,7 +246,7 @@
     }
 
     fn avoid(&self, host: Ipv4Addr) {
-        let until = self.after(AVOID_TIME);
+        let until = self.deadline_in(AVOID_TIME);
         self.avoided.borrow_mut().insert(host, until);
     }
 
@@ -258,7 +258,7 @@
         after: TableRevision,
         wait: Duration,
         until: UnixDeadline,
-    ) -> Result<Stamped<Vec<TableRow>>, ServiceCallReason> {
+    ) -> Result<SourceAnswer<Vec<TableRow>>, ServiceCallReason> {
         let copy = self.copy(table);
         let mut reason = ServiceCallReason::Outdated;
         loop {
@@ -281,13 +281,13 @@
                 Ok(Ok(TableUpdate::Newer { rows, keys, gap })) => {
                     // The patch applies to another value than the known one, so the complete row is needed.
                     let Some(rows) = copy.apply_patches(rows) else { return Err(ServiceCallReason::History) };
-                    let mut rows = Stamped { origin: AnswerOrigin::Peer { gap }, ..rows };
+                    let mut rows = SourceAnswer { origin: AnswerOrigin::Peer { gap }, ..rows };
                     if let Some(keys) = keys {
                         rows.value.extend(copy.removed(&keys, rows.revision));
                     }
                     return Ok(rows);
                 }
-                Ok(Ok(TableUpdate::Nothing { failing })) => {
+                Ok(Ok(TableUpdate::Unchanged { failing })) => {
                     // Another peer may reach the table service. If none does, this one responds as soon as
                     // it does.
                     if failing
@@ -297,7 +297,7 @@
                     }
                     reason = if failing { ServiceCallReason::Probe } else { ServiceCallReason::Outdated };
                 }
-                Ok(Ok(TableUpdate::TooMuch)) => return Err(ServiceCallReason::History),
+                Ok(Ok(TableUpdate::TooLarge)) => return Err(ServiceCallReason::History),
                 Ok(Err(_)) | Err(_) => self.avoid(host),
             }
         }
@@ -310,16 +310,16 @@
         revision: Option<TableRevision>,
         wait: Duration,
         reason: ServiceCallReason,
-    ) -> Result<Stamped<Vec<TableRow>>, SourceError> {
+    ) -> Result<SourceAnswer<Vec<TableRow>>, SourceError> {
         let sent = self.clock.now();
         if table == ControlTable::Targets {
-            self.targets_due.set(self.after(START_PAUSE));
+            self.targets_due.set(self.deadline_in(START_PAUSE));
         }
         self.metrics.table_asked(reason.as_str());
         info!(self.logger, "calling the table service"; "event" => "table_asked",
             "table" => table.as_str(), "reason" => reason.as_str(), "wait_ms" => wait.as_millis() as u64);
         let call = match revision {
-            Some(revision) => self.table_service.after(table, revision, wait),
+            Some(revision) => self.table_service.changes_after(table, revision, wait),
             None => self.table_service.list(table),
         };
         let answer = answer_within(self.table_service.answer_timeout(wait), call).await;
@@ -332,7 +332,7 @@
             )));
         }
         let failed = matches!(&answer, Err(error) if *error != SourceError::HistoryGone);
-        self.probe_at.set(failed.then(|| self.after(self.backoff())));
+        self.probe_at.set(failed.then(|| self.deadline_in(self.backoff())));
         if !failed {
             self.backoff.set(MIN_BACKOFF);
         }
@@ -343,8 +343,8 @@
     fn reject_earlier_era(
         &self,
         table: ControlTable,
-        answer: Stamped<Vec<TableRow>>,
-    ) -> Result<Stamped<Vec<TableRow>>, SourceError> {
+        answer: SourceAnswer<Vec<TableRow>>,
+    ) -> Result<SourceAnswer<Vec<TableRow>>, SourceError> {
         if answer.revision.era < self.copy(table).era() {
             return Err(SourceError::Unavailable("response belongs to an earlier era".to_owned()));
         }
@@ -364,7 +364,7 @@
     }
 
     /// Applies a response to the copy. Rows older than the copy's are ignored.
-    fn apply(&self, table: ControlTable, answer: &Stamped<Vec<TableRow>>, is_listing: bool) {
+    fn apply(&self, table: ControlTable, answer: &SourceAnswer<Vec<TableRow>>, is_listing: bool) {
         let copy = self.copy(table);
         let mut rows = copy.rows.borrow_mut();
         if is_listing {
@@ -382,12 +382,16 @@
         copy.revision.set(Some(answer.revision));
     }
 
-    fn whole_copy(&self, table: ControlTable, answer: Stamped<Vec<TableRow>>) -> Stamped<Vec<TableRow>> {
+    fn whole_copy(
+        &self,
+        table: ControlTable,
+        answer: SourceAnswer<Vec<TableRow>>,
+    ) -> SourceAnswer<Vec<TableRow>> {
         let rows = self.copy(table).rows.borrow();
         answer.map(|_changes| rows.values().cloned().collect())
     }
 
-    async fn list_shared(&self, table: ControlTable) -> Result<Stamped<Vec<TableRow>>, SourceError> {
+    async fn list_shared(&self, table: ControlTable) -> Result<SourceAnswer<Vec<TableRow>>, SourceError> {
         let probe_at = self.probe_at.get();
         let Some(revision) = self.copy(table).revision.get() else {
             self.sleep_until(probe_at).await;
@@ -397,9 +401,10 @@
             return self.list_from_service(table, ServiceCallReason::Start).await;
         };
         // Peers call the table service too, and only changes are needed from them.
-        let from_peers = self.query_peers(table, revision, PROBE_INTERVAL, self.after(PROBE_INTERVAL * 2));
+        let from_peers =
+            self.query_peers(table, revision, PROBE_INTERVAL, self.deadline_in(PROBE_INTERVAL * 2));
         let listed = async {
-            self.sleep_until(probe_at.or_else(|| Some(self.after(Self::peer_time_limit(table))))).await;
+            self.sleep_until(probe_at.or_else(|| Some(self.deadline_in(Self::peer_time_limit(table))))).await;
             self.list_from_service(table, ServiceCallReason::Probe).await
         };
         tokio::pin!(from_peers, listed);
@@ -425,17 +430,17 @@
     /// Asks peers for a table of which nothing is known. Each process lists the targets itself: they show
     /// which peers there are, and the response shows the table service's clock, which is needed to judge
     /// the peers' updates.
-    async fn query_peers_at_start(&self, table: ControlTable) -> Option<Stamped<Vec<TableRow>>> {
-        let mut until = self.after(START_TIME * 2);
+    async fn query_peers_at_start(&self, table: ControlTable) -> Option<SourceAnswer<Vec<TableRow>>> {
+        let mut until = self.deadline_in(START_TIME * 2);
         let mut known = false;
         while !self.lists_itself_at_start(table) && !until.passed(self.clock.now()) {
             if !known && !self.targets.rows.borrow().is_empty() {
                 known = true;
                 // The first targets may all be without a peer.
-                until = self.after(if self.joined_late.get() { LATE_START_TIME } else { START_TIME });
+                until = self.deadline_in(if self.joined_late.get() { LATE_START_TIME } else { START_TIME });
             }
             if known && self.first_peer().is_some() {
-                let deadline = if self.joined_late.get() { until } else { self.after(START_TIME) };
+                let deadline = if self.joined_late.get() { until } else { self.deadline_in(START_TIME) };
                 let answer =
                     self.query_peers(table, TableRevision::default(), PROBE_INTERVAL, deadline).await;
                 if let Ok(answer) = answer {
@@ -473,12 +478,12 @@
         &self,
         table: ControlTable,
         reason: ServiceCallReason,
-    ) -> Result<Stamped<Vec<TableRow>>, SourceError> {
+    ) -> Result<SourceAnswer<Vec<TableRow>>, SourceError> {
         let answer = self.call_service(table, None, Duration::ZERO, reason).await?;
         if table == ControlTable::Targets && self.targets.revision.get().is_none() {
             self.joined_late.set(!answer.value.is_empty());
             if answer.value.is_empty() {
-                self.start_over.set(self.after(START_TIME * 2));
+                self.start_over.set(self.deadline_in(START_TIME * 2));
             }
             self.targets_listed.notify_waiters();
         }
@@ -492,7 +497,7 @@
         }
     }
 
-    fn after(&self, time: Duration) -> UnixDeadline {
+    fn deadline_in(&self, time: Duration) -> UnixDeadline {
         UnixDeadline::after(self.clock.now(), time.as_millis() as u64)
     }
 
@@ -501,7 +506,7 @@
         table: ControlTable,
         revision: TableRevision,
         wait: Duration,
-    ) -> Result<Stamped<Vec<TableRow>>, SourceError> {
+    ) -> Result<SourceAnswer<Vec<TableRow>>, SourceError> {
         // The latest update may have been delayed, so the wait counts from the time that it proves.
         let known = self
             .clock_offset
@@ -531,7 +536,7 @@
         Box::pin(self.list_shared(table))
     }
 
-    fn after(
+    fn changes_after(
         &self,
         table: ControlTable,
         revision: TableRevision,
--- a/crates/porthoist-proxy/src/reader.rs
+++ b/crates/porthoist-proxy/src/reader.rs
@@ -7,7 +7,7 @@
 use crate::patch::ValuePatch;
 use crate::revision::{TableEra, TableRevision};
 use crate::rows::{ControlTable, RowSource, RowValue, TableRow, answer_within};
-use crate::source::{SourceError, Stamped};
+use crate::source::{SourceAnswer, SourceError};
 use futures::StreamExt as _;
 use futures::stream::FuturesUnordered;
 use porthoist_core::{ClockSource, UnixDeadline, UnixMillis};
@@ -119,19 +119,19 @@
     /// Changed rows, possibly none, and a newer clock value of the table service.
     Newer {
         /// The rows, the revision up to which they are complete, and the clock value.
-        rows: Stamped<Vec<RowUpdate>>,
+        rows: SourceAnswer<Vec<RowUpdate>>,
         /// Keys of all rows, if removals since the requested revision are not known individually.
         keys: Option<Vec<String>>,
         /// The latest outage, if there was one.
         gap: Option<GapAges>,
     },
     /// Nothing newer is known.
-    Nothing {
+    Unchanged {
         /// Whether the last call to the table service failed.
         failing: bool,
     },
     /// The update is too large to be passed on; the table service must be asked.
-    TooMuch,
+    TooLarge,
 }
 
 /// A row with the revision of its change. For a removal, this is the revision at which it was noticed.
@@ -159,7 +159,7 @@
 }
 
 impl KnownTable {
-    fn apply_listing(&mut self, answer: Stamped<Vec<TableRow>>) {
+    fn apply_listing(&mut self, answer: SourceAnswer<Vec<TableRow>>) {
         let restored = answer.revision.era > self.revision.era;
         if restored {
             self.rows.retain(|_key, known| known.row.value != RowValue::Removed);
@@ -186,7 +186,7 @@
         self.apply_changes(answer);
     }
 
-    fn apply_changes(&mut self, answer: Stamped<Vec<TableRow>>) {
+    fn apply_changes(&mut self, answer: SourceAnswer<Vec<TableRow>>) {
         let changed_at = answer.revision;
         for row in answer.value {
             let changed_at = if row.value == RowValue::Removed { changed_at } else { row.version };
@@ -245,7 +245,11 @@
         let revision = self.revision.max(query.after);
         let ages =
             |gap: AnswerGap| GapAges { asked: now.since(gap.asked), returned: now.since(gap.returned) };
-        Some(TableUpdate::Newer { rows: Stamped::of(rows, revision, stamp), keys, gap: self.gap.map(ages) })
+        Some(TableUpdate::Newer {
+            rows: SourceAnswer::of(rows, revision, stamp),
+            keys,
+            gap: self.gap.map(ages),
+        })
     }
 
     fn live_keys(&self) -> Vec<String> {
@@ -333,7 +337,7 @@
             }
         };
         let held = tokio::time::timeout(query.hold, answered).await;
-        held.unwrap_or_else(|_elapsed| TableUpdate::Nothing { failing: table.known.borrow().failing })
+        held.unwrap_or_else(|_elapsed| TableUpdate::Unchanged { failing: table.known.borrow().failing })
     }
 
     /// Follows a table until it is no longer queried.
@@ -385,7 +389,7 @@
         table: &FollowedTable,
         revision: Option<TableRevision>,
         paused: Duration,
-    ) -> Result<Stamped<Vec<TableRow>>, SourceError> {
+    ) -> Result<SourceAnswer<Vec<TableRow>>, SourceError> {
         let Some(revision) = revision else {
             if table.known.borrow().failing {
                 if table.table == ControlTable::Crashes {
@@ -399,7 +403,11 @@
         // The querying processes wait from the last response on, not from this poll.
         let ahead = Duration::from_millis(AHEAD_MILLIS) + paused;
         let wait = table.wait.get().saturating_sub(ahead).max(least);
-        answer_within(self.source.answer_timeout(wait), self.source.after(table.table, revision, wait)).await
+        answer_within(
+            self.source.answer_timeout(wait),
+            self.source.changes_after(table.table, revision, wait),
+        )
+        .await
     }
 
     /// Waits while the service does not answer calls for routes, which are made anyway.
@@ -413,13 +421,13 @@
         }
     }
 
-    async fn list(&self, table: ControlTable) -> Result<Stamped<Vec<TableRow>>, SourceError> {
+    async fn list(&self, table: ControlTable) -> Result<SourceAnswer<Vec<TableRow>>, SourceError> {
         answer_within(self.source.answer_timeout(Duration::ZERO), self.source.list(table)).await
     }
 
     /// Calls a service that does not answer, again before earlier calls time out, until it responds or the
     /// table is no longer queried.
-    async fn probe(&self, table: &FollowedTable) -> Result<Stamped<Vec<TableRow>>, SourceError> {
+    async fn probe(&self, table: &FollowedTable) -> Result<SourceAnswer<Vec<TableRow>>, SourceError> {
         let mut probes = FuturesUnordered::new();
         while !table.follow_until.get().passed(self.clock.now()) {
             let sent = self.clock.now();
@@ -442,7 +450,7 @@
         Err(SourceError::Unavailable("the table is no longer queried".to_owned()))
     }
 
-    fn apply(&self, table: &FollowedTable, answer: Stamped<Vec<TableRow>>, is_listing: bool) {
+    fn apply(&self, table: &FollowedTable, answer: SourceAnswer<Vec<TableRow>>, is_listing: bool) {
         let mut known = table.known.borrow_mut();
         known.failing = false;
         if let Some(asked) = known.unanswered.take() {
--- a/crates/porthoist-proxy/src/rows.rs
+++ b/crates/porthoist-proxy/src/rows.rs
@@ -1,7 +1,7 @@
 //! Rows of the platform's tables as keys and bytes, before they are interpreted.
 
 use crate::revision::TableRevision;
-use crate::source::{SourceError, SourceFuture, Stamped};
+use crate::source::{SourceAnswer, SourceError, SourceFuture};
 use futures::future::LocalBoxFuture;
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -60,7 +60,7 @@
     /// Lists all rows of a table.
     fn list(&self, table: ControlTable) -> SourceFuture<'_, Vec<TableRow>>;
     /// Waits for rows that changed after a revision. Returns none after the wait.
-    fn after(
+    fn changes_after(
         &self,
         table: ControlTable,
         revision: TableRevision,
@@ -99,7 +99,7 @@
 pub async fn answer_within<T>(
     answer_timeout: Duration,
     call: SourceFuture<'_, T>,
-) -> Result<Stamped<T>, SourceError> {
+) -> Result<SourceAnswer<T>, SourceError> {
     match tokio::time::timeout(answer_timeout, call).await {
         Ok(answer) => answer,
         Err(_elapsed) => Err(SourceError::Unavailable("no response in time".to_owned())),
--- a/crates/porthoist-proxy/src/source.rs
+++ b/crates/porthoist-proxy/src/source.rs
@@ -12,7 +12,7 @@
 
 /// A response of the source.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Stamped<T> {
+pub struct SourceAnswer<T> {
     /// Content of the response.
     pub value: T,
     /// Revision from which the next call continues.
@@ -23,16 +23,16 @@
     pub origin: AnswerOrigin,
 }
 
-impl<T> Stamped<T> {
+impl<T> SourceAnswer<T> {
     /// Creates a response of the source itself.
     pub fn of(value: T, revision: TableRevision, stamp: u64) -> Self {
         Self { value, revision, stamp, origin: AnswerOrigin::Source }
     }
 
     /// Converts the content of the response.
-    pub fn map<U>(self, read: impl FnOnce(T) -> U) -> Stamped<U> {
+    pub fn map<U>(self, read: impl FnOnce(T) -> U) -> SourceAnswer<U> {
         let Self { value, revision, stamp, origin } = self;
-        Stamped { value: read(value), revision, stamp, origin }
+        SourceAnswer { value: read(value), revision, stamp, origin }
     }
 }
 
@@ -63,7 +63,7 @@
 }
 
 /// Pending response of a source.
-pub type SourceFuture<'a, T> = LocalBoxFuture<'a, Result<Stamped<T>, SourceError>>;
+pub type SourceFuture<'a, T> = LocalBoxFuture<'a, Result<SourceAnswer<T>, SourceError>>;
 
 /// An update of the operators' settings.
 #[derive(Debug, Default)]
--- a/crates/porthoist-proxy/tests/control.rs
+++ b/crates/porthoist-proxy/tests/control.rs
@@ -6,7 +6,8 @@
 use porthoist_policy::proxy::targets::{TargetChange, TargetRecord, TargetState};
 use porthoist_proxy::SourceFuture;
 use porthoist_proxy::{
-    ControlSource, ControlState, ControlWatch, OperatorUpdate, SourceError, Stamped, TableEra, TableRevision,
+    ControlSource, ControlState, ControlWatch, OperatorUpdate, SourceAnswer, SourceError, TableEra,
+    TableRevision,
 };
 use slog::{Discard, Logger, o};
 use std::cell::{Cell, RefCell};
@@ -99,9 +100,9 @@
         self.revision.send_replace(revision);
     }
 
-    fn stamped<T>(&self, value: T) -> Stamped<T> {
+    fn stamped<T>(&self, value: T) -> SourceAnswer<T> {
         let stamp = self.began.elapsed().as_millis() as u64;
-        Stamped::of(value, TableRevision::new(TableEra::default(), *self.revision.borrow()), stamp)
+        SourceAnswer::of(value, TableRevision::new(TableEra::default(), *self.revision.borrow()), stamp)
     }
 
     /// Receives a call. Returns if the source answers at all.
--- a/crates/porthoist-proxy/tests/shared/harness.rs
+++ b/crates/porthoist-proxy/tests/shared/harness.rs
@@ -9,7 +9,7 @@
 use porthoist_policy::proxy::zones::{ZoneChange, ZoneUpdate};
 use porthoist_proxy::{
     ControlSource, ControlState, ControlTable, ControlWatch, OperatorUpdate, PeerRowSource, RowSource,
-    RowValue, SourceError, SourceFuture, Stamped, TableEra, TablePeers, TableQuery, TableReader,
+    RowValue, SourceAnswer, SourceError, SourceFuture, TableEra, TablePeers, TableQuery, TableReader,
     TableRevision, TableRow, TableUpdate,
 };
 use slog::{Discard, Logger, o};
@@ -154,7 +154,7 @@
         self.reset.send_modify(|resets| *resets += 1);
     }
 
-    pub fn rows(&self, fits: impl Fn(&RowValue, u64) -> bool) -> Stamped<Vec<TableRow>> {
+    pub fn rows(&self, fits: impl Fn(&RowValue, u64) -> bool) -> SourceAnswer<Vec<TableRow>> {
         let rows = self.rows.borrow();
         let mut fitting: Vec<TableRow> = rows
             .iter()
@@ -166,7 +166,7 @@
             })
             .collect();
         fitting.sort_by_key(|row| row.version);
-        Stamped::of(
+        SourceAnswer::of(
             fitting,
             self.revision(*self.version.borrow()),
             self.began.elapsed().as_millis() as u64 + self.ahead.get(),
@@ -234,7 +234,7 @@
         }))
     }
 
-    fn after(
+    fn changes_after(
         &self,
         _table: ControlTable,
         revision: TableRevision,
@@ -309,7 +309,7 @@
             ReaderFault::Frozen => std::future::pending().await,
             ReaderFault::Gone => return Err("connection refused".to_owned()),
             ReaderFault::Slow(millis) => sleep(Duration::from_millis(millis)).await,
-            ReaderFault::Full => return Ok(TableUpdate::TooMuch),
+            ReaderFault::Full => return Ok(TableUpdate::TooLarge),
             ReaderFault::None | ReaderFault::Repeating => {}
         }
         let first = self.first.borrow().clone();
@@ -414,7 +414,7 @@
 
     fn routes_after(&self, revision: TableRevision, wait: Duration) -> SourceFuture<'_, OperatorUpdate> {
         Box::pin(async move {
-            let rows = self.0.after(ControlTable::Routes, revision, wait).await?;
+            let rows = self.0.changes_after(ControlTable::Routes, revision, wait).await?;
             let change = |row: &TableRow| {
                 let zone = Self::emptied_zone(row)?;
                 let removed = row.value == RowValue::Removed;
@@ -437,7 +437,7 @@
 
     fn targets_after(&self, revision: TableRevision, wait: Duration) -> SourceFuture<'_, Vec<TargetChange>> {
         Box::pin(async move {
-            let rows = self.0.after(ControlTable::Targets, revision, wait).await?;
+            let rows = self.0.changes_after(ControlTable::Targets, revision, wait).await?;
             Ok(rows.map(|rows| rows.iter().map(Self::change).collect()))
         })
     }
@@ -496,7 +496,7 @@
         let age = |proof: &porthoist_policy::proxy::freshness::FreshnessProof| {
             proof.age(self.clock.now()).unwrap_or(u64::MAX)
         };
-        (age(&state.proof), age(&state.targets_proof))
+        (age(&state.routes_proof), age(&state.targets_proof))
     }
 }
 
--- a/porthoist-cli/src/cmd/quarantine.rs
+++ b/porthoist-cli/src/cmd/quarantine.rs
@@ -5,7 +5,7 @@
 use porthoist_core::{AnchoredClock, ClockSource as _, RequestMark, UnixMillis};
 use porthoist_metrics::MetricsHub;
 use porthoist_policy::proxy::quarantine::{CrashRows, QuarantineTracker};
-use porthoist_proxy::crashes::read_row;
+use porthoist_proxy::crashes::parse_crash_row;
 use porthoist_proxy::{ControlTable, RowChange, RowSource, RowWriter, SourceError};
 use porthoist_turist::StoreClient;
 use slog::{Discard, Logger, o};
@@ -41,7 +41,7 @@
     let listed = store.list(ControlTable::Crashes).await.map_err(|error| unreachable(&error))?;
     let mut rows = CrashRows::new();
     for row in &listed.value {
-        match read_row(row) {
+        match parse_crash_row(row) {
             Ok((key, Some(report))) => drop(rows.insert(key, report)),
             Ok((_removed, None)) => {}
             Err(problem) => eprintln!("ignored unreadable crash row {}: {problem}", row.key),
--- a/porthoistd/src/duty/status.rs
+++ b/porthoistd/src/duty/status.rs
@@ -86,7 +86,7 @@
         if !self.crashes.borrow().listed {
             return Some("no deaths listed");
         }
-        let may_run = self.proof.may_run(&state.proof, self.clock.now());
+        let may_run = self.proof.may_run(&state.routes_proof, self.clock.now());
         (!may_run).then_some("the configuration may be out of date")
     }
 }
--- a/porthoistd/src/role/proxy.rs
+++ b/porthoistd/src/role/proxy.rs
@@ -164,7 +164,7 @@
             let crash_watch =
                 crash_watch.state(state.subscribe()).clock(Arc::clone(&clock)).logger(logger.clone()).build();
             let source = TuristSource::new(rows, Arc::clone(&clock), logger.clone());
-            let watch = ControlWatch::builder().bound(bound).source(Rc::new(source)).state(state);
+            let watch = ControlWatch::builder().staleness_bound(bound).source(Rc::new(source)).state(state);
             let watch = watch.clock(clock).metrics(metrics).logger(logger).build();
             tokio::join!(watch.run(), crash_watch.run(), crash_writer.run());
         })?;
@@ -249,7 +249,7 @@
             .metrics(Arc::clone(&self.metrics))
             .logger(self.logger.clone())
             .build();
-        let settings = ProxyHandlerSettings::builder().proof(self.proof).share(retry_share).build();
+        let settings = ProxyHandlerSettings::builder().freshness(self.proof).retry_share(retry_share).build();
         ProxyHandler::builder()
             .settings(settings)
             .codec(Rc::new(TuristCodec))
