--- a/porthoistd/src/duty.rs
+++ b/porthoistd/src/component.rs
@@ -1,5 +1,5 @@
 //! The duties of a process: its independent parts, most of which run on a thread of their own (see
-//! [`spawn_duty`]).
+//! [`spawn_thread`]).
 
 pub mod callers;
 pub mod claims;
@@ -22,7 +22,7 @@
 
 /// Runs a duty on a new thread with its own runtime. The future is created on that thread, so it need not be
 /// `Send`.
-pub fn spawn_duty<M, F>(name: &str, make: M) -> io::Result<JoinHandle<()>>
+pub fn spawn_thread<M, F>(name: &str, make: M) -> io::Result<JoinHandle<()>>
 where
     M: FnOnce() -> F + Send + 'static,
     F: Future<Output = ()> + 'static,
--- a/porthoistd/src/duty/entry_fleet.rs
+++ b/porthoistd/src/component/entry_fleet.rs
@@ -5,8 +5,8 @@
 pub mod targets;
 pub mod view;
 
+use crate::component::routing::{EntriesMessage, LoadMessage, RoutingActor};
 use crate::config::ConfigHub;
-use crate::duty::routing::{EntriesMessage, LoadMessage, RoutingActor};
 use futures::future::BoxFuture;
 use kameo::actor::ActorRef;
 use parking_lot::Mutex;
--- a/porthoistd/src/duty/entry_fleet/gossip.rs
+++ b/porthoistd/src/component/entry_fleet/gossip.rs
@@ -2,7 +2,7 @@
 
 use super::EntryFleet;
 use super::targets::{MAX_RECONNECT_DELAY, MIN_RECONNECT_DELAY, PEER_TIMEOUT, scaled_interval};
-use crate::duty::routing::CoordinatorMessage;
+use crate::component::routing::CoordinatorMessage;
 use porthoist_core::offer::TargetHello;
 use porthoist_core::{LoadReport, RequestOffer, TeamName, TicketText, UnixDeadline};
 use porthoist_core::{OfferOutcome, RefusalReason, RunVerdict, TargetName};
--- a/porthoistd/src/duty/entry_fleet/settlement.rs
+++ b/porthoistd/src/component/entry_fleet/settlement.rs
@@ -2,7 +2,7 @@
 
 use super::EntryFleet;
 use super::targets::PEER_TIMEOUT;
-use crate::duty::routing::{CoordinatorMessage, DueTeamsMessage, SettledMessage};
+use crate::component::routing::{CoordinatorMessage, DueTeamsMessage, SettledMessage};
 use porthoist_core::{TargetName, TeamName};
 use porthoist_policy::limits::coordinator::{SettleAsk, SettleTold};
 use porthoist_policy::membership::rendezvous_score;
--- a/porthoistd/src/duty/entry_fleet/targets.rs
+++ b/porthoistd/src/component/entry_fleet/targets.rs
@@ -1,7 +1,7 @@
 //! An entry's connection to one target: connecting, heartbeats, and updates to routing.
 
 use super::EntryFleet;
-use crate::duty::routing::{LoadMessage, TargetMessage};
+use crate::component::routing::{LoadMessage, TargetMessage};
 use porthoist_core::offer::TargetHello;
 use porthoist_core::{TargetName, UnixMillis};
 use porthoist_fleet::{FleetDigest, FleetError, FleetPeer};
--- a/porthoistd/src/duty/operator.rs
+++ b/porthoistd/src/component/operator.rs
@@ -1,7 +1,7 @@
 //! The operator endpoint of entries and targets.
 
+use crate::component::entry_fleet::view::FleetView;
 use crate::config::ConfigHub;
-use crate::duty::entry_fleet::view::FleetView;
 use porthoist_caller::ConfigPort as _;
 use porthoist_core::{IncarnationId, RequestId, TargetName, ZoneName};
 use porthoist_http::{ServerSettings, serve_until};
--- a/porthoistd/src/lib.rs
+++ b/porthoistd/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! Each duty runs on a thread with its own runtime; bounded rings and mailboxes connect them.
 
+pub mod component;
 pub mod config;
-pub mod duty;
 pub mod logging;
 pub mod role;
 pub mod settings;
--- a/porthoistd/src/role.rs
+++ b/porthoistd/src/role.rs
@@ -6,8 +6,8 @@
 pub mod rank;
 pub mod target;
 
-use crate::duty::operator::{ProcessView, serve_operators};
-use crate::duty::spawn_duty;
+use crate::component::operator::{ProcessView, serve_operators};
+use crate::component::spawn_thread;
 use crate::settings::DaemonSettings;
 use porthoist_core::IncarnationId;
 use porthoist_metrics::MetricsHub;
@@ -36,7 +36,7 @@
 ) -> io::Result<()> {
     let token = settings.operator_token.clone();
     let url = settings.platform.clone();
-    spawn_duty("operator", move || async move {
+    spawn_thread("operator", move || async move {
         let editor = TableEditor::new(Arc::new(HttpPlatform::new(url)));
         let operators = OperatorServer::new(token, Arc::new(process), editor, metrics);
         let listener = TcpListener::from_std(listener).expect("the listener is bound and non-blocking");
--- a/porthoistd/src/role/entry.rs
+++ b/porthoistd/src/role/entry.rs
@@ -1,16 +1,16 @@
 //! The entry role: takes callers' requests and offers them to targets.
 
 use super::{bind, host_entry, random_incarnation, start_operators};
+use crate::component::callers::serve_callers;
+use crate::component::claims::{ClaimCalls, claim_ring, serve_claims};
+use crate::component::entry_fleet::view::FleetView;
+use crate::component::entry_fleet::{EntryFleet, FleetCommand, FleetShared, fleet_ring};
+use crate::component::operator::ProcessView;
+use crate::component::platform::PlatformDuty;
+use crate::component::routing::{RoutingActor, RoutingHandle};
+use crate::component::signals::watch_signals;
+use crate::component::spawn_thread;
 use crate::config::ConfigHub;
-use crate::duty::callers::serve_callers;
-use crate::duty::claims::{ClaimCalls, claim_ring, serve_claims};
-use crate::duty::entry_fleet::view::FleetView;
-use crate::duty::entry_fleet::{EntryFleet, FleetCommand, FleetShared, fleet_ring};
-use crate::duty::operator::ProcessView;
-use crate::duty::platform::PlatformDuty;
-use crate::duty::routing::{RoutingActor, RoutingHandle};
-use crate::duty::signals::watch_signals;
-use crate::duty::spawn_duty;
 use crate::settings::DaemonSettings;
 use kameo::actor::ActorRef;
 use porthoist_caller::{CallerPorts, CallerServer, CallerSettings};
@@ -124,7 +124,7 @@
         let heard = Arc::clone(&self.platform_heard);
         let logger = self.logger.clone();
         let url = self.settings.platform.clone();
-        spawn_duty("platform", move || async move {
+        spawn_thread("platform", move || async move {
             let client: Arc<HttpPlatform> = Arc::new(HttpPlatform::new(url));
             tokio::task::spawn_local(serve_claims(claim_calls, Arc::<HttpPlatform>::clone(&client)));
             let hosts_revision = AtomicU64::new(0);
@@ -138,7 +138,7 @@
         let hedging = self.settings.hedge;
         let (handover, actor) = oneshot::channel();
         let (config, clock) = (Arc::clone(&self.config), Arc::clone(&self.clock));
-        spawn_duty("routing", move || async move {
+        spawn_thread("routing", move || async move {
             let actor = RoutingActor::start(router, hedging, config, clock);
             // The receiver waits below. The actor lives as long as its thread.
             drop(handover.send(actor.clone()));
@@ -167,7 +167,7 @@
             hosts,
             logger: self.logger.clone(),
         });
-        spawn_duty("fleet", move || async move {
+        spawn_thread("fleet", move || async move {
             let duty = EntryFleet::new(shared);
             let listener = TcpListener::from_std(listener).expect("the listener is bound and non-blocking");
             tokio::task::spawn_local(serve_fleet(listener, key, Rc::new(duty.clone())));
@@ -203,7 +203,7 @@
         let Self { settings, logger, stopping, .. } = self;
         let stop_lag = Duration::from_millis(settings.stop_lag_millis);
         let stop_seen = stopping.subscribe();
-        spawn_duty("callers", move || async move {
+        spawn_thread("callers", move || async move {
             let counted = server.clone();
             tokio::task::spawn_local(watch_signals(stopping, logger.clone(), move || counted.in_flight()));
             let listener = TcpListener::from_std(listener).expect("the listener is bound and non-blocking");
--- a/porthoistd/src/role/local.rs
+++ b/porthoistd/src/role/local.rs
@@ -1,7 +1,7 @@
 //! The local role: entry, targets and stand-ins as threads of one process, to try porthoist out.
 
 use super::{entry, target};
-use crate::duty::spawn_duty;
+use crate::component::spawn_thread;
 use crate::settings::DaemonSettings;
 use porthoist_http::{ServerSettings, serve_until};
 use porthoist_standin::engine::{EngineFaults, EngineStandin};
@@ -77,7 +77,7 @@
     R: Future<Output = porthoist_http::HttpResponse> + Send + 'static,
 {
     let (listener, address) = super::bind(ANY_PORT)?;
-    spawn_duty(name, move || async move {
+    spawn_thread(name, move || async move {
         let (_keep, never) = watch::channel(false);
         if let Ok(listener) = TcpListener::from_std(listener) {
             serve_until(listener, ServerSettings::default(), never, handler).await;
--- a/porthoistd/src/role/proxy.rs
+++ b/porthoistd/src/role/proxy.rs
@@ -1,11 +1,11 @@
 //! The proxy role: forwards requests unchanged, by the routes and targets of the platform's table service.
 
 use super::bind;
-use crate::duty::loads::LoadsDuty;
-use crate::duty::signals::{watch_reloads, watch_signals};
-use crate::duty::spawn_duty;
-use crate::duty::status::StatusDuty;
-use crate::duty::zone_peers::ZonePeers;
+use crate::component::loads::LoadsDuty;
+use crate::component::signals::{watch_reloads, watch_signals};
+use crate::component::spawn_thread;
+use crate::component::status::StatusDuty;
+use crate::component::zone_peers::ZonePeers;
 use crate::settings::proxy::ProxySettings;
 use porthoist_core::{AnchoredClock, ClockSource};
 use porthoist_fleet::{ControlTraffic, PeerPool};
@@ -138,7 +138,7 @@
             (self.crashes.clone(), self.position.clone(), self.settings.host.clone());
         let (own_notes, zone_notes) = (self.own_notes.subscribe(), self.zone_notes.clone());
         let (changes, crash_changes) = mpsc::channel(CRASHES_CAPACITY);
-        spawn_duty("control", move || async move {
+        spawn_thread("control", move || async move {
             let store = Rc::new(StoreClient::new(table, Arc::clone(&metrics), logger.clone()));
             let crash_writer =
                 CrashWriter::builder().writer(Rc::<StoreClient>::clone(&store)).changes(crash_changes);
@@ -177,7 +177,7 @@
         let Some(rank_port) = self.settings.rank_port else { return Ok(reports) };
         let (zone, state) = (self.settings.zone.clone(), self.state.subscribe());
         let duty = LoadsDuty { rank_port, zone, state, loads, logger: self.logger.clone() };
-        spawn_duty("loads", move || duty.run())?;
+        spawn_thread("loads", move || duty.run())?;
         Ok(reports)
     }
 
@@ -193,7 +193,7 @@
             logger: self.logger.clone(),
             last_ready: AtomicBool::new(false),
         };
-        spawn_duty("status", move || Arc::new(duty).run(ready, metrics))?;
+        spawn_thread("status", move || Arc::new(duty).run(ready, metrics))?;
         Ok(())
     }
 
@@ -203,7 +203,7 @@
         loads: mpsc::Receiver<GroupLoads>,
         crash_changes: mpsc::Sender<CrashChange>,
     ) -> io::Result<JoinHandle<()>> {
-        spawn_duty("callers", move || async move {
+        spawn_thread("callers", move || async move {
             let handler = self.proxy_handler(crash_changes);
             let counted = Rc::clone(&handler);
             let server = ProxyServer {
--- a/porthoistd/src/role/rank.rs
+++ b/porthoistd/src/role/rank.rs
@@ -2,10 +2,10 @@
 //! rank.
 
 use super::bind;
-use crate::duty::rank::{OwnRank, RankDuty};
-use crate::duty::signals::{watch_reloads, watch_signals};
-use crate::duty::spawn_duty;
-use crate::duty::status::serve_metrics;
+use crate::component::rank::{OwnRank, RankDuty};
+use crate::component::signals::{watch_reloads, watch_signals};
+use crate::component::spawn_thread;
+use crate::component::status::serve_metrics;
 use crate::settings::rank::RankSettings;
 use porthoist_core::{AnchoredClock, ClockSource};
 use porthoist_fleet::{ControlTraffic, LoadsPublisher, PeerPool, RankService, serve_ranks};
@@ -33,10 +33,10 @@
     let clock: Arc<dyn ClockSource> = Arc::new(AnchoredClock::new());
     let state = watch::Sender::new(ControlState::default());
     let served = Arc::clone(&metrics);
-    spawn_duty("metrics", move || serve_metrics(metrics_listener, served))?;
+    spawn_thread("metrics", move || serve_metrics(metrics_listener, served))?;
     let stopping = watch::Sender::new(false);
     let stop = stopping.subscribe();
-    let duty = spawn_duty("rank", move || async move {
+    let duty = spawn_thread("rank", move || async move {
         let own = Rc::new(OwnRank::new(Rc::new(TuristEngine::new(settings.engine))));
         let listener = TcpListener::from_std(rank_listener).expect("the listener is bound and non-blocking");
         let loads = watch::Sender::new(None);
--- a/porthoistd/src/role/target.rs
+++ b/porthoistd/src/role/target.rs
@@ -1,14 +1,14 @@
 //! The target role: runs next to a back end and decides on entries' offers.
 
 use super::{bind, host_entry, random_incarnation, start_operators};
+use crate::component::group::{GroupDuty, PlatformMaps, rank_of};
+use crate::component::offers::{follow_drain, run_backend, run_offers, team_weights};
+use crate::component::operator::ProcessView;
+use crate::component::platform::PlatformDuty;
+use crate::component::signals::watch_signals;
+use crate::component::spawn_thread;
+use crate::component::target_fleet::TargetHandler;
 use crate::config::ConfigHub;
-use crate::duty::group::{GroupDuty, PlatformMaps, rank_of};
-use crate::duty::offers::{follow_drain, run_backend, run_offers, team_weights};
-use crate::duty::operator::ProcessView;
-use crate::duty::platform::PlatformDuty;
-use crate::duty::signals::watch_signals;
-use crate::duty::spawn_duty;
-use crate::duty::target_fleet::TargetHandler;
 use crate::settings::DaemonSettings;
 use kameo::actor::ActorRef;
 use porthoist_core::{AnchoredClock, IncarnationId, LoadReport, TicketKey, bounded_ring};
@@ -104,7 +104,7 @@
         let heard = Arc::clone(&self.platform_heard);
         let logger = self.logger.clone();
         let url = self.settings.platform.clone();
-        spawn_duty("platform", move || async move {
+        spawn_thread("platform", move || async move {
             let client = Arc::new(HttpPlatform::new(url));
             let hosts = watch::Sender::new(Vec::new());
             let hosts_revision = AtomicU64::new(0);
@@ -129,11 +129,11 @@
             .load(load)
             .build();
         let (handover, actor) = oneshot::channel();
-        spawn_duty("offers", move || run_offers(offers, handover))?;
+        spawn_thread("offers", move || run_offers(offers, handover))?;
         let actor: ActorRef<OffersActor> = actor.blocking_recv().map_err(io::Error::other)?;
         let runner = Arc::new(HttpRunner::new(settings.backend.clone()));
         let (job_actor, metrics) = (actor.clone(), Arc::clone(&self.metrics));
-        spawn_duty("engine", move || run_backend(job_receiver, runner, job_actor, metrics))?;
+        spawn_thread("engine", move || run_backend(job_receiver, runner, job_actor, metrics))?;
         Ok((actor, load_seen))
     }
 
@@ -160,7 +160,7 @@
         load: watch::Receiver<LoadReport>,
     ) -> io::Result<JoinHandle<()>> {
         let Self { settings, incarnation, metrics, config, open, stopping, logger, .. } = self;
-        spawn_duty("fleet", move || async move {
+        spawn_thread("fleet", move || async move {
             let handler = TargetHandler {
                 target: settings.name.clone(),
                 zone: settings.zone.clone(),
--- a/porthoistd/tests/loads.rs
+++ b/porthoistd/tests/loads.rs
@@ -10,7 +10,7 @@
 use porthoist_policy::proxy::targets::{TargetRecord, TargetState};
 use porthoist_policy::roll_forward::EngineOrder;
 use porthoist_proxy::ControlState;
-use porthoistd::duty::loads::LoadsDuty;
+use porthoistd::component::loads::LoadsDuty;
 use slog::{Discard, Logger, o};
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
--- a/porthoistd/tests/rank.rs
+++ b/porthoistd/tests/rank.rs
@@ -14,7 +14,7 @@
 use porthoist_policy::switch::{MapVersion, StepNumber};
 use porthoist_proxy::{ControlSource, OperatorUpdate, SourceFuture, TableRevision};
 use porthoist_proxy::{ControlState, ControlWatch};
-use porthoistd::duty::rank::{OwnRank, RankDuty};
+use porthoistd::component::rank::{OwnRank, RankDuty};
 use porthoistd::settings::rank::{RankArgs, RankSettings};
 use slog::{Discard, Logger, o};
 use std::cell::Cell;
