--- a/porthoistd/src/component.rs
+++ b/porthoistd/src/component.rs
@@ -1,4 +1,4 @@
-//! The duties of a process: its independent parts, most of which run on a thread of their own (see
+//! The components of a process: its independent parts, most of which run on a thread of their own (see
 //! [`spawn_thread`]).
 
 pub mod callers;
@@ -20,7 +20,7 @@
 use std::thread::JoinHandle;
 use tokio::task::LocalSet;
 
-/// Runs a duty on a new thread with its own runtime. The future is created on that thread, so it need not be
+/// Runs a future on a new thread with its own runtime. The future is created on that thread, so it need not be
 /// `Send`.
 pub fn spawn_thread<M, F>(name: &str, make: M) -> io::Result<JoinHandle<()>>
 where
--- a/porthoistd/src/component/claims.rs
+++ b/porthoistd/src/component/claims.rs
@@ -107,7 +107,7 @@
             tokio::task::spawn_local(async move {
                 let event = match platform.item(key).await {
                     Ok(item) => ClaimEvent::Read(item.and_then(read_claim)),
-                    Err(_silent) => ClaimEvent::TableUnavailable,
+                    Err(_unreachable) => ClaimEvent::TableUnavailable,
                 };
                 // The caller may have disconnected.
                 drop(reply.send(event));
@@ -118,8 +118,8 @@
 
 async fn write_batch(batch: Vec<PendingWrite>, platform: Arc<dyn PlatformClient>) {
     let writes = batch.iter().map(|pending| pending.write.clone()).collect();
-    let answered = platform.transact(false, writes).await;
-    let mut results = answered.map(|answer| answer.results.into_iter()).ok();
+    let answer = platform.transact(false, writes).await;
+    let mut results = answer.map(|answer| answer.results.into_iter()).ok();
     for pending in batch {
         let result = results.as_mut().and_then(Iterator::next);
         let event = result.map_or(ClaimEvent::TableUnavailable, write_event);
@@ -131,17 +131,17 @@
     match result {
         WriteResult::Written { version } => ClaimEvent::Written(version),
         WriteResult::Conflict { version, value } => {
-            let claim = version.zip(value).and_then(|(version, value)| versioned(version, value));
+            let claim = version.zip(value).and_then(|(version, value)| versioned_claim(version, value));
             ClaimEvent::Conflict(claim)
         }
     }
 }
 
 fn read_claim(item: ItemRead) -> Option<VersionedClaim<TicketText>> {
-    versioned(item.version, item.value?)
+    versioned_claim(item.version, item.value?)
 }
 
-fn versioned(version: u64, value: Value) -> Option<VersionedClaim<TicketText>> {
+fn versioned_claim(version: u64, value: Value) -> Option<VersionedClaim<TicketText>> {
     let row = serde_json::from_value(value).ok()?;
     Some(VersionedClaim { version, row })
 }
--- a/porthoistd/src/component/entry_fleet.rs
+++ b/porthoistd/src/component/entry_fleet.rs
@@ -212,7 +212,7 @@
         // The routing actor runs as long as the process.
         let _sent = self.shared.routing.tell(message).await;
         let Some(ended) = outcome else { return };
-        let answer = ended.map(|(outcome, _load)| outcome).map_err(|error| failure(&error));
+        let answer = ended.map(|(outcome, _load)| outcome).map_err(|error| offer_failure(&error));
         drop(reply.send(answer));
     }
 
@@ -228,7 +228,7 @@
             Ok(peer) => peer.mint(&team, count, deadline).await,
             Err(error) => Err(error),
         };
-        drop(reply.send(minted.map_err(|error| failure(&error))));
+        drop(reply.send(minted.map_err(|error| offer_failure(&error))));
     }
 
     /// Runs one task for each followed host of the host list.
@@ -282,7 +282,7 @@
     }
 
     /// The current host list entry of `name`.
-    pub(crate) fn listed(&self, name: &TargetName) -> Option<HostEntry> {
+    pub(crate) fn listed_host(&self, name: &TargetName) -> Option<HostEntry> {
         self.shared.hosts.borrow().iter().find(|host| host.name == *name).cloned()
     }
 
@@ -296,6 +296,6 @@
     }
 }
 
-fn failure(error: &FleetError) -> OfferFailure {
+fn offer_failure(error: &FleetError) -> OfferFailure {
     OfferFailure { reason: error.reason, verdict: error.verdict }
 }
--- a/porthoistd/src/component/entry_fleet/gossip.rs
+++ b/porthoistd/src/component/entry_fleet/gossip.rs
@@ -40,11 +40,11 @@
     fn apply_digest(&self, digest: FleetDigest) {
         self.shared.view.update_entry(&digest.node, digest.revision);
         self.shared.hosts.send_if_modified(|known| {
-            let lacking = known.is_empty() && !digest.hosts.is_empty();
-            if lacking {
+            let missing = known.is_empty() && !digest.hosts.is_empty();
+            if missing {
                 known.clone_from(&digest.hosts);
             }
-            lacking
+            missing
         });
         let Some(change) = digest.change else { return };
         let revision = change.revision;
@@ -56,9 +56,9 @@
     /// Gossips with another entry until it has left the host list and its connection has ended.
     pub(crate) async fn follow_entry(self, first: HostEntry) {
         let name = first.name.clone();
-        let mut pause = MIN_RECONNECT_DELAY;
+        let mut delay = MIN_RECONNECT_DELAY;
         loop {
-            let Some(host) = self.listed(&name) else {
+            let Some(host) = self.listed_host(&name) else {
                 self.shared.view.remove(&name);
                 return;
             };
@@ -68,11 +68,11 @@
                 self.peers.borrow_mut().remove(&name);
                 info!(self.shared.logger, "lost the connection to an entry"; "entry" => %name, "error" => %error);
                 peer.close();
-                pause = MIN_RECONNECT_DELAY;
+                delay = MIN_RECONNECT_DELAY;
             }
             self.shared.view.mark_unreachable(&name);
-            tokio::time::sleep(pause).await;
-            pause = (pause * 2).min(MAX_RECONNECT_DELAY);
+            tokio::time::sleep(delay).await;
+            delay = (delay * 2).min(MAX_RECONNECT_DELAY);
         }
     }
 
--- a/porthoistd/src/component/entry_fleet/settlement.rs
+++ b/porthoistd/src/component/entry_fleet/settlement.rs
@@ -21,13 +21,13 @@
         loop {
             tokio::time::sleep(SETTLE_INTERVAL).await;
             let Ok(due) = self.shared.routing.ask(DueTeamsMessage).await else { return };
-            for (coordinator, asks) in self.by_coordinator(due) {
+            for (coordinator, asks) in self.group_by_coordinator(due) {
                 tokio::task::spawn_local(self.clone().settle_with(coordinator, asks));
             }
         }
     }
 
-    fn by_coordinator(&self, due: Vec<(TeamName, SettleAsk)>) -> CoordinatorAsks {
+    fn group_by_coordinator(&self, due: Vec<(TeamName, SettleAsk)>) -> CoordinatorAsks {
         let mut grouped = CoordinatorAsks::new();
         if due.is_empty() {
             return grouped;
--- a/porthoistd/src/component/entry_fleet/targets.rs
+++ b/porthoistd/src/component/entry_fleet/targets.rs
@@ -27,36 +27,41 @@
     /// Maintains the connection to a target until it has left the host list and its connection has ended.
     pub(crate) async fn follow_target(self, first: HostEntry) {
         let name = first.name.clone();
-        let mut pause = MIN_RECONNECT_DELAY;
+        let mut delay = MIN_RECONNECT_DELAY;
         let mut members = MemberTable::default();
         loop {
-            let Some(host) = self.listed(&name) else {
-                self.forget(&name).await;
+            let Some(host) = self.listed_host(&name) else {
+                self.remove_target(&name).await;
                 return;
             };
             if let Ok(peer) = FleetPeer::connect(&host.address, &self.shared.key).await {
                 self.peers.borrow_mut().insert(name.clone(), peer.clone());
-                let error = self.heartbeats(&name, &peer, &mut members).await;
+                let error = self.exchange_heartbeats(&name, &peer, &mut members).await;
                 info!(self.shared.logger, "lost the connection to a target"; "target" => %name, "error" => %error);
                 peer.close();
                 self.peers.borrow_mut().remove(&name);
-                pause = MIN_RECONNECT_DELAY;
+                delay = MIN_RECONNECT_DELAY;
             }
             self.shared.view.mark_unreachable(&name);
             let message = LoadMessage { target: name.clone(), load: None, done: None, unreachable: true };
             let _sent = self.shared.routing.tell(message).await;
-            tokio::time::sleep(pause).await;
-            pause = (pause * 2).min(MAX_RECONNECT_DELAY);
+            tokio::time::sleep(delay).await;
+            delay = (delay * 2).min(MAX_RECONNECT_DELAY);
         }
     }
 
-    async fn forget(&self, name: &TargetName) {
+    async fn remove_target(&self, name: &TargetName) {
         self.shared.view.remove(name);
         let _sent = self.shared.routing.tell(TargetMessage::Remove(name.clone())).await;
     }
 
     /// Exchanges heartbeats until one fails.
-    async fn heartbeats(&self, name: &TargetName, peer: &FleetPeer, members: &mut MemberTable) -> FleetError {
+    async fn exchange_heartbeats(
+        &self,
+        name: &TargetName,
+        peer: &FleetPeer,
+        members: &mut MemberTable,
+    ) -> FleetError {
         loop {
             let hello = match tokio::time::timeout(PEER_TIMEOUT, peer.hello()).await {
                 Err(_elapsed) => return FleetError::unreachable("no heartbeat before the timeout"),
@@ -74,7 +79,7 @@
     }
 
     async fn apply_hello(&self, name: &TargetName, hello: &TargetHello, members: &mut MemberTable) {
-        let Some(host) = self.listed(name) else { return };
+        let Some(host) = self.listed_host(name) else { return };
         let now = self.shared.clock.now();
         let known = members.get(name).and_then(|record| record.digest.life);
         let restarted = known.is_none_or(|life| life.incarnation != hello.incarnation);
@@ -131,10 +136,10 @@
     scaled_interval(HEARTBEAT_INTERVAL, connections, FULL_RATE_TARGETS)
 }
 
-/// Stretches `time` by the square of `number / free` where `number` exceeds `free`.
-pub fn scaled_interval(time: Duration, number: usize, free: usize) -> Duration {
-    let excess = (number as f64 / free as f64).max(1.0);
-    time.mul_f64(excess * excess)
+/// Stretches `base` by the square of `count / full_rate` where `count` exceeds `full_rate`.
+pub fn scaled_interval(base: Duration, count: usize, full_rate: usize) -> Duration {
+    let excess = (count as f64 / full_rate as f64).max(1.0);
+    base.mul_f64(excess * excess)
 }
 
 fn member_digest(host: &HostEntry, hello: &TargetHello, life: Option<ProcessLife>) -> MemberDigest {
--- a/porthoistd/src/component/group.rs
+++ b/porthoistd/src/component/group.rs
@@ -33,7 +33,7 @@
 
 /// Leads map switches of one group.
 #[derive(Debug)]
-pub struct GroupDuty {
+pub struct GroupLeader {
     /// Fleet addresses of all ranks, in rank order.
     pub ranks: Vec<SocketAddr>,
     /// Key that authenticates this process to the others.
@@ -64,21 +64,21 @@
         Self { platform: HttpPlatform::new(url), group: AnswerDigest::of(names.join(",").as_bytes()) }
     }
 
-    fn object(&self, version: MapVersion) -> String {
+    fn object_name(&self, version: MapVersion) -> String {
         format!("porthoist-expert-map-{:016x}-{}", self.group, version.0)
     }
 
     /// Writes a map. This must happen before the group switches to it.
     pub async fn put(&self, version: MapVersion, map: &ExpertMap) -> Result<(), CallError> {
         let bytes = serde_json::to_vec(map).map_err(|error| CallError::not_sent(error.to_string()))?;
-        self.platform.put_object(self.object(version), bytes.into()).await
+        self.platform.put_object(self.object_name(version), bytes.into()).await
     }
 }
 
 impl MapSource for PlatformMaps {
     fn map(&self, version: MapVersion) -> BoxFuture<'_, Result<Option<ExpertMap>, CallError>> {
         Box::pin(async move {
-            let Some(bytes) = self.platform.object(self.object(version)).await? else { return Ok(None) };
+            let Some(bytes) = self.platform.object(self.object_name(version)).await? else { return Ok(None) };
             serde_json::from_slice(&bytes).map(Some).map_err(|error| CallError::unknown(error.to_string()))
         })
     }
@@ -127,7 +127,7 @@
     }
 }
 
-impl GroupDuty {
+impl GroupLeader {
     /// Runs forever; must run on a `LocalSet`.
     pub async fn run(self) {
         let rank = rank_of(&self.own);
@@ -143,7 +143,7 @@
             tokio::time::sleep(CHECK_INTERVAL).await;
             if !self.switch_needed().await {
                 if rank == 0 {
-                    self.plan(&links, &mut planner).await;
+                    self.plan_switch(&links, &mut planner).await;
                 }
                 continue;
             }
@@ -152,12 +152,12 @@
                 && let Ok(saved) = self.engine.kept().await
             {
                 let map = if self.requested_map().0 > 0 { self.requested_map() } else { planned_map(&saved) };
-                self.lead(&links, saved, map).await;
+                self.lead_switch(&links, saved, map).await;
             }
         }
     }
 
-    fn row(&self) -> Option<PolicyRow> {
+    fn placement_row(&self) -> Option<PolicyRow> {
         let key = RowKey { kind: RowKind::Policy, name: PLACEMENT_ROW.to_owned() };
         match self.config.current().row(&key) {
             Some(TableRow::Policy(row)) => Some(row.clone()),
@@ -166,13 +166,13 @@
     }
 
     fn requested_map(&self) -> MapVersion {
-        MapVersion(self.row().map_or(0, |row| row.map))
+        MapVersion(self.placement_row().map_or(0, |row| row.map))
     }
 
     /// Reads a window of expert counts and, if the row leaves the map to the planner, switches the group to
     /// the map it plans.
-    async fn plan(&self, links: &[Box<dyn RankLink>], planner: &mut Option<GroupPlanner>) {
-        let Some(row) = self.row().filter(|row| row.map == 0) else { return };
+    async fn plan_switch(&self, links: &[Box<dyn RankLink>], planner: &mut Option<GroupPlanner>) {
+        let Some(row) = self.placement_row().filter(|row| row.map == 0) else { return };
         let Ok(window) = self.engine.window().await else { return };
         if !window.usable() {
             return;
@@ -193,7 +193,7 @@
         }
         info!(self.logger, "planned a new map"; "map" => version.0, "moves" => next.moves.len(),
             "peak_before" => next.peak_before, "peak_after" => next.peak_after);
-        if self.lead(links, saved, version).await
+        if self.lead_switch(links, saved, version).await
             && let Some(planner) = planner
         {
             planner.set_map(next.map);
@@ -210,7 +210,12 @@
     }
 
     /// Leads a switch to `requested`; returns whether the group commits to that map.
-    async fn lead(&self, links: &[Box<dyn RankLink>], saved: SavedRank, requested: MapVersion) -> bool {
+    async fn lead_switch(
+        &self,
+        links: &[Box<dyn RankLink>],
+        saved: SavedRank,
+        requested: MapVersion,
+    ) -> bool {
         let ballot = LeaderBallot(saved.promised.0 + 1);
         match switch_group(links, ballot, requested).await {
             Ok(SwitchOutcome::Committed(map)) => {
--- a/porthoistd/src/component/loads.rs
+++ b/porthoistd/src/component/loads.rs
@@ -32,7 +32,7 @@
 
 /// Follows the loads of all groups and forwards their reports.
 #[derive(Debug, Clone)]
-pub struct LoadsDuty {
+pub struct LoadsWatch {
     /// Port on which the processes next to engines listen.
     pub rank_port: u16,
     /// The availability zone of this process.
@@ -48,7 +48,7 @@
 /// Hosts covered by the reports of each followed process.
 type ReportedHosts = Rc<RefCell<HashMap<SocketAddr, HashSet<Ipv4Addr>>>>;
 
-impl LoadsDuty {
+impl LoadsWatch {
     /// Runs forever; must run on a `LocalSet`.
     pub async fn run(self) {
         let reported = ReportedHosts::default();
@@ -67,9 +67,9 @@
                 continue;
             }
             reported.borrow_mut().insert(planner, HashSet::new());
-            let (duty, reported) = (self.clone(), Rc::clone(&reported));
+            let (watch, reported) = (self.clone(), Rc::clone(&reported));
             tokio::task::spawn_local(async move {
-                duty.follow_process(planner, &reported).await;
+                watch.follow_process(planner, &reported).await;
                 reported.borrow_mut().remove(&planner);
             });
         }
@@ -98,10 +98,10 @@
     /// The process that reports the loads of the group at `address`: that one, or the one it redirects to.
     async fn find_planner(&self, address: SocketAddr) -> Option<SocketAddr> {
         let peer = RankPeer::new(address);
-        let asked = peer.loads(LoadRevision::default());
+        let reply = peer.loads(LoadRevision::default());
         // A host or group that is down gives no answer.
         let answer =
-            tokio::time::timeout(Duration::from_millis(QUERY_TIMEOUT_MILLIS), asked).await.ok()?.ok()?;
+            tokio::time::timeout(Duration::from_millis(QUERY_TIMEOUT_MILLIS), reply).await.ok()?.ok()?;
         match answer {
             LoadsAnswer::Loads(_loads) => Some(address),
             LoadsAnswer::Redirect(host) => host.map(|host| SocketAddr::from((host, self.rank_port))),
@@ -111,18 +111,19 @@
     /// Publishes the reports of a process until it stops reporting or becomes redundant.
     async fn follow_process(&self, address: SocketAddr, reported: &ReportedHosts) {
         let peer = RankPeer::new(address);
-        let mut known = LoadRevision::default();
-        let end = loop {
-            let asked =
-                tokio::time::timeout(Duration::from_millis(QUERY_TIMEOUT_MILLIS), peer.loads(known)).await;
-            match asked {
+        let mut last_revision = LoadRevision::default();
+        let error = loop {
+            let reply =
+                tokio::time::timeout(Duration::from_millis(QUERY_TIMEOUT_MILLIS), peer.loads(last_revision))
+                    .await;
+            match reply {
                 Ok(Ok(LoadsAnswer::Loads(loads))) => {
-                    if known == LoadRevision::default() {
+                    if last_revision == LoadRevision::default() {
                         info!(self.logger, "loads available"; "event" => "dependency_regained",
                             "dependency" => "loads", "process" => address.to_string(),
                             "ranks" => loads.ranks.len());
                     }
-                    known = loads.revision;
+                    last_revision = loads.revision;
                     let hosts = loads.ranks.iter().map(|rank| rank.host).collect();
                     reported.borrow_mut().insert(address, hosts);
                     if self.is_redundant(address, &reported.borrow()) {
@@ -135,10 +136,10 @@
                 Err(_elapsed) => break Some(CallError::unknown("no load report before the timeout")),
             }
         };
-        if known > LoadRevision::default() {
+        if last_revision > LoadRevision::default() {
             info!(self.logger, "loads unavailable"; "event" => "dependency_lost", "dependency" => "loads",
-                "process" => address.to_string(), "revision" => known.0,
-                "error" => end.as_ref().map(ToString::to_string));
+                "process" => address.to_string(), "revision" => last_revision.0,
+                "error" => error.as_ref().map(ToString::to_string));
         }
     }
 
@@ -147,11 +148,11 @@
     /// other zones are dropped first.
     fn is_redundant(&self, address: SocketAddr, reported: &HashMap<SocketAddr, HashSet<Ipv4Addr>>) -> bool {
         let Some(hosts) = reported.get(&address) else { return false };
-        let order = |address: &SocketAddr| (!self.in_own_zone(address), *address);
-        let same = reported.iter().filter(|(other, others)| {
-            order(other) < order(&address) && hosts.iter().all(|host| others.contains(host))
+        let priority = |address: &SocketAddr| (!self.in_own_zone(address), *address);
+        let covering = reported.iter().filter(|(other, others)| {
+            priority(other) < priority(&address) && hosts.iter().all(|host| others.contains(host))
         });
-        !hosts.is_empty() && same.count() >= MAX_FOLLOWED
+        !hosts.is_empty() && covering.count() >= MAX_FOLLOWED
     }
 
     fn in_own_zone(&self, address: &SocketAddr) -> bool {
--- a/porthoistd/src/component/platform.rs
+++ b/porthoistd/src/component/platform.rs
@@ -30,7 +30,7 @@
 
 /// Polls the platform and publishes the configuration and the host list.
 #[derive(Debug)]
-pub struct PlatformDuty {
+pub struct PlatformWatch {
     /// The platform.
     pub client: Arc<dyn PlatformClient>,
     /// Adopts configuration changes.
@@ -47,23 +47,24 @@
     pub logger: Logger,
 }
 
-impl PlatformDuty {
+impl PlatformWatch {
     /// Runs forever.
     pub async fn run(self) {
-        let mut since_register = u64::MAX;
-        let mut first_poll = FIRST_POLL_MILLIS;
+        let mut since_registration = u64::MAX;
+        let mut first_poll_millis = FIRST_POLL_MILLIS;
         loop {
-            if since_register >= REGISTER_INTERVAL_MILLIS && self.register().await {
-                since_register = 0;
+            if since_registration >= REGISTER_INTERVAL_MILLIS && self.register().await {
+                since_registration = 0;
             }
             self.poll().await;
             if !self.config.current().ready() {
                 self.adopt_snapshot().await;
             }
-            let pause = jittered(if self.config.current().ready() { self.poll_millis() } else { first_poll });
-            first_poll = (first_poll * 2).min(MAX_FIRST_POLL_MILLIS);
-            since_register = since_register.saturating_add(pause);
-            tokio::time::sleep(Duration::from_millis(pause)).await;
+            let delay =
+                jittered(if self.config.current().ready() { self.poll_millis() } else { first_poll_millis });
+            first_poll_millis = (first_poll_millis * 2).min(MAX_FIRST_POLL_MILLIS);
+            since_registration = since_registration.saturating_add(delay);
+            tokio::time::sleep(Duration::from_millis(delay)).await;
         }
     }
 
--- a/porthoistd/src/component/rank.rs
+++ b/porthoistd/src/component/rank.rs
@@ -138,7 +138,7 @@
 
 /// Plans for the group while the engine next to this process is its first rank.
 #[derive(Debug, bon::Builder)]
-pub struct RankDuty {
+pub struct PlanningLoop {
     settings: RankSettings,
     /// The rank next to this process.
     own: Rc<OwnRank>,
@@ -187,16 +187,16 @@
     step_requests: f64,
 }
 
-impl RankDuty {
+impl PlanningLoop {
     /// Runs until `stop` is set and no switch of this process holds the group.
     pub async fn run(mut self, stop: watch::Receiver<bool>) {
         loop {
-            let pause = self.run_turn().await;
+            let delay = self.run_turn().await;
             let holding = self.planner.as_ref().is_some_and(ExpertMapController::holding);
             if *stop.borrow() && !holding {
                 return;
             }
-            tokio::time::sleep(Duration::from_millis(pause)).await;
+            tokio::time::sleep(Duration::from_millis(delay)).await;
         }
     }
 
@@ -224,16 +224,16 @@
             return BLOCKED_DELAY_MILLIS;
         }
         if self.planner.is_none() {
-            let Some(shape) = self.shape(own.state.size) else { return BLOCKED_DELAY_MILLIS };
+            let Some(shape) = self.group_shape(own.state.size) else { return BLOCKED_DELAY_MILLIS };
             info!(self.logger, "started planning for the group"; "event" => "planner_start", "group" => own.state.group,
                 "ranks" => own.state.size);
             self.planner = Some(ExpertMapController::new(shape, self.logger.clone()));
         }
-        let Some(outcome) = self.round().await else { return BLOCKED_DELAY_MILLIS };
+        let Some(outcome) = self.run_round().await else { return BLOCKED_DELAY_MILLIS };
         if outcome != RoundOutcome::Unreachable {
             self.publish_loads();
         }
-        self.pause_after(outcome)
+        self.delay_after(outcome)
     }
 
     fn log_engine_lost(&mut self, error: &CallError) {
@@ -251,20 +251,20 @@
     }
 
     /// Runs one round of the planner, with expert counts if they are due.
-    async fn round(&mut self) -> Option<RoundOutcome> {
-        let fresh = self.fresh_version();
+    async fn run_round(&mut self) -> Option<RoundOutcome> {
+        let version = self.new_version();
         let group_control = &self.group.as_ref()?.group_control;
         let planner = self.planner.as_mut()?;
         if !self.counts_due.passed(self.clock.now()) {
-            return Some(planner.run_load_round(group_control, fresh).await);
+            return Some(planner.run_load_round(group_control, version).await);
         }
-        let outcome = planner.run_round(group_control, fresh).await;
+        let outcome = planner.run_round(group_control, version).await;
         self.counts_due = UnixDeadline::after(self.clock.now(), COUNTS_INTERVAL_MILLIS);
         Some(outcome)
     }
 
     /// The delay before the next turn in milliseconds.
-    fn pause_after(&mut self, outcome: RoundOutcome) -> u64 {
+    fn delay_after(&mut self, outcome: RoundOutcome) -> u64 {
         let now = self.clock.now();
         match outcome {
             RoundOutcome::Idle => {
@@ -374,7 +374,7 @@
         Some(own.service.clone())
     }
 
-    fn shape(&mut self, ranks: usize) -> Option<GroupShape> {
+    fn group_shape(&mut self, ranks: usize) -> Option<GroupShape> {
         let state = self.state.borrow();
         let service = self.own_service(&state)?;
         let engine = state.routes.as_ref()?.services.get(&service)?.engine.as_ref()?;
@@ -388,7 +388,7 @@
         Some(GroupShape { sets: engine.sets, experts: engine.experts, bounds })
     }
 
-    fn fresh_version(&self) -> MapVersion {
+    fn new_version(&self) -> MapVersion {
         let millis = self.clock.now().0.saturating_sub(VERSION_EPOCH_MILLIS);
         MapVersion((millis / VERSION_MILLIS) as u32)
     }
--- a/porthoistd/src/component/rank/reporting.rs
+++ b/porthoistd/src/component/rank/reporting.rs
@@ -1,13 +1,13 @@
 //! Reports on a group by the process that plans for it: loads, pass durations, and that the group has broken
 //! up.
 
-use super::{LOADS_INTERVAL_MILLIS, RankDuty};
+use super::{LOADS_INTERVAL_MILLIS, PlanningLoop};
 use porthoist_core::UnixDeadline;
 use porthoist_policy::proxy::loads::{GroupLoads, LoadRevision, RankLoad, equivalent_requests};
 use porthoist_policy::proxy::pass_time::{GroupPass, GroupSample, PassTimer};
 use porthoist_policy::roll_forward::{RankState, RankView};
 
-impl RankDuty {
+impl PlanningLoop {
     /// Measures the group's passes by the steps of the own rank, which runs every pass together with all
     /// others.
     pub(super) fn measure_pass(&mut self, own: &RankState) {
--- a/porthoistd/src/component/routing.rs
+++ b/porthoistd/src/component/routing.rs
@@ -34,7 +34,7 @@
     coordinator: LimitCoordinator,
     limits_by_hash: HashMap<u64, TeamLimit>,
     limits_revision: u64,
-    budget: RetryBudget,
+    retry_budget: RetryBudget,
     hedges: HedgePolicy,
     hedging: bool,
     config: Arc<ConfigHub>,
@@ -170,7 +170,7 @@
             coordinator: LimitCoordinator::new(),
             limits_by_hash: HashMap::new(),
             limits_revision: 0,
-            budget: RetryBudget::new(RETRY_SHARE, RETRY_BURST),
+            retry_budget: RetryBudget::new(RETRY_SHARE, RETRY_BURST),
             hedges: HedgePolicy::default(),
             hedging,
             config,
@@ -201,43 +201,43 @@
         })
     }
 
-    fn route(&mut self, ask: &RouteRequest) -> Result<RouteReply, CallerRefusal> {
+    fn route(&mut self, request: &RouteRequest) -> Result<RouteReply, CallerRefusal> {
         let now = self.clock.now();
         let query = RouteQuery {
-            service: &ask.service,
+            service: &request.service,
             now,
-            deadline: ask.deadline,
-            prompt_tokens: ask.prompt_tokens,
-            prefix_blocks: &ask.prefix_blocks,
-            exclude: &ask.exclude,
+            deadline: request.deadline,
+            prompt_tokens: request.prompt_tokens,
+            prefix_blocks: &request.prefix_blocks,
+            exclude: &request.exclude,
         };
-        if ask.admit {
-            self.admit(now, &ask.team)?;
-            self.budget.first_attempt();
+        if request.admit {
+            self.admit(now, &request.team)?;
+            self.retry_budget.first_attempt();
         }
-        if ask.retry && !self.budget.try_spend() {
-            self.undo_admission(ask);
+        if request.retry && !self.retry_budget.try_spend() {
+            self.undo_admission(request);
             return Err(no_route(now, RefusalReason::RetryBudget, "the retry budget is spent"));
         }
         match self.router.choose(&query) {
             Ok(choice) => {
-                if !ask.peek {
-                    self.router.sent(now, &choice.target, ask.attempt, &query);
+                if !request.peek {
+                    self.router.sent(now, &choice.target, request.attempt, &query);
                 }
                 let hedge_at = if self.hedging { self.hedges.hedge_at(now) } else { None };
                 Ok(RouteReply { choice, hedge_at })
             }
             Err(reason) => {
-                self.undo_admission(ask);
+                self.undo_admission(request);
                 Err(no_route(now, reason, "no target serves the service at present"))
             }
         }
     }
 
     /// Releases the concurrency slot of a request that gets no route.
-    fn undo_admission(&mut self, ask: &RouteRequest) {
-        if ask.admit {
-            self.limiter.release(&ask.team);
+    fn undo_admission(&mut self, request: &RouteRequest) {
+        if request.admit {
+            self.limiter.release(&request.team);
         }
     }
 }
--- a/porthoistd/src/component/status.rs
+++ b/porthoistd/src/component/status.rs
@@ -18,7 +18,7 @@
 
 /// Serves the readiness and metrics endpoints.
 #[derive(Debug)]
-pub struct StatusDuty {
+pub struct StatusServer {
     /// Path of the readiness endpoint.
     pub ready_path: &'static str,
     /// Last known services and targets.
@@ -39,7 +39,7 @@
     pub last_ready: AtomicBool,
 }
 
-impl StatusDuty {
+impl StatusServer {
     /// Serves both listeners forever.
     pub async fn run(self: Arc<Self>, ready: StdListener, metrics: StdListener) {
         let never = watch::Sender::new(false);
--- a/porthoistd/src/component/target_fleet.rs
+++ b/porthoistd/src/component/target_fleet.rs
@@ -40,7 +40,7 @@
     /// The configuration in force.
     pub config: Arc<ConfigHub>,
     /// Number of offers whose answer is not fully sent.
-    pub open: Arc<AtomicU64>,
+    pub open_offers: Arc<AtomicU64>,
     /// Drives the rank next to this process.
     pub rank: Arc<RankDriver>,
     /// Metrics of this process.
@@ -52,12 +52,12 @@
     follower: Option<LogFollower>,
     attempt: AttemptId,
     offers: ActorRef<OffersActor>,
-    open: Arc<AtomicU64>,
+    open_offers: Arc<AtomicU64>,
 }
 
 impl Drop for OpenOffer {
     fn drop(&mut self) {
-        self.open.fetch_sub(1, Ordering::Relaxed);
+        self.open_offers.fetch_sub(1, Ordering::Relaxed);
         if self.follower.take().is_some() {
             // If the mailbox is full, the request stays queued until its turn or deadline.
             let _sent = self.offers.tell(OfferAbandoned(self.attempt)).try_send();
@@ -68,10 +68,14 @@
 impl TargetHandler {
     async fn run_offer(self, offer: RequestOffer, sender: FrameSender) -> OfferOutcome {
         let attempt = offer.attempt;
-        self.open.fetch_add(1, Ordering::Relaxed);
-        let mut open =
-            OpenOffer { follower: None, attempt, offers: self.offers.clone(), open: Arc::clone(&self.open) };
-        let outcome = match self.ask(offer).await {
+        self.open_offers.fetch_add(1, Ordering::Relaxed);
+        let mut open = OpenOffer {
+            follower: None,
+            attempt,
+            offers: self.offers.clone(),
+            open_offers: Arc::clone(&self.open_offers),
+        };
+        let outcome = match self.submit_offer(offer).await {
             Ok(follower) => relay_answer(open.follower.insert(follower), attempt, &sender).await,
             Err(OfferRefusal { reason, verdict, retry_at }) => {
                 OfferOutcome::Refused { reason, verdict, retry_at }
@@ -83,13 +87,13 @@
         outcome
     }
 
-    async fn ask(&self, offer: RequestOffer) -> Result<LogFollower, OfferRefusal> {
-        let keyed = offer.ticket.is_some();
+    async fn submit_offer(&self, offer: RequestOffer) -> Result<LogFollower, OfferRefusal> {
+        let has_ticket = offer.ticket.is_some();
         let request = self.offers.ask(OfferRequest(Arc::new(offer)));
         // A refusal at this point would leave the ticket valid, so an offer with a ticket waits for the
         // actor.
-        let asked = if keyed { request.send().await } else { request.try_send().await };
-        asked.map_err(|error| match error {
+        let reply = if has_ticket { request.send().await } else { request.try_send().await };
+        reply.map_err(|error| match error {
             SendError::HandlerError(refusal) => refusal,
             SendError::MailboxFull(_) => not_run(RefusalReason::Overloaded),
             _ => OfferRefusal { verdict: RunVerdict::MayHaveRun, ..not_run(RefusalReason::ShuttingDown) },
--- a/porthoistd/src/component/zone_peers.rs
+++ b/porthoistd/src/component/zone_peers.rs
@@ -65,16 +65,16 @@
     }
 
     /// The first hosts of processes next to ranks, sorted by `order`.
-    fn ordered(&self, own_zone: bool, order: impl Fn(Ipv4Addr) -> u64) -> Vec<Ipv4Addr> {
+    fn sorted_hosts(&self, own_zone: bool, order: impl Fn(Ipv4Addr) -> u64) -> Vec<Ipv4Addr> {
         let state = self.state.borrow();
         // While the services are unknown, any target may be a rank.
         let ranked = |service: &ServiceName| {
             let routes = state.routes.as_ref();
             routes.is_none_or(|routes| routes.services.get(service).is_some_and(|spec| spec.engine.is_some()))
         };
-        let fits =
+        let matches =
             |record: &&Arc<TargetRecord>| (record.zone == self.zone) == own_zone && ranked(&record.service);
-        let hosts = state.targets.records().filter(fits).filter_map(|record| match record.address.ip() {
+        let hosts = state.targets.records().filter(matches).filter_map(|record| match record.address.ip() {
             IpAddr::V4(host) => Some((order(host), host)),
             IpAddr::V6(_host) => None,
         });
@@ -105,12 +105,12 @@
     /// Hosts of the zone, ordered by a hash of their addresses, so that a new target changes the choice of
     /// few entries. If the zone has none, hosts of other zones, in a different order for each entry.
     fn hosts(&self) -> Vec<Ipv4Addr> {
-        let own_zone_hosts = self.ordered(true, |host| xxh3_64(&host.octets()));
+        let own_zone_hosts = self.sorted_hosts(true, |host| xxh3_64(&host.octets()));
         if !own_zone_hosts.is_empty() {
             return own_zone_hosts;
         }
         let seed = xxh3_64(self.host.as_str().as_bytes());
-        self.ordered(false, |host| xxh3_64_with_seed(&host.octets(), seed))
+        self.sorted_hosts(false, |host| xxh3_64_with_seed(&host.octets(), seed))
     }
 
     fn query(
--- a/porthoistd/src/lib.rs
+++ b/porthoistd/src/lib.rs
@@ -1,6 +1,6 @@
 //! The daemon as a library: load its settings into a [`Daemon`], then run it.
 //!
-//! Each duty runs on a thread with its own runtime; bounded rings and mailboxes connect them.
+//! Most components run on a thread with a runtime of their own; bounded rings and mailboxes connect them.
 
 pub mod component;
 pub mod config;
--- a/porthoistd/src/role.rs
+++ b/porthoistd/src/role.rs
@@ -1,4 +1,4 @@
-//! The roles of a process: which duties each runs and how they are connected.
+//! The roles of a process: which components each runs and how they are connected.
 
 pub mod entry;
 pub mod local;
--- a/porthoistd/src/role/entry.rs
+++ b/porthoistd/src/role/entry.rs
@@ -6,7 +6,7 @@
 use crate::component::entry_fleet::view::FleetView;
 use crate::component::entry_fleet::{EntryFleet, FleetCommand, FleetShared, fleet_ring};
 use crate::component::operator::ProcessView;
-use crate::component::platform::PlatformDuty;
+use crate::component::platform::PlatformWatch;
 use crate::component::routing::{RoutingActor, RoutingHandle};
 use crate::component::signals::watch_signals;
 use crate::component::spawn_thread;
@@ -47,7 +47,7 @@
     let stopping = watch::Sender::new(false);
     let (addresses, callers) = start(settings, logger, stopping)?;
     println!("callers {}\noperator {}\nfleet {}", addresses.callers, addresses.operator, addresses.fleet);
-    callers.join().map_err(|_panic| io::Error::other("the callers' duty panicked"))
+    callers.join().map_err(|_panic| io::Error::other("the callers' thread panicked"))
 }
 
 /// Starts an entry's threads; the returned one ends when the entry has shut down gracefully.
@@ -119,7 +119,7 @@
         claim_calls: ClaimCalls,
     ) -> io::Result<watch::Sender<Vec<HostEntry>>> {
         let hosts = watch::Sender::new(Vec::new());
-        let hosts_seen = hosts.clone();
+        let hosts_sender = hosts.clone();
         let config = Arc::clone(&self.config);
         let heard = Arc::clone(&self.platform_heard);
         let logger = self.logger.clone();
@@ -128,9 +128,9 @@
             let client: Arc<HttpPlatform> = Arc::new(HttpPlatform::new(url));
             tokio::task::spawn_local(serve_claims(claim_calls, Arc::<HttpPlatform>::clone(&client)));
             let hosts_revision = AtomicU64::new(0);
-            PlatformDuty { client, config, hosts, heard, own, hosts_revision, logger }.run().await;
+            PlatformWatch { client, config, hosts, heard, own, hosts_revision, logger }.run().await;
         })?;
-        Ok(hosts_seen)
+        Ok(hosts_sender)
     }
 
     fn start_routing(&self) -> io::Result<ActorRef<RoutingActor>> {
@@ -168,10 +168,10 @@
             logger: self.logger.clone(),
         });
         spawn_thread("fleet", move || async move {
-            let duty = EntryFleet::new(shared);
+            let entry_fleet = EntryFleet::new(shared);
             let listener = TcpListener::from_std(listener).expect("the listener is bound and non-blocking");
-            tokio::task::spawn_local(serve_fleet(listener, key, Rc::new(duty.clone())));
-            duty.run(commands).await;
+            tokio::task::spawn_local(serve_fleet(listener, key, Rc::new(entry_fleet.clone())));
+            entry_fleet.run(commands).await;
         })?;
         Ok(())
     }
@@ -202,13 +202,13 @@
     fn start_callers(self, listener: StdListener, server: CallerServer) -> io::Result<JoinHandle<()>> {
         let Self { settings, logger, stopping, .. } = self;
         let stop_lag = Duration::from_millis(settings.stop_lag_millis);
-        let stop_seen = stopping.subscribe();
+        let stop_signal = stopping.subscribe();
         spawn_thread("callers", move || async move {
             let counted = server.clone();
             tokio::task::spawn_local(watch_signals(stopping, logger.clone(), move || counted.in_flight()));
             let listener = TcpListener::from_std(listener).expect("the listener is bound and non-blocking");
             info!(logger, "accepting callers"; "address" => listener.local_addr().ok().map(|address| address.to_string()));
-            serve_callers(listener, server, stop_seen, stop_lag, logger).await;
+            serve_callers(listener, server, stop_signal, stop_lag, logger).await;
         })
     }
 }
--- a/porthoistd/src/role/local.rs
+++ b/porthoistd/src/role/local.rs
@@ -37,9 +37,10 @@
     let engine = EngineStandin::new(true);
     engine.set_faults(EngineFaults { step_ms: STEP_MILLIS, ..EngineFaults::default() });
     let service = ServiceStandin::default();
-    let platform_address = stand_in("platform-standin", move |request| platform.clone().handle(request))?;
-    let engine_address = stand_in("engine-standin", move |request| engine.clone().handle(request))?;
-    let service_address = stand_in("service-standin", move |request| service.clone().handle(request))?;
+    let platform_address =
+        start_standin("platform-standin", move |request| platform.clone().handle(request))?;
+    let engine_address = start_standin("engine-standin", move |request| engine.clone().handle(request))?;
+    let service_address = start_standin("service-standin", move |request| service.clone().handle(request))?;
 
     let mut settings = settings;
     settings.platform = format!("http://{platform_address}");
@@ -68,10 +69,10 @@
         "  curl http://{}/v1/table -H 'Authorization: Bearer {token}' -d '{{\"edit\":\"1\",\"rows\":[{{\"cells\":{{\"kind\":\"team\",\"name\":\"desk\",\"rate\":\"5/s\"}},\"if_version\":null}}]}}'",
         addresses.operator
     );
-    callers.join().map_err(|_panic| io::Error::other("the callers' duty panicked"))
+    callers.join().map_err(|_panic| io::Error::other("the callers' thread panicked"))
 }
 
-fn stand_in<F, R>(name: &str, handler: F) -> io::Result<SocketAddr>
+fn start_standin<F, R>(name: &str, handler: F) -> io::Result<SocketAddr>
 where
     F: Fn(hyper::Request<hyper::body::Incoming>) -> R + Clone + Send + 'static,
     R: Future<Output = porthoist_http::HttpResponse> + Send + 'static,
--- a/porthoistd/src/role/proxy.rs
+++ b/porthoistd/src/role/proxy.rs
@@ -1,10 +1,10 @@
 //! The proxy role: forwards requests unchanged, by the routes and targets of the platform's table service.
 
 use super::bind;
-use crate::component::loads::LoadsDuty;
+use crate::component::loads::LoadsWatch;
 use crate::component::signals::{watch_reloads, watch_signals};
 use crate::component::spawn_thread;
-use crate::component::status::StatusDuty;
+use crate::component::status::StatusServer;
 use crate::component::zone_peers::ZonePeers;
 use crate::settings::proxy::ProxySettings;
 use porthoist_core::{AnchoredClock, ClockSource};
@@ -70,7 +70,7 @@
 pub fn run(settings: ProxySettings, logger: &Logger) -> io::Result<()> {
     let stopping = watch::Sender::new(false);
     let (_addresses, callers) = start(settings, logger, stopping)?;
-    callers.join().map_err(|_panic| io::Error::other("the callers' duty panicked"))
+    callers.join().map_err(|_panic| io::Error::other("the callers' thread panicked"))
 }
 
 /// Starts a proxy's threads; the returned one ends when the proxy has shut down gracefully.
@@ -176,13 +176,13 @@
         let (loads, reports) = mpsc::channel(LOADS_CAPACITY);
         let Some(rank_port) = self.settings.rank_port else { return Ok(reports) };
         let (zone, state) = (self.settings.zone.clone(), self.state.subscribe());
-        let duty = LoadsDuty { rank_port, zone, state, loads, logger: self.logger.clone() };
-        spawn_thread("loads", move || duty.run())?;
+        let loads_watch = LoadsWatch { rank_port, zone, state, loads, logger: self.logger.clone() };
+        spawn_thread("loads", move || loads_watch.run())?;
         Ok(reports)
     }
 
     fn start_status(&self, ready: StdListener, metrics: StdListener) -> io::Result<()> {
-        let duty = StatusDuty {
+        let status_server = StatusServer {
             ready_path: READY_PATH,
             state: self.state.subscribe(),
             crashes: self.crashes.subscribe(),
@@ -193,7 +193,7 @@
             logger: self.logger.clone(),
             last_ready: AtomicBool::new(false),
         };
-        spawn_thread("status", move || Arc::new(duty).run(ready, metrics))?;
+        spawn_thread("status", move || Arc::new(status_server).run(ready, metrics))?;
         Ok(())
     }
 
--- a/porthoistd/src/role/rank.rs
+++ b/porthoistd/src/role/rank.rs
@@ -2,7 +2,7 @@
 //! rank.
 
 use super::bind;
-use crate::component::rank::{OwnRank, RankDuty};
+use crate::component::rank::{OwnRank, PlanningLoop};
 use crate::component::signals::{watch_reloads, watch_signals};
 use crate::component::spawn_thread;
 use crate::component::status::serve_metrics;
@@ -36,7 +36,7 @@
     spawn_thread("metrics", move || serve_metrics(metrics_listener, served))?;
     let stopping = watch::Sender::new(false);
     let stop = stopping.subscribe();
-    let duty = spawn_thread("rank", move || async move {
+    let thread = spawn_thread("rank", move || async move {
         let own = Rc::new(OwnRank::new(Rc::new(TuristEngine::new(settings.engine))));
         let listener = TcpListener::from_std(rank_listener).expect("the listener is bound and non-blocking");
         let loads = watch::Sender::new(None);
@@ -66,7 +66,7 @@
             .metrics(metrics)
             .logger(logger.clone())
             .build();
-        let duty = RankDuty::builder()
+        let planning = PlanningLoop::builder()
             .settings(settings)
             .own(own)
             .control(control)
@@ -76,10 +76,10 @@
             .clock(clock)
             .logger(logger.clone())
             .build();
-        duty.run(stop).await;
+        planning.run(stop).await;
         info!(logger, "stopped"; "event" => "stopped");
     })?;
-    duty.join().map_err(|_panic| io::Error::other("the rank duty panicked"))
+    thread.join().map_err(|_panic| io::Error::other("the rank thread panicked"))
 }
 
 /// Interval in milliseconds at which the traffic counter is updated.
--- a/porthoistd/src/role/target.rs
+++ b/porthoistd/src/role/target.rs
@@ -1,10 +1,10 @@
 //! The target role: runs next to a back end and decides on entries' offers.
 
 use super::{bind, host_entry, random_incarnation, start_operators};
-use crate::component::group::{GroupDuty, PlatformMaps, rank_of};
+use crate::component::group::{GroupLeader, PlatformMaps, rank_of};
 use crate::component::offers::{follow_drain, run_backend, run_offers, team_weights};
 use crate::component::operator::ProcessView;
-use crate::component::platform::PlatformDuty;
+use crate::component::platform::PlatformWatch;
 use crate::component::signals::watch_signals;
 use crate::component::spawn_thread;
 use crate::component::target_fleet::TargetHandler;
@@ -52,7 +52,7 @@
     let stopping = watch::Sender::new(false);
     let (addresses, fleet) = start(settings, logger, stopping)?;
     println!("fleet {}\noperator {}", addresses.fleet, addresses.operator);
-    fleet.join().map_err(|_panic| io::Error::other("the fleet duty panicked"))
+    fleet.join().map_err(|_panic| io::Error::other("the fleet thread panicked"))
 }
 
 /// Starts a target's threads; the returned one ends when the target has shut down gracefully.
@@ -79,7 +79,7 @@
     metrics: Arc<MetricsHub>,
     config: Arc<ConfigHub>,
     platform_heard: Arc<AtomicBool>,
-    open: Arc<AtomicU64>,
+    open_offers: Arc<AtomicU64>,
     stopping: watch::Sender<bool>,
     logger: Logger,
 }
@@ -91,7 +91,7 @@
             incarnation: random_incarnation(),
             config: ConfigHub::new(Arc::clone(&metrics)),
             platform_heard: Arc::default(),
-            open: Arc::default(),
+            open_offers: Arc::default(),
             logger: logger.new(o!("role" => "target", "name" => settings.name.to_string())),
             metrics,
             settings,
@@ -108,7 +108,7 @@
             let client = Arc::new(HttpPlatform::new(url));
             let hosts = watch::Sender::new(Vec::new());
             let hosts_revision = AtomicU64::new(0);
-            PlatformDuty { client, config, hosts, heard, own, hosts_revision, logger }.run().await;
+            PlatformWatch { client, config, hosts, heard, own, hosts_revision, logger }.run().await;
         })?;
         Ok(())
     }
@@ -116,7 +116,7 @@
     fn start_offers(&self) -> io::Result<(ActorRef<OffersActor>, watch::Receiver<LoadReport>)> {
         let (jobs, job_receiver) = bounded_ring(JOB_QUEUE_CAPACITY);
         let load = watch::Sender::new(LoadReport::default());
-        let load_seen = load.subscribe();
+        let load_receiver = load.subscribe();
         let settings = &self.settings;
         let offers = OffersSettings::builder()
             .target(settings.name.clone())
@@ -134,11 +134,11 @@
         let runner = Arc::new(HttpRunner::new(settings.backend.clone()));
         let (job_actor, metrics) = (actor.clone(), Arc::clone(&self.metrics));
         spawn_thread("engine", move || run_backend(job_receiver, runner, job_actor, metrics))?;
-        Ok((actor, load_seen))
+        Ok((actor, load_receiver))
     }
 
     fn start_operators(&self, listener: StdListener) -> io::Result<()> {
-        let counted = Arc::clone(&self.open);
+        let counted = Arc::clone(&self.open_offers);
         let process = ProcessView {
             node: self.settings.name.clone(),
             zone: self.settings.zone.clone(),
@@ -159,7 +159,7 @@
         actor: ActorRef<OffersActor>,
         load: watch::Receiver<LoadReport>,
     ) -> io::Result<JoinHandle<()>> {
-        let Self { settings, incarnation, metrics, config, open, stopping, logger, .. } = self;
+        let Self { settings, incarnation, metrics, config, open_offers, stopping, logger, .. } = self;
         spawn_thread("fleet", move || async move {
             let handler = TargetHandler {
                 target: settings.name.clone(),
@@ -169,7 +169,7 @@
                 offers: actor.clone(),
                 load: load.clone(),
                 config: Arc::clone(&config),
-                open: Arc::clone(&open),
+                open_offers: Arc::clone(&open_offers),
                 rank: Arc::new(RankDriver::new(
                     Arc::new(HttpGroupEngine::new(&settings.backend)),
                     Arc::new(PlatformMaps::new(&settings.platform, &settings.group)),
@@ -181,7 +181,7 @@
             info!(logger, "accepting offers"; "address" => listener.local_addr().ok().map(|address| address.to_string()), "incarnation" => %incarnation);
             if !settings.group.is_empty() {
                 let maps = PlatformMaps::new(&settings.platform, &settings.group);
-                let group = GroupDuty {
+                let leader = GroupLeader {
                     ranks: settings.group,
                     key: settings.fleet_key.clone(),
                     engine: HttpGroupEngine::new(&settings.backend),
@@ -190,16 +190,16 @@
                     own: settings.name.clone(),
                     logger: logger.clone(),
                 };
-                tokio::task::spawn_local(group.run());
+                tokio::task::spawn_local(leader.run());
             }
             tokio::task::spawn_local(serve_fleet(listener, settings.fleet_key, Rc::new(handler)));
             tokio::task::spawn_local(follow_drain(actor, settings.name, config, stopping.subscribe()));
-            let mut stop_seen = stopping.subscribe();
-            let counted = Arc::clone(&open);
+            let mut stop_signal = stopping.subscribe();
+            let counted = Arc::clone(&open_offers);
             let in_flight = move || counted.load(Ordering::Relaxed);
             tokio::task::spawn_local(watch_signals(stopping, logger.clone(), in_flight));
-            if stop_seen.wait_for(|stop| *stop).await.is_ok() {
-                wait_until_drained(&open, &load).await;
+            if stop_signal.wait_for(|stop| *stop).await.is_ok() {
+                wait_until_drained(&open_offers, &load).await;
             }
             info!(logger, "all in-flight requests finished");
         })
@@ -207,12 +207,12 @@
 }
 
 /// Waits until nothing has been running, queued or being sent for [`QUIET_PERIOD`].
-async fn wait_until_drained(open: &AtomicU64, load: &watch::Receiver<LoadReport>) {
+async fn wait_until_drained(open_offers: &AtomicU64, load: &watch::Receiver<LoadReport>) {
     let mut quiet = Duration::ZERO;
     while quiet < QUIET_PERIOD {
         tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         let report = *load.borrow();
-        let busy = open.load(Ordering::Relaxed) > 0 || report.running + report.queued > 0;
+        let busy = open_offers.load(Ordering::Relaxed) > 0 || report.running + report.queued > 0;
         quiet = if busy { Duration::ZERO } else { quiet + DRAIN_POLL_INTERVAL };
     }
 }
--- a/porthoistd/src/settings.rs
+++ b/porthoistd/src/settings.rs
@@ -196,9 +196,9 @@
     }
 }
 
-struct Switch(bool);
+struct OnOffFlag(bool);
 
-impl FromStr for Switch {
+impl FromStr for OnOffFlag {
     type Err = ();
 
     fn from_str(text: &str) -> Result<Self, ()> {
@@ -222,24 +222,29 @@
         let mut reader = SettingReader { role: DaemonRole::Local, environment };
         reader.role = reader.value("role", args.role, None, "entry, target or local")?;
         let local = reader.role == DaemonRole::Local;
-        let named = |name| if local { Some(name) } else { None };
+        let local_default = |name| if local { Some(name) } else { None };
         let callers_default = if local { "127.0.0.1:8080" } else { "127.0.0.1:0" };
         let operator_default = if local { "127.0.0.1:8081" } else { "127.0.0.1:0" };
         let advertise = match reader.text("fleet-advertise", args.fleet_advertise) {
             None => None,
             given => Some(reader.value("fleet-advertise", given, None, ADDRESS)?),
         };
-        let hedge: Switch = reader.value("hedge", args.hedge, Some("on"), "on or off")?;
+        let hedge: OnOffFlag = reader.value("hedge", args.hedge, Some("on"), "on or off")?;
         Ok(Self {
             role: reader.role,
             name: reader.value(
                 "name",
                 args.name,
-                named("local"),
+                local_default("local"),
                 "a name of letters, digits, '-', '_' and '.'",
             )?,
             host: reader.value("host", args.host, Some("localhost"), "a host name")?,
-            zone: reader.value("zone", args.zone, named("local"), "the name of an availability zone")?,
+            zone: reader.value(
+                "zone",
+                args.zone,
+                local_default("local"),
+                "the name of an availability zone",
+            )?,
             callers_listen: reader.value(
                 "callers-listen",
                 args.callers_listen,
--- a/porthoistd/src/settings/reader.rs
+++ b/porthoistd/src/settings/reader.rs
@@ -103,11 +103,11 @@
         &self,
         flag: &'static str,
         given: Option<String>,
-        needed: bool,
+        required: bool,
     ) -> Result<String, SettingError> {
         let expected = "a URL of the form http://IP:PORT";
         let Some(text) = self.text(flag, given) else {
-            return if needed {
+            return if required {
                 Err(Self::error(flag, "not given".to_owned(), expected))
             } else {
                 Ok(String::new())
--- a/porthoistd/tests/loads.rs
+++ b/porthoistd/tests/loads.rs
@@ -10,7 +10,7 @@
 use porthoist_policy::proxy::targets::{TargetRecord, TargetState};
 use porthoist_policy::roll_forward::EngineOrder;
 use porthoist_proxy::ControlState;
-use porthoistd::component::loads::LoadsDuty;
+use porthoistd::component::loads::LoadsWatch;
 use slog::{Discard, Logger, o};
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
@@ -133,11 +133,11 @@
         let state = watch::Sender::new(state());
         let zone = "a".parse().expect("a name");
         let logger = Logger::root(Discard, o!());
-        let duty = LoadsDuty { rank_port, zone, state: state.subscribe(), loads, logger };
-        tokio::task::spawn_local(duty.run());
+        let loads_watch = LoadsWatch { rank_port, zone, state: state.subscribe(), loads, logger };
+        tokio::task::spawn_local(loads_watch.run());
         let mut hosts = BTreeSet::new();
         while hosts.len() < usize::from(GROUPS * RANKS) {
-            let report = reports.recv().await.expect("the duty runs");
+            let report = reports.recv().await.expect("the watch runs");
             hosts.extend(report.ranks.iter().map(|rank| rank.host));
         }
     };
@@ -186,8 +186,8 @@
         let state = watch::Sender::new(state());
         let zone = "a".parse().expect("a name");
         let logger = Logger::root(Discard, o!());
-        let duty = LoadsDuty { rank_port, zone, state: state.subscribe(), loads: sender, logger };
-        tokio::task::spawn_local(duty.run());
+        let loads_watch = LoadsWatch { rank_port, zone, state: state.subscribe(), loads: sender, logger };
+        tokio::task::spawn_local(loads_watch.run());
         let mut counts = Vec::new();
         for revision in 2..2 + 2 * ROUNDS {
             loads.send_replace(Some(report(revision)));
--- a/porthoistd/tests/rank.rs
+++ b/porthoistd/tests/rank.rs
@@ -14,7 +14,7 @@
 use porthoist_policy::switch::{MapVersion, StepNumber};
 use porthoist_proxy::{ControlSource, OperatorUpdate, SourceFuture, TableRevision};
 use porthoist_proxy::{ControlState, ControlWatch};
-use porthoistd::component::rank::{OwnRank, RankDuty};
+use porthoistd::component::rank::{OwnRank, PlanningLoop};
 use porthoistd::settings::rank::{RankArgs, RankSettings};
 use slog::{Discard, Logger, o};
 use std::cell::Cell;
@@ -278,7 +278,7 @@
             .build();
         let own = Rc::new(OwnRank::new(LimitedEngine::new(0, u32::MAX)));
         let loads = watch::Sender::new(None);
-        let duty = RankDuty::builder()
+        let planning = PlanningLoop::builder()
             .settings(settings)
             .own(own)
             .control(control)
@@ -288,7 +288,7 @@
             .clock(clock)
             .logger(logger)
             .build();
-        let running = tokio::task::spawn_local(duty.run(watch::Sender::new(false).subscribe()));
+        let running = tokio::task::spawn_local(planning.run(watch::Sender::new(false).subscribe()));
         while silent_engine.answers.get() > 0 {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
