--- a/porthoistd/tests/process.rs
+++ b/porthoistd/tests/process.rs
@@ -5,19 +5,19 @@
 #[path = "process/harness.rs"]
 mod harness;
 
-#[path = "process/bad_input.rs"]
-mod bad_input;
+#[path = "process/at_most_once.rs"]
+mod at_most_once;
+#[path = "process/complete_answers.rs"]
+mod complete_answers;
 #[path = "process/config.rs"]
 mod config;
+#[path = "process/end_to_end.rs"]
+mod end_to_end;
 #[path = "process/group.rs"]
 mod group;
-#[path = "process/once.rs"]
-mod once;
-#[path = "process/path.rs"]
-mod path;
+#[path = "process/invalid_requests.rs"]
+mod invalid_requests;
 #[path = "process/shutdown.rs"]
 mod shutdown;
 #[path = "process/table.rs"]
 mod table;
-#[path = "process/whole.rs"]
-mod whole;
