--- a/porthoistd/tests/loads.rs
+++ b/porthoistd/tests/loads.rs
@@ -58,7 +58,7 @@
     GroupLoads { revision: LoadRevision(1), ranks: ranks.collect(), ..GroupLoads::default() }
 }
 
-fn state() -> ControlState {
+fn control_state() -> ControlState {
     let service: ServiceName = "s".parse().expect("a name");
     let engine = EngineModel {
         slots: 4,
@@ -87,13 +87,13 @@
         cold: ColdStatus::Unknown,
     };
     let mut state = ControlState { routes: Some(Arc::new(routes)), ..ControlState::default() };
-    let places = (0..GROUPS).flat_map(|group| (0..RANKS).map(move |rank| (group, rank)));
-    state.targets.apply_listing(places.map(|(group, rank)| record(group, rank)), None);
+    let ranks = (0..GROUPS).flat_map(|group| (0..RANKS).map(move |rank| (group, rank)));
+    state.targets.apply_listing(ranks.map(|(group, rank)| record(group, rank)), None);
     state
 }
 
 /// Listens on the same port of all hosts.
-async fn listeners() -> Vec<(u8, u8, TcpListener)> {
+async fn bind_listeners() -> Vec<(u8, u8, TcpListener)> {
     let first = TcpListener::bind((host(0, 0), 0)).await.expect("a free port");
     let port = first.local_addr().expect("a bound address").port();
     let mut bound = vec![(0, 0, first)];
@@ -112,9 +112,9 @@
 }
 
 #[tokio::test]
-async fn the_loads_of_all_groups_of_a_service_are_known() {
+async fn loads_of_all_groups_of_a_service_are_reported() {
     let scenario = async {
-        let bound = listeners().await;
+        let bound = bind_listeners().await;
         let rank_port = bound[0].2.local_addr().expect("a bound address").port();
         let mut published = Vec::new();
         for (group, rank, listener) in bound {
@@ -130,7 +130,7 @@
             published.push(loads);
         }
         let (loads, mut reports) = mpsc::channel(16);
-        let state = watch::Sender::new(state());
+        let state = watch::Sender::new(control_state());
         let zone = "a".parse().expect("a name");
         let logger = Logger::root(Discard, o!());
         let loads_watch = LoadsWatch { rank_port, zone, state: state.subscribe(), loads, logger };
@@ -142,8 +142,8 @@
         }
     };
     let local = LocalSet::new();
-    let whole = local.run_until(scenario);
-    tokio::time::timeout(TEST_TIMEOUT, whole).await.expect("all groups are reported");
+    let run = local.run_until(scenario);
+    tokio::time::timeout(TEST_TIMEOUT, run).await.expect("all groups are reported");
 }
 
 /// Number of rounds; in each, every process has a new report.
@@ -157,9 +157,9 @@
 /// While a group forms, reports lack ranks. An entry then also queried the processes next to those ranks, and
 /// kept following all of them.
 #[tokio::test]
-async fn a_group_is_not_followed_at_more_than_two_processes() {
+async fn at_most_two_processes_are_followed_per_group() {
     let scenario = async {
-        let bound = listeners().await;
+        let bound = bind_listeners().await;
         let rank_port = bound[0].2.local_addr().expect("a bound address").port();
         let all: Vec<Ipv4Addr> = bound.iter().map(|(group, rank, _listener)| host(*group, *rank)).collect();
         // The group is forming: the first reports lack ranks, whose processes are queried as well.
@@ -183,7 +183,7 @@
             tokio::task::spawn_local(serve_ranks(listener, Rc::new(serving)));
         }
         let (sender, mut reports) = mpsc::channel(1_000);
-        let state = watch::Sender::new(state());
+        let state = watch::Sender::new(control_state());
         let zone = "a".parse().expect("a name");
         let logger = Logger::root(Discard, o!());
         let loads_watch = LoadsWatch { rank_port, zone, state: state.subscribe(), loads: sender, logger };
--- a/porthoistd/tests/logging.rs
+++ b/porthoistd/tests/logging.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn lines_beyond_the_bound_are_dropped_and_said() {
+fn lines_above_the_limit_are_dropped_and_reported() {
     let collected = MessageCollector::default();
     let logger = Logger::root(BoundedDrain::new(collected.clone(), 3).fuse(), o!());
     for line in 0..10 {
--- a/porthoistd/tests/process/at_most_once.rs
+++ b/porthoistd/tests/process/at_most_once.rs
@@ -26,8 +26,8 @@
     key: Option<String>,
 }
 
-const MAX_TRIES: usize = 8;
-const TRY_TIMEOUT: Duration = Duration::from_secs(4);
+const MAX_ATTEMPTS: usize = 8;
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(4);
 
 async fn send_once(client: &HttpClient, base: &str, request: &KeyedRequest) -> Option<(u16, String, String)> {
     let mut builder = Request::post(format!("http://{base}/services/vouchers/issue"))
@@ -37,7 +37,7 @@
         builder = builder.header("idempotency-key", key);
     }
     let message = builder.body(Full::new(Bytes::from(request.body.clone()))).unwrap();
-    let answer = tokio::time::timeout(TRY_TIMEOUT, client.fetch(message)).await.ok()?.ok()?;
+    let answer = tokio::time::timeout(ATTEMPT_TIMEOUT, client.fetch(message)).await.ok()?.ok()?;
     let header =
         |name: &str| answer.headers().get(name).map_or("", |value| value.to_str().unwrap()).to_owned();
     let text = String::from_utf8(answer.body().to_vec()).unwrap();
@@ -45,7 +45,7 @@
 }
 
 /// Sends each request, and repeats it through the other entry until the outcome is definite.
-async fn callers(
+async fn send_all(
     client: HttpClient,
     entries: Vec<String>,
     requests: Vec<KeyedRequest>,
@@ -53,9 +53,9 @@
 ) {
     for (index, request) in requests.iter().enumerate() {
         outcomes.sent += 1;
-        let tries = if request.key.is_some() { MAX_TRIES } else { 1 };
+        let attempts = if request.key.is_some() { MAX_ATTEMPTS } else { 1 };
         let mut definite = false;
-        for attempt in 0..tries {
+        for attempt in 0..attempts {
             let base = &entries[(index + attempt) % entries.len()];
             match send_once(&client, base, request).await {
                 Some((200, _, text)) => {
@@ -86,10 +86,10 @@
             *runs.entry(run.body).or_default() += 1;
         }
     }
-    let doubled: Vec<_> = runs.iter().filter(|(_, count)| **count > 1).collect();
-    assert!(doubled.is_empty(), "run more than once: {doubled:?}");
-    let untrue: Vec<_> = outcomes.not_run.iter().filter(|body| runs.contains_key(*body)).collect();
-    assert!(untrue.is_empty(), "said not-run, yet in the journal: {untrue:?}");
+    let repeated_runs: Vec<_> = runs.iter().filter(|(_, count)| **count > 1).collect();
+    assert!(repeated_runs.is_empty(), "run more than once: {repeated_runs:?}");
+    let false_reports: Vec<_> = outcomes.not_run.iter().filter(|body| runs.contains_key(*body)).collect();
+    assert!(false_reports.is_empty(), "reported as not-run, but in the journal: {false_reports:?}");
     println!(
         "sent {}, answered {}, not-run {}, may-have-run {}, runs {}, doubled 0, foreign 0",
         outcomes.sent,
@@ -105,7 +105,7 @@
 }
 
 /// Kills, freezes and restarts targets and entries while requests are sent.
-async fn faults(fleet: &mut Fleet) {
+async fn inject_faults(fleet: &mut Fleet) {
     let pause = || tokio::time::sleep(Duration::from_millis(400));
     pause().await;
     fleet.targets[0].daemon.kill();
@@ -136,11 +136,11 @@
         let client = HttpClient::new();
         tasks.push(tokio::spawn(async move {
             let mut outcomes = Outcomes::default();
-            callers(client, entries, batch, &mut outcomes).await;
+            send_all(client, entries, batch, &mut outcomes).await;
             outcomes
         }));
     }
-    faults(fleet).await;
+    inject_faults(fleet).await;
     let mut all = Outcomes::default();
     for task in tasks {
         let outcomes = task.await.unwrap();
@@ -152,16 +152,16 @@
     all
 }
 
-async fn slow_backends(fleet: &Fleet) {
+async fn slow_down_backends(fleet: &Fleet) {
     for pair in &fleet.targets {
-        fleet.fault(pair.backend.address("listening"), json!({ "delay_ms": 20 })).await;
+        fleet.set_faults(pair.backend.address("listening"), json!({ "delay_ms": 20 })).await;
     }
 }
 
 #[tokio::test]
-async fn tickets_run_at_most_once_under_kills_and_freezes() {
+async fn requests_with_tickets_run_at_most_once_under_kills_and_freezes() {
     let mut fleet = Fleet::start(2, 0, 2).await;
-    slow_backends(&fleet).await;
+    slow_down_backends(&fleet).await;
     let mut batches = Vec::new();
     for batch in 0..6 {
         let tickets = fleet.tickets(batch % 2, "vouchers", 60).await;
@@ -174,9 +174,9 @@
 }
 
 #[tokio::test]
-async fn own_keys_run_at_most_once_under_kills_and_freezes() {
+async fn requests_with_caller_chosen_keys_run_at_most_once_under_kills_and_freezes() {
     let mut fleet = Fleet::start(2, 0, 2).await;
-    slow_backends(&fleet).await;
+    slow_down_backends(&fleet).await;
     let batches = (0..6).map(|batch| {
         let keyed = |index| {
             let body = format!("k{batch}-{index}");
@@ -190,9 +190,9 @@
 }
 
 #[tokio::test]
-async fn unkeyed_requests_run_at_most_once_under_kills_and_freezes() {
+async fn requests_without_keys_run_at_most_once_under_kills_and_freezes() {
     let mut fleet = Fleet::start(2, 0, 2).await;
-    slow_backends(&fleet).await;
+    slow_down_backends(&fleet).await;
     let batches = (0..6).map(|batch| {
         (0..100).map(|index| KeyedRequest { body: format!("u{batch}-{index}"), key: None }).collect()
     });
@@ -202,9 +202,9 @@
 }
 
 #[tokio::test]
-async fn the_same_key_through_both_entries_at_once_runs_once() {
+async fn concurrent_requests_with_one_key_through_two_entries_run_once() {
     let fleet = Fleet::start(2, 0, 2).await;
-    slow_backends(&fleet).await;
+    slow_down_backends(&fleet).await;
     for round in 0..30 {
         let body = format!("race-{round}");
         let call =
@@ -217,11 +217,11 @@
 }
 
 #[tokio::test]
-async fn a_lost_claim_answer_is_recognised() {
+async fn a_request_runs_once_when_the_answer_to_its_claim_is_lost() {
     let fleet = Fleet::start(1, 0, 1).await;
     for round in 0..5 {
         let body = format!("lost-{round}");
-        fleet.platform_fault(json!({ "lose_answers": 1 })).await;
+        fleet.set_platform_faults(json!({ "lose_answers": 1 })).await;
         let call =
             Call::post("/services/vouchers/issue", body.clone()).header("idempotency-key", body.clone());
         let answer = fleet.call(0, call).await;
@@ -231,23 +231,27 @@
 }
 
 #[tokio::test]
-async fn without_the_table_an_own_key_is_refused_and_nothing_runs() {
+async fn caller_chosen_keys_are_refused_while_the_table_is_unavailable() {
     let fleet = Fleet::start(1, 0, 1).await;
-    fleet.platform_fault(json!({ "outage": true })).await;
+    fleet.set_platform_faults(json!({ "outage": true })).await;
     let call = || Call::post("/services/vouchers/issue", "dark").header("idempotency-key", "dark");
     let answer = fleet.call(0, call()).await;
     assert_eq!((answer.status, answer.reason().as_str()), (503, "claim_unavailable"));
-    assert_eq!(answer.verdict(), "may-have-run", "of the key nothing is known while the table is away");
+    assert_eq!(
+        answer.verdict(),
+        "may-have-run",
+        "nothing is known about the key while the table is unavailable"
+    );
     assert_eq!(fleet.runs("dark").await, 0);
-    fleet.platform_fault(json!({})).await;
+    fleet.set_platform_faults(json!({})).await;
     eventually("the key works again", || async { fleet.call(0, call()).await.status == 200 }).await;
     assert_eq!(fleet.runs("dark").await, 1);
 }
 
 #[tokio::test]
-async fn a_ticket_works_while_the_platform_is_away() {
+async fn tickets_work_while_the_platform_is_unavailable() {
     let fleet = Fleet::start(2, 0, 2).await;
-    fleet.platform_fault(json!({ "outage": true })).await;
+    fleet.set_platform_faults(json!({ "outage": true })).await;
     let tickets = fleet.tickets(0, "vouchers", 3).await;
     for (index, ticket) in tickets.iter().enumerate() {
         let body = format!("away-{index}");
@@ -262,7 +266,7 @@
 }
 
 #[tokio::test]
-async fn a_ticket_of_a_dead_incarnation_may_have_run() {
+async fn a_ticket_of_an_earlier_incarnation_is_reported_as_may_have_run() {
     let mut fleet = Fleet::start(1, 0, 1).await;
     let ticket = fleet.tickets(0, "vouchers", 1).await.remove(0);
     let call = || Call::post("/services/vouchers/issue", "old").header("idempotency-key", ticket.clone());
--- a/porthoistd/tests/process/complete_answers.rs
+++ b/porthoistd/tests/process/complete_answers.rs
@@ -4,7 +4,7 @@
 use crate::harness::{Call, Fleet, completion, eventually, expected_words, stream_words};
 use serde_json::json;
 
-fn streamed(prompt: &str, tokens: u32) -> Call<'static> {
+fn streamed_call(prompt: &str, tokens: u32) -> Call<'static> {
     Call::post("/v1/completions", completion(prompt, tokens, true))
 }
 
@@ -13,10 +13,13 @@
     let fleet = Fleet::start(1, 2, 0).await;
     for pair in &fleet.targets {
         fleet
-            .fault(pair.backend.address("listening"), json!({ "breaks": 1, "break_after": 3, "step_ms": 5 }))
+            .set_faults(
+                pair.backend.address("listening"),
+                json!({ "breaks": 1, "break_after": 3, "step_ms": 5 }),
+            )
             .await;
     }
-    let answer = fleet.call(0, streamed("broken", 10)).await;
+    let answer = fleet.call(0, streamed_call("broken", 10)).await;
     assert!(answer.whole);
     assert_eq!(stream_words(&answer.body), expected_words("broken", 10));
     assert!(fleet.counter(0, "porthoist_retries", "stream_resumed").await >= 1);
@@ -25,33 +28,33 @@
 #[tokio::test]
 async fn repeated_events_are_delivered_once() {
     let fleet = Fleet::start(1, 1, 0).await;
-    fleet.fault(fleet.targets[0].backend.address("listening"), json!({ "repeat_events": true })).await;
-    let answer = fleet.call(0, streamed("twice", 10)).await;
+    fleet.set_faults(fleet.targets[0].backend.address("listening"), json!({ "repeat_events": true })).await;
+    let answer = fleet.call(0, streamed_call("twice", 10)).await;
     assert_eq!(stream_words(&answer.body), expected_words("twice", 10));
 }
 
 #[tokio::test]
-async fn swapped_events_never_reach_the_caller() {
+async fn swapped_events_do_not_reach_the_caller() {
     let fleet = Fleet::start(1, 2, 0).await;
-    fleet.fault(fleet.targets[0].backend.address("listening"), json!({ "swap_events": true })).await;
+    fleet.set_faults(fleet.targets[0].backend.address("listening"), json!({ "swap_events": true })).await;
     for round in 0..10 {
         let prompt = format!("swapped {round}");
-        let answer = fleet.call(0, streamed(&prompt, 10)).await;
+        let answer = fleet.call(0, streamed_call(&prompt, 10)).await;
         assert!(answer.whole);
         assert_eq!(stream_words(&answer.body), expected_words(&prompt, 10));
     }
 }
 
 #[tokio::test]
-async fn a_stream_that_can_not_be_finished_is_not_taken_for_whole() {
+async fn a_stream_that_cannot_be_finished_is_visibly_incomplete() {
     let fleet = Fleet::start(1, 1, 0).await;
     fleet
-        .fault(
+        .set_faults(
             fleet.targets[0].backend.address("listening"),
             json!({ "breaks": 100, "break_after": 2, "step_ms": 5 }),
         )
         .await;
-    let answer = fleet.call(0, streamed("never whole", 30)).await;
+    let answer = fleet.call(0, streamed_call("never whole", 30)).await;
     assert!(!answer.whole, "the connection ends without its last chunk");
     assert!(!answer.body.contains("[DONE]"));
     let words = stream_words(&answer.body);
@@ -59,7 +62,7 @@
 }
 
 #[tokio::test]
-async fn streams_survive_the_kill_of_a_target() {
+async fn streams_complete_when_a_target_is_killed() {
     let mut fleet = Fleet::start_with(2, 2, 0, "20").await;
     let entries: Vec<_> = fleet.entries.iter().map(|entry| entry.address("callers").to_owned()).collect();
     let mut streams = Vec::new();
@@ -77,8 +80,8 @@
             assert_eq!(stream_words(&text), expected_words(&prompt, 60));
         }));
     }
-    let at_work = || async { !fleet.journal(0).await.is_empty() };
-    eventually("the target has work", at_work).await;
+    let has_runs = || async { !fleet.journal(0).await.is_empty() };
+    eventually("the target has work", has_runs).await;
     fleet.targets[0].daemon.kill();
     for stream in streams {
         stream.await.unwrap();
@@ -89,7 +92,7 @@
 }
 
 #[tokio::test]
-async fn a_caller_whose_entry_died_gets_the_rest_from_another() {
+async fn a_caller_resumes_its_stream_at_another_entry() {
     let mut fleet = Fleet::start_with(2, 1, 0, "20").await;
     let ticket = fleet.tickets(0, "refunds", 1).await.remove(0);
     let body = completion("resume", 30, true);
@@ -105,8 +108,8 @@
             porthoist_http::HttpClient::new().fetch(request).await.is_err()
         })
     };
-    let at_work = || async { !fleet.journal(0).await.is_empty() };
-    eventually("the request runs", at_work).await;
+    let has_runs = || async { !fleet.journal(0).await.is_empty() };
+    eventually("the request runs", has_runs).await;
     fleet.entries[0].kill();
     assert!(first.await.unwrap(), "the first connection broke");
     let rest =
--- a/porthoistd/tests/process/config.rs
+++ b/porthoistd/tests/process/config.rs
@@ -13,7 +13,7 @@
 }
 
 #[tokio::test]
-async fn an_accepted_row_is_in_force_everywhere() {
+async fn an_accepted_row_takes_effect_in_all_processes() {
     let fleet = Fleet::start(2, 2, 1).await;
     let mut slowest = Duration::ZERO;
     for round in 1..=5 {
@@ -33,12 +33,12 @@
 }
 
 #[tokio::test]
-async fn configuration_outlives_the_platform_and_restarts() {
+async fn configuration_survives_a_platform_outage_and_restarts() {
     let mut fleet = Fleet::start(2, 2, 0).await;
     let set = fleet.tool(0, &["table", "set", "team/desk", "rate=50/s", "--wait"]);
     assert!(set.status.success(), "{}", String::from_utf8_lossy(&set.stderr));
     let before = fleet.status(1).await["revision"].as_u64().unwrap();
-    fleet.platform_fault(json!({ "outage": true })).await;
+    fleet.set_platform_faults(json!({ "outage": true })).await;
 
     fleet.entries[0].kill();
     fleet.restart_entry(0);
@@ -57,14 +57,14 @@
         let answer = fleet.call(entry, call).await;
         assert_eq!(answer.status, 200, "{}", answer.body);
     }
-    fleet.platform_fault(json!({})).await;
+    fleet.set_platform_faults(json!({})).await;
     let set = fleet.tool(0, &["table", "set", "team/desk", "rate=60/s", "--wait", "--timeout", "30"]);
     assert!(set.status.success(), "{}", String::from_utf8_lossy(&set.stderr));
     assert!(fleet.status(1).await["revision"].as_u64().unwrap() > before);
 }
 
 #[tokio::test]
-async fn the_tool_names_what_it_can_not_hear() {
+async fn the_tool_lists_unreachable_processes() {
     let mut fleet = Fleet::start(1, 2, 0).await;
     fleet.targets[1].daemon.kill();
     eventually("the entry has noticed", || async {
--- a/porthoistd/tests/process/end_to_end.rs
+++ b/porthoistd/tests/process/end_to_end.rs
@@ -3,7 +3,7 @@
 use crate::harness::{Call, Fleet, completion, expected_words, stream_words};
 
 #[tokio::test]
-async fn a_request_is_served_end_to_end() {
+async fn requests_are_served_end_to_end() {
     let fleet = Fleet::start(2, 2, 1).await;
     for entry in 0..2 {
         let streamed =
@@ -23,7 +23,7 @@
 }
 
 #[tokio::test]
-async fn requests_go_on_when_a_target_is_killed() {
+async fn requests_succeed_after_a_target_is_killed() {
     let mut fleet = Fleet::start(2, 2, 1).await;
     fleet.targets[0].daemon.kill();
     for round in 0..40 {
@@ -35,7 +35,7 @@
 }
 
 #[tokio::test]
-async fn an_operator_is_told_what_became_of_a_request() {
+async fn explain_shows_the_offers_and_outcome_of_a_request() {
     let fleet = Fleet::start(1, 1, 0).await;
     let answer = fleet.call(0, Call::post("/v1/completions", completion("why", 3, false))).await;
     let request = answer.headers["porthoist-request"].to_str().unwrap();
--- a/porthoistd/tests/process/group.rs
+++ b/porthoistd/tests/process/group.rs
@@ -14,7 +14,7 @@
 }
 
 /// Checks every step that all ranks have started, and returns the maps used.
-async fn one_map_per_step(fleet: &Fleet) -> BTreeSet<u32> {
+async fn check_one_map_per_step(fleet: &Fleet) -> BTreeSet<u32> {
     let mut records = Vec::new();
     for rank in 0..fleet.targets.len() {
         records.push(record(fleet, rank).await);
@@ -27,7 +27,7 @@
     records.iter().flat_map(|record| record.used.iter().map(|map| map.0)).collect()
 }
 
-async fn all_use(fleet: &Fleet, map: u32) {
+async fn wait_until_all_ranks_use(fleet: &Fleet, map: u32) {
     eventually("all ranks use the map", || async {
         for rank in 0..fleet.targets.len() {
             if record(fleet, rank).await.used.last().is_none_or(|used| used.0 != map) {
@@ -45,24 +45,24 @@
 }
 
 #[tokio::test]
-async fn a_group_switches_maps_at_one_step() {
+async fn all_ranks_switch_maps_at_the_same_step() {
     let mut fleet = Fleet::start(1, 0, 0).await;
     fleet.add_group(3);
-    fleet.reaches_all(0).await;
+    fleet.wait_until_connected(0).await;
     for map in 1..=4 {
         request_map(&fleet, map);
-        all_use(&fleet, map).await;
+        wait_until_all_ranks_use(&fleet, map).await;
     }
-    assert!(one_map_per_step(&fleet).await.is_superset(&(1..=4).collect()));
+    assert!(check_one_map_per_step(&fleet).await.is_superset(&(1..=4).collect()));
     let held: u64 = record(&fleet, 0).await.held;
     println!("4 switches, {held} steps of rank 0 held");
 }
 
 #[tokio::test]
-async fn kills_and_freezes_beside_the_ranks_never_split_a_step() {
+async fn all_ranks_use_one_map_per_step_under_kills_and_freezes() {
     let mut fleet = Fleet::start(1, 0, 0).await;
     fleet.add_group(3);
-    fleet.reaches_all(0).await;
+    fleet.wait_until_connected(0).await;
     for map in 1..=4_u32 {
         request_map(&fleet, map);
         let victim = (map % 3) as usize;
@@ -73,16 +73,16 @@
         tokio::time::sleep(Duration::from_millis(300)).await;
         fleet.targets[frozen].daemon.signal(Signal::SIGCONT);
         fleet.restart_target(victim);
-        all_use(&fleet, map).await;
-        one_map_per_step(&fleet).await;
+        wait_until_all_ranks_use(&fleet, map).await;
+        check_one_map_per_step(&fleet).await;
     }
 }
 
 #[tokio::test]
-async fn the_planner_answers_a_jump_of_popularity() {
+async fn the_planner_replicates_an_expert_that_becomes_popular() {
     let mut fleet = Fleet::start(1, 0, 0).await;
     fleet.add_group(3);
-    fleet.reaches_all(0).await;
+    fleet.wait_until_connected(0).await;
     let set = fleet.tool(0, &["table", "set", "policy/placement", "skew_weight=4", "move_weight=1"]);
     assert!(set.status.success());
     // 6 experts on 3 ranks with 3 slots each; at first all are equally popular, then expert 5 becomes hot.
@@ -91,7 +91,7 @@
             "tokens": [1000.0, 1000.0, 1000.0, 1000.0, 1000.0, hot], "speeds": [1.0, 1.0, 1.0], "slots": 3,
         })
     };
-    let counts = async |hot: f64| {
+    let set_counts = async |hot: f64| {
         for pair in &fleet.targets {
             let url = format!("http://{}/standin/experts", pair.backend.address("listening"));
             let (status, _answer): (_, serde_json::Value) =
@@ -99,9 +99,9 @@
             assert!(status.is_success());
         }
     };
-    counts(1000.0).await;
+    set_counts(1000.0).await;
     tokio::time::sleep(Duration::from_secs(2)).await;
-    counts(20_000.0).await;
+    set_counts(20_000.0).await;
     eventually("the group switched to a planned map, loaded on every rank", || async {
         for rank in 0..3 {
             let record = record(&fleet, rank).await;
@@ -113,7 +113,7 @@
         true
     })
     .await;
-    one_map_per_step(&fleet).await;
+    check_one_map_per_step(&fleet).await;
     let mut holders = 0;
     for rank in 0..3 {
         let record = record(&fleet, rank).await;
--- a/porthoistd/tests/process/harness.rs
+++ b/porthoistd/tests/process/harness.rs
@@ -57,7 +57,7 @@
     }
 
     /// Waits until the process exits on its own.
-    pub async fn ended(&mut self) -> std::process::ExitStatus {
+    pub async fn wait_for_exit(&mut self) -> std::process::ExitStatus {
         let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
@@ -77,7 +77,7 @@
     }
 }
 
-fn built(package: &str, binary: &str) -> std::path::PathBuf {
+fn built_binary(package: &str, binary: &str) -> std::path::PathBuf {
     // Uses the profile of the tests, so that nothing is built twice.
     let build = escargot::CargoBuild::new().package(package).bin(binary).current_release();
     build.run().expect("the binary builds").path().to_owned()
@@ -85,12 +85,12 @@
 
 pub fn standin_path() -> &'static std::path::Path {
     static PATH: OnceLock<std::path::PathBuf> = OnceLock::new();
-    PATH.get_or_init(|| built("porthoist-standin", "porthoist-standin"))
+    PATH.get_or_init(|| built_binary("porthoist-standin", "porthoist-standin"))
 }
 
 pub fn tool_path() -> &'static std::path::Path {
     static PATH: OnceLock<std::path::PathBuf> = OnceLock::new();
-    PATH.get_or_init(|| built("porthoist-cli", "porthoist"))
+    PATH.get_or_init(|| built_binary("porthoist-cli", "porthoist"))
 }
 
 pub fn standin(arguments: &[&str]) -> Process {
@@ -124,7 +124,7 @@
 }
 
 /// Initial table rows of every test.
-fn rows() -> Value {
+fn initial_rows() -> Value {
     let row = |cells: Value| json!({ "cells": cells, "edit": "start" });
     json!({
         "config/team/border": row(json!({"kind": "team", "name": "border", "rate": "100000/s", "concurrency": "10000"})),
@@ -232,7 +232,7 @@
     /// `step_ms` is the time between two tokens of the engines.
     pub async fn start_with(entries: usize, models: usize, services: usize, step_ms: &str) -> Self {
         let file = tempfile::NamedTempFile::new().unwrap();
-        std::fs::write(file.path(), rows().to_string()).unwrap();
+        std::fs::write(file.path(), initial_rows().to_string()).unwrap();
         let platform = standin(&["platform", "--items", file.path().to_str().unwrap()]);
         let mut fleet = Self {
             platform,
@@ -253,7 +253,7 @@
             fleet.entries.push(entry);
         }
         for index in 0..entries {
-            fleet.reaches_all(index).await;
+            fleet.wait_until_connected(index).await;
         }
         fleet
     }
@@ -262,15 +262,22 @@
         format!("http://{}", self.platform.address("listening"))
     }
 
-    pub fn entry(&self, index: usize, more: &[&str]) -> Process {
+    pub fn entry(&self, index: usize, extra_arguments: &[&str]) -> Process {
         let (name, zone) = (format!("entry-{index}"), format!("zone-{}", index % 2));
         let mut arguments =
             vec!["--role", "entry", "--name", &name, "--zone", &zone, "--stop-lag-ms", STOP_LAG_MS];
-        arguments.extend_from_slice(more);
+        arguments.extend_from_slice(extra_arguments);
         daemon(&self.platform_url(), &arguments, 3)
     }
 
-    fn target_daemon(&self, name: &str, zone: &str, service: &str, backend: &str, more: &[&str]) -> Process {
+    fn target_daemon(
+        &self,
+        name: &str,
+        zone: &str,
+        service: &str,
+        backend: &str,
+        extra_arguments: &[&str],
+    ) -> Process {
         let mut arguments = vec![
             "--role",
             "target",
@@ -283,7 +290,7 @@
             "--backend",
             backend,
         ];
-        arguments.extend_from_slice(more);
+        arguments.extend_from_slice(extra_arguments);
         daemon(&self.platform_url(), &arguments, 2)
     }
 
@@ -307,8 +314,8 @@
             let backend = standin(&["engine", "--group-step-ms", "5"]);
             let (name, zone, service) = (format!("rank-{rank}"), "zone-0".to_owned(), "refunds".to_owned());
             let url = format!("http://{}", backend.address("listening"));
-            let more = ["--group", &self.group, "--fleet-listen", address];
-            let daemon = self.target_daemon(&name, &zone, &service, &url, &more);
+            let extra_arguments = ["--group", &self.group, "--fleet-listen", address];
+            let daemon = self.target_daemon(&name, &zone, &service, &url, &extra_arguments);
             self.targets.push(TargetPair { name, zone, service, backend, daemon });
         }
     }
@@ -319,11 +326,11 @@
         let address = pair.daemon.address("fleet").to_owned();
         let url = format!("http://{}", pair.backend.address("listening"));
         let (name, zone, service) = (pair.name.clone(), pair.zone.clone(), pair.service.clone());
-        let mut more = vec!["--fleet-listen", &address];
+        let mut extra_arguments = vec!["--fleet-listen", &address];
         if name.starts_with("rank-") {
-            more.extend(["--group", &self.group]);
+            extra_arguments.extend(["--group", &self.group]);
         }
-        let daemon = self.target_daemon(&name, &zone, &service, &url, &more);
+        let daemon = self.target_daemon(&name, &zone, &service, &url, &extra_arguments);
         self.targets[index].daemon = daemon;
     }
 
@@ -331,8 +338,9 @@
         let addresses =
             ["callers", "operator", "fleet"].map(|name| self.entries[index].address(name).to_owned());
         let [callers, operator, fleet] = &addresses;
-        let more = ["--callers-listen", callers, "--operator-listen", operator, "--fleet-listen", fleet];
-        self.entries[index] = self.entry(index, &more);
+        let extra_arguments =
+            ["--callers-listen", callers, "--operator-listen", operator, "--fleet-listen", fleet];
+        self.entries[index] = self.entry(index, &extra_arguments);
     }
 
     pub async fn status(&self, entry: usize) -> Value {
@@ -365,7 +373,7 @@
     }
 
     /// Waits until an entry reaches every target and entry.
-    pub async fn reaches_all(&self, entry: usize) {
+    pub async fn wait_until_connected(&self, entry: usize) {
         let (targets, entries) = (self.targets.len(), self.entries.len() - 1);
         eventually("the entry reaches everyone", || async {
             let status = self.status(entry).await;
@@ -397,7 +405,7 @@
         command.output().unwrap()
     }
 
-    pub async fn fault(&self, address: &str, faults: Value) {
+    pub async fn set_faults(&self, address: &str, faults: Value) {
         // Uses a new connection: an idle one may just be closed by the other end.
         let (status, _answer): (_, Value) = HttpClient::new()
             .json(Method::POST, &format!("http://{address}/standin/faults"), Some(&faults))
@@ -406,8 +414,8 @@
         assert!(status.is_success());
     }
 
-    pub async fn platform_fault(&self, faults: Value) {
-        self.fault(self.platform.address("listening"), faults).await;
+    pub async fn set_platform_faults(&self, faults: Value) {
+        self.set_faults(self.platform.address("listening"), faults).await;
     }
 
     pub async fn journal(&self, target: usize) -> Vec<JournalRun> {
--- a/porthoistd/tests/process/shutdown.rs
+++ b/porthoistd/tests/process/shutdown.rs
@@ -26,7 +26,7 @@
     (0..count).map(stream).collect()
 }
 
-async fn runs_of(fleet: &Fleet) -> usize {
+async fn count_runs(fleet: &Fleet) -> usize {
     let mut runs = 0;
     for target in 0..fleet.targets.len() {
         runs += fleet.journal(target).await.len();
@@ -35,28 +35,28 @@
 }
 
 #[tokio::test]
-async fn a_stopping_entry_cuts_off_no_stream() {
+async fn streams_finish_when_their_entry_stops() {
     let mut fleet = Fleet::start_with(1, 2, 0, "20").await;
     let streams = open_streams(&fleet, 0, 20);
-    eventually("all streams run", || async { runs_of(&fleet).await == 20 }).await;
+    eventually("all streams run", || async { count_runs(&fleet).await == 20 }).await;
     fleet.entries[0].signal(Signal::SIGTERM);
     for stream in streams {
         stream.await.unwrap();
     }
-    assert!(fleet.entries[0].ended().await.success());
+    assert!(fleet.entries[0].wait_for_exit().await.success());
     println!("SIGTERM of an entry: 20 streams, 0 cut off");
 }
 
 #[tokio::test]
-async fn a_stopping_target_cuts_off_no_stream() {
+async fn streams_finish_when_their_target_stops() {
     let mut fleet = Fleet::start_with(1, 2, 0, "20").await;
     let streams = open_streams(&fleet, 0, 20);
-    eventually("all streams run", || async { runs_of(&fleet).await == 20 }).await;
+    eventually("all streams run", || async { count_runs(&fleet).await == 20 }).await;
     fleet.targets[0].daemon.signal(Signal::SIGTERM);
     for stream in streams {
         stream.await.unwrap();
     }
-    assert!(fleet.targets[0].daemon.ended().await.success());
+    assert!(fleet.targets[0].daemon.wait_for_exit().await.success());
     for reason in ["stream_resumed", "connection_lost"] {
         assert_eq!(fleet.counter(0, "porthoist_retries", reason).await, 0, "{reason}");
     }
@@ -64,10 +64,10 @@
 }
 
 #[tokio::test]
-async fn a_stopping_entry_is_not_ready_but_still_answers() {
+async fn a_stopping_entry_is_not_ready_but_finishes_its_streams() {
     let mut fleet = Fleet::start_with(1, 1, 0, "20").await;
     let streams = open_streams(&fleet, 0, 2);
-    eventually("the streams run", || async { runs_of(&fleet).await == 2 }).await;
+    eventually("the streams run", || async { count_runs(&fleet).await == 2 }).await;
     fleet.entries[0].signal(Signal::SIGTERM);
     let url = format!("http://{}/readyz", fleet.entries[0].address("operator"));
     eventually("it is not ready", || async {
@@ -78,11 +78,11 @@
     for stream in streams {
         stream.await.unwrap();
     }
-    assert!(fleet.entries[0].ended().await.success());
+    assert!(fleet.entries[0].wait_for_exit().await.success());
 }
 
 #[tokio::test]
-async fn a_drained_target_takes_no_new_work() {
+async fn a_drained_target_gets_no_new_requests() {
     let fleet = Fleet::start(2, 2, 0).await;
     let drained = fleet.tool(0, &["drain", "model-0", "--wait"]);
     assert!(drained.status.success(), "{}", String::from_utf8_lossy(&drained.stderr));
--- a/porthoistd/tests/process/table.rs
+++ b/porthoistd/tests/process/table.rs
@@ -8,7 +8,7 @@
 }
 
 #[tokio::test]
-async fn of_two_racing_operators_one_gets_the_row_in_force() {
+async fn the_later_of_two_conflicting_edits_is_refused_with_the_row_in_force() {
     let fleet = Fleet::start(1, 1, 0).await;
     let version =
         fleet.operator_get(0, "/v1/table").await["rows"][2]["version"].as_u64().unwrap().to_string();
@@ -26,7 +26,7 @@
 }
 
 #[tokio::test]
-async fn a_sheet_is_imported_whole_or_not_at_all() {
+async fn a_sheet_is_imported_atomically() {
     let fleet = Fleet::start(1, 1, 0).await;
     let sheet = text(&fleet.tool(0, &["table", "export"]).stdout);
     let folder = tempfile::tempdir().unwrap();
@@ -40,8 +40,8 @@
     std::fs::write(&path, &broken).unwrap();
     let refused = fleet.tool(0, &["table", "import", file]);
     assert_eq!(refused.status.code(), Some(2));
-    let said = text(&refused.stderr);
-    assert!(said.contains("column rate") && said.contains("line 4"), "{said}");
+    let message = text(&refused.stderr);
+    assert!(message.contains("column rate") && message.contains("line 4"), "{message}");
     assert_eq!(text(&fleet.tool(0, &["table", "export"]).stdout), sheet, "nothing was imported");
 
     let good = sheet.replace("border,,100000/s", "border,5,99000/s") + &new_row;
@@ -59,9 +59,9 @@
 }
 
 #[tokio::test]
-async fn an_edit_whose_answer_was_lost_is_read_back() {
+async fn an_edit_whose_answer_was_lost_is_confirmed_by_reading_it_back() {
     let fleet = Fleet::start(1, 1, 0).await;
-    fleet.platform_fault(json!({ "lose_answers": 1 })).await;
+    fleet.set_platform_faults(json!({ "lose_answers": 1 })).await;
     let set = fleet.tool(0, &["table", "set", "team/border", "weight=7"]);
     assert!(set.status.success(), "{}", text(&set.stderr));
     assert!(text(&set.stdout).contains("read back"), "{}", text(&set.stdout));
@@ -69,11 +69,11 @@
 }
 
 #[tokio::test]
-async fn an_edit_without_the_platform_is_reported_as_such() {
+async fn an_edit_fails_while_the_platform_is_unavailable() {
     let fleet = Fleet::start(1, 1, 0).await;
-    fleet.platform_fault(json!({ "outage": true })).await;
+    fleet.set_platform_faults(json!({ "outage": true })).await;
     let set = fleet.tool(0, &["table", "set", "team/border", "weight=7"]);
     assert_eq!(set.status.code(), Some(4));
-    fleet.platform_fault(json!({})).await;
+    fleet.set_platform_faults(json!({})).await;
     assert!(!text(&fleet.tool(0, &["table", "get", "team/border"]).stdout).contains("weight=7"));
 }
--- a/porthoistd/tests/rank.rs
+++ b/porthoistd/tests/rank.rs
@@ -38,30 +38,30 @@
 #[derive(Debug)]
 struct SilentEngine;
 
-fn silent<T: 'static>() -> RankFuture<'static, T> {
+fn no_answer<T: 'static>() -> RankFuture<'static, T> {
     futures::future::pending::<Result<T, CallError>>().boxed_local()
 }
 
 impl LocalEngine for SilentEngine {
     fn state(&self) -> RankFuture<'_, RankState> {
-        silent()
+        no_answer()
     }
 
     fn counts(&self) -> RankFuture<'_, ExpertCounts> {
-        silent()
+        no_answer()
     }
 
     fn lists(&self) -> RankFuture<'_, ExpertLists> {
-        silent()
+        no_answer()
     }
 
     fn order<'a>(&'a self, _order: EngineOrder, _map: Option<&'a EqualShareMap>) -> RankFuture<'a, bool> {
-        silent()
+        no_answer()
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_unanswered_order_is_given_up_at_once() {
+async fn an_unanswered_order_times_out() {
     let rank = OwnRank::new(Rc::new(SilentEngine));
     let started = tokio::time::Instant::now();
     let order = EngineOrder::Hold { epoch: GroupEpoch(1), step: StepNumber(7) };
@@ -78,7 +78,7 @@
 /// Guards against a reading that never ends: when an engine's connection fell silent, the process next to it
 /// stopped planning until the connection was closed.
 #[tokio::test(start_paused = true)]
-async fn a_reading_of_a_silent_engine_is_given_up() {
+async fn reading_a_silent_engine_times_out() {
     let rank = OwnRank::new(Rc::new(SilentEngine));
     for reading in ["state", "state and counts", "lists"] {
         let started = tokio::time::Instant::now();
@@ -110,11 +110,11 @@
 
 impl LocalEngine for LimitedEngine {
     fn state(&self) -> RankFuture<'_, RankState> {
-        let left = self.answers.get();
-        if left == 0 {
-            return silent();
+        let remaining = self.answers.get();
+        if remaining == 0 {
+            return no_answer();
         }
-        self.answers.set(left - 1);
+        self.answers.set(remaining - 1);
         let view = RankView {
             epoch: GroupEpoch(1),
             sequence: OrderSequence(0),
@@ -142,11 +142,11 @@
     }
 
     fn lists(&self) -> RankFuture<'_, ExpertLists> {
-        silent()
+        no_answer()
     }
 
     fn order<'a>(&'a self, _order: EngineOrder, _map: Option<&'a EqualShareMap>) -> RankFuture<'a, bool> {
-        silent()
+        no_answer()
     }
 }
 
@@ -249,19 +249,19 @@
 /// Guards against losing connections, and the map already sent over them, to healthy ranks when another rank
 /// stops answering.
 #[tokio::test]
-async fn a_silent_rank_costs_the_others_no_connection() {
+async fn connections_to_healthy_ranks_stay_open_while_a_rank_is_silent() {
     let scenario = async {
         let first = TcpListener::bind((engine_address(1).ip(), 0)).await.expect("a free port");
         let port = first.local_addr().expect("a bound address").port();
         drop(first);
-        let place = |rank: usize| SocketAddr::new(engine_address(rank).ip(), port);
+        let process_address = |rank: usize| SocketAddr::new(engine_address(rank).ip(), port);
         let (healthy_engine, silent_engine) = (LimitedEngine::new(1, u32::MAX), LimitedEngine::new(2, 4));
-        let healthy = serve_engine(place(1), Rc::clone(&healthy_engine)).await;
-        let silent = serve_engine(place(2), Rc::clone(&silent_engine)).await;
+        let healthy_connections = serve_engine(process_address(1), Rc::clone(&healthy_engine)).await;
+        let silent_connections = serve_engine(process_address(2), Rc::clone(&silent_engine)).await;
         let args = RankArgs {
             zone: Some("a".to_owned()),
             engine: Some(engine_address(0).to_string()),
-            rank_listen: Some(place(0).to_string()),
+            rank_listen: Some(process_address(0).to_string()),
             table: Some("127.0.0.1:9".to_owned()),
             ..RankArgs::default()
         };
@@ -298,9 +298,9 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         running.abort();
-        assert_eq!(healthy.get(), 1, "the process next to the healthy rank keeps its connection");
+        assert_eq!(healthy_connections.get(), 1, "the process next to the healthy rank keeps its connection");
         assert_eq!(
-            silent.get(),
+            silent_connections.get(),
             1,
             "so does the one next to the silent engine: it answers that there is no reading"
         );
--- a/porthoistd/tests/settings.rs
+++ b/porthoistd/tests/settings.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn variables_are_enough_and_a_flag_wins() {
+fn flags_take_precedence_over_environment_variables() {
     let args = DaemonArgs { zone: Some("b".to_owned()), ..DaemonArgs::default() };
     let settings = DaemonSettings::load(args, environment).unwrap();
     assert_eq!(settings.zone.as_str(), "b");
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn the_local_role_needs_nothing_else() {
+fn the_local_role_has_a_default_for_every_setting() {
     let args = DaemonArgs { role: Some("local".to_owned()), ..DaemonArgs::default() };
     let settings = DaemonSettings::load(args, |_name| None).unwrap();
     assert_eq!(settings.callers_listen.to_string(), "127.0.0.1:8080");
@@ -40,13 +40,13 @@
 #[test_case(DaemonArgs { platform: Some("ftp://x".into()), ..DaemonArgs::default() }, "--platform (PORTHOIST_PLATFORM): \"ftp://x\" given"; "url")]
 #[test_case(DaemonArgs { fleet_key: Some("short".into()), ..DaemonArgs::default() }, "--fleet-key (PORTHOIST_FLEET_KEY): 5 bytes given"; "a secret is not shown")]
 #[test_case(DaemonArgs { fleet_listen: Some("here".into()), ..DaemonArgs::default() }, "--fleet-listen (PORTHOIST_FLEET_LISTEN): \"here\" given"; "address")]
-fn an_error_names_the_setting(args: DaemonArgs, expected: &str) {
+fn an_error_names_the_invalid_setting(args: DaemonArgs, expected: &str) {
     let error = DaemonSettings::load(args, environment).unwrap_err();
     assert_eq!(error.to_string(), format!("setting {expected}"));
 }
 
 #[test]
-fn a_missing_setting_is_named() {
+fn an_error_names_a_missing_setting() {
     let error = DaemonSettings::load(DaemonArgs::default(), |name| {
         environment(name).filter(|_| name != "PORTHOIST_BACKEND")
     });
@@ -58,14 +58,14 @@
 #[test_case("leaving-ms", ProxyArgs { leaving_ms: Some((u64::MAX - 1).to_string()), ..proxy_args() }; "leaving")]
 #[test_case("revoke-ms", ProxyArgs { revoke_ms: Some("3600001".to_owned()), ..proxy_args() }; "revoke")]
 #[test_case("notice-ms", ProxyArgs { notice_ms: Some("-1".to_owned()), ..proxy_args() }; "negative")]
-fn a_time_that_is_out_of_range_is_an_error(flag: &str, args: ProxyArgs) {
+fn a_time_out_of_range_is_rejected(flag: &str, args: ProxyArgs) {
     let error = ProxySettings::load(args, |_name| None).unwrap_err().to_string();
     assert!(error.starts_with(&format!("setting --{flag} ")), "{error}");
     assert!(error.contains("given"), "{error}");
 }
 
 #[test]
-fn an_hour_is_in_range() {
+fn a_time_of_one_hour_is_accepted() {
     let hour = Some("3600000".to_owned());
     let args = ProxyArgs { notice_ms: hour.clone(), leaving_ms: hour, ..proxy_args() };
     let settings = ProxySettings::load(args, |_name| None).unwrap();
