--- a/porthoist-cli/src/client.rs
+++ b/porthoist-cli/src/client.rs
@@ -41,9 +41,11 @@
     async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, ToolError> {
         let answer = self.call(Method::GET, path, Vec::new()).await?;
         match answer.status() {
-            StatusCode::OK => parse(answer.body()),
-            StatusCode::NOT_FOUND => Err(ToolError::Missing(text(&answer))),
-            status => Err(ToolError::Endpoint(format!("{}{path}: {status}: {}", self.base, text(&answer)))),
+            StatusCode::OK => parse_body(answer.body()),
+            StatusCode::NOT_FOUND => Err(ToolError::Missing(body_text(&answer))),
+            status => {
+                Err(ToolError::Endpoint(format!("{}{path}: {status}: {}", self.base, body_text(&answer))))
+            }
         }
     }
 
@@ -68,14 +70,14 @@
         let body = serde_json::to_vec(&request).map_err(|error| ToolError::File(error.to_string()))?;
         let answer = self.call(Method::POST, "/v1/table", body).await?;
         match answer.status() {
-            StatusCode::OK => Ok(parse(answer.body())?),
+            StatusCode::OK => Ok(parse_body(answer.body())?),
             StatusCode::BAD_REQUEST | StatusCode::CONFLICT | StatusCode::BAD_GATEWAY => {
-                match parse::<EditProblem>(answer.body()) {
+                match parse_body::<EditProblem>(answer.body()) {
                     Ok(problem) => Err(EditFailure::Problem(problem)),
-                    Err(_unreadable) => Err(ToolError::Endpoint(text(&answer)).into()),
+                    Err(_unreadable) => Err(ToolError::Endpoint(body_text(&answer)).into()),
                 }
             }
-            status => Err(ToolError::Endpoint(format!("{status}: {}", text(&answer))).into()),
+            status => Err(ToolError::Endpoint(format!("{status}: {}", body_text(&answer))).into()),
         }
     }
 }
@@ -98,7 +100,9 @@
             EditFailure::Problem(EditProblem::Cell { column, given, expected, .. }) => {
                 Self::Cell(CellError { column, given, expected })
             }
-            EditFailure::Problem(EditProblem::Conflict { in_force }) => Self::Conflict(rows_text(&in_force)),
+            EditFailure::Problem(EditProblem::Conflict { in_force }) => {
+                Self::Conflict(rows_in_force_text(&in_force))
+            }
             EditFailure::Problem(EditProblem::Platform { verdict: RunVerdict::NotRun, message }) => {
                 Self::Endpoint(format!("nothing was changed: {message}"))
             }
@@ -107,7 +111,7 @@
     }
 }
 
-fn rows_text(rows: &[Option<VersionedRow>]) -> String {
+fn rows_in_force_text(rows: &[Option<VersionedRow>]) -> String {
     let mut lines = Vec::with_capacity(rows.len());
     for row in rows {
         lines.push(match row {
@@ -118,11 +122,11 @@
     lines.join("\n")
 }
 
-fn parse<T: DeserializeOwned>(bytes: &Bytes) -> Result<T, ToolError> {
+fn parse_body<T: DeserializeOwned>(bytes: &Bytes) -> Result<T, ToolError> {
     serde_json::from_slice(bytes)
         .map_err(|error| ToolError::Endpoint(format!("unreadable response: {error}")))
 }
 
-fn text(answer: &Response<Bytes>) -> String {
+fn body_text(answer: &Response<Bytes>) -> String {
     String::from_utf8_lossy(answer.body()).trim().to_owned()
 }
--- a/porthoist-cli/src/cmd.rs
+++ b/porthoist-cli/src/cmd.rs
@@ -53,8 +53,13 @@
         if unreadable.is_empty() {
             continue;
         }
-        let named: Vec<String> = unreadable.iter().take(MAX_PRINTED_LINES).map(usize::to_string).collect();
-        eprintln!("{file}: skipped {} unreadable lines, the first at {}", unreadable.len(), named.join(", "));
+        let line_numbers: Vec<String> =
+            unreadable.iter().take(MAX_PRINTED_LINES).map(usize::to_string).collect();
+        eprintln!(
+            "{file}: skipped {} unreadable lines, the first at {}",
+            unreadable.len(),
+            line_numbers.join(", ")
+        );
     }
     Ok(lines)
 }
--- a/porthoist-cli/src/cmd/entries.rs
+++ b/porthoist-cli/src/cmd/entries.rs
@@ -56,11 +56,11 @@
     if args.metrics.is_empty() {
         return Err(ToolError::Missing("no entry given: pass --metrics IP:PORT".to_owned()));
     }
-    let queries = args.metrics.iter().map(|address| async move { (*address, ask(*address).await) });
+    let queries = args.metrics.iter().map(|address| async move { (*address, query_entry(*address).await) });
     Ok(entries_text(join_all(queries).await, AnchoredClock::new().now()))
 }
 
-async fn ask(address: SocketAddr) -> Result<EntryState, String> {
+async fn query_entry(address: SocketAddr) -> Result<EntryState, String> {
     let request = Request::get(format!("http://{address}/metrics")).body(Full::default());
     let request = request.map_err(|error| error.to_string())?;
     let client = HttpClient::new();
@@ -73,7 +73,7 @@
 /// Parses the metrics exported by an entry.
 pub fn read_metrics(text: &str) -> EntryState {
     let mut state = EntryState::default();
-    for (name, label, number) in text.lines().filter_map(sample) {
+    for (name, label, number) in text.lines().filter_map(parse_sample) {
         match (name, label) {
             ("porthoist_config_revision", _) => state.version = number,
             ("porthoist_belief_age_milliseconds", "routes") => state.routes_age = Some(number),
@@ -90,7 +90,7 @@
 }
 
 /// Name, first label value and number of a metrics line; `None` for comments and negative numbers.
-fn sample(line: &str) -> Option<(&str, &str, u64)> {
+fn parse_sample(line: &str) -> Option<(&str, &str, u64)> {
     let (series, number) = line.rsplit_once(' ')?;
     let number: f64 = number.parse().ok()?;
     let (name, labels) = series.split_once('{').unwrap_or((series, ""));
--- a/porthoist-cli/src/cmd/quarantine.rs
+++ b/porthoist-cli/src/cmd/quarantine.rs
@@ -33,12 +33,12 @@
     let rows = list_crashes(&store).await?;
     match args.lift {
         None => Ok(quarantine_text(&rows, AnchoredClock::new().now())),
-        Some(digits) => lift(&store, &rows, &digits).await,
+        Some(digits) => lift_quarantine(&store, &rows, &digits).await,
     }
 }
 
 async fn list_crashes(store: &impl RowSource) -> Result<CrashRows, ToolError> {
-    let listed = store.list(ControlTable::Crashes).await.map_err(|error| unreachable(&error))?;
+    let listed = store.list(ControlTable::Crashes).await.map_err(|error| store_error(&error))?;
     let mut rows = CrashRows::new();
     for row in &listed.value {
         match read_row(row) {
@@ -50,17 +50,21 @@
     Ok(rows)
 }
 
-fn unreachable(error: &SourceError) -> ToolError {
+fn store_error(error: &SourceError) -> ToolError {
     ToolError::Endpoint(format!("failed to reach the table service: {error}"))
 }
 
 /// Removes the crash rows of the one request whose mark begins with `digits`.
-async fn lift(store: &impl RowWriter, rows: &CrashRows, digits: &str) -> Result<String, ToolError> {
+async fn lift_quarantine(
+    store: &impl RowWriter,
+    rows: &CrashRows,
+    digits: &str,
+) -> Result<String, ToolError> {
     let mark = find_mark(rows, digits)?;
     let named = rows.keys().filter(|key| key.mark == mark);
     let changes: Vec<RowChange> = named.map(|key| RowChange { key: key.to_string(), value: None }).collect();
     let crashes = changes.len();
-    store.write(changes).await.map_err(|error| unreachable(&error))?;
+    store.write(changes).await.map_err(|error| store_error(&error))?;
     Ok(format!(
         "lifted the quarantine of {}, removed {crashes} crashes; takes effect at the entries within seconds\n",
         mark.short()
@@ -69,8 +73,8 @@
 
 /// The request whose mark begins with `digits`, if exactly one does.
 pub fn find_mark(rows: &CrashRows, digits: &str) -> Result<RequestMark, ToolError> {
-    let begins = |mark: &RequestMark| !digits.is_empty() && mark.to_string().starts_with(digits);
-    let mut marks: Vec<RequestMark> = rows.keys().map(|key| key.mark).filter(begins).collect();
+    let matches = |mark: &RequestMark| !digits.is_empty() && mark.to_string().starts_with(digits);
+    let mut marks: Vec<RequestMark> = rows.keys().map(|key| key.mark).filter(matches).collect();
     marks.sort_unstable();
     marks.dedup();
     match marks[..] {
@@ -105,7 +109,7 @@
     }
     lines.sort();
     let mut text = "request       level       deaths  kept (s)  targets that died\n".to_owned();
-    for (_deaths, line) in lines {
+    for (_crashes, line) in lines {
         writeln!(text, "{line}").expect("writing to a string can't fail");
     }
     text
--- a/porthoist-cli/src/cmd/status.rs
+++ b/porthoist-cli/src/cmd/status.rs
@@ -29,7 +29,7 @@
 pub fn report_text(report: &StatusReport) -> String {
     let mut text = String::new();
     let platform = if report.platform_heard { "heard" } else { "NOT HEARD" };
-    push(
+    push_line(
         &mut text,
         format_args!(
             "entry {} in {}: revision {}, platform {platform}, {} in flight",
@@ -39,13 +39,13 @@
     for (zone, status) in report.zones() {
         let revision =
             status.revision.map_or("none heard".to_owned(), |revision| format!("revision {revision}"));
-        push(&mut text, format_args!("zone {zone}: {revision}, {} processes heard", status.heard));
+        push_line(&mut text, format_args!("zone {zone}: {revision}, {} processes heard", status.heard));
         if !status.silent.is_empty() {
-            push(&mut text, format_args!("  NOT HEARD: {}", status.silent.join(", ")));
+            push_line(&mut text, format_args!("  NOT HEARD: {}", status.silent.join(", ")));
         }
     }
     for entry in &report.entries {
-        push(
+        push_line(
             &mut text,
             format_args!(
                 "entry {} in {}: {}",
@@ -56,12 +56,12 @@
         );
     }
     for target in &report.targets {
-        push(&mut text, format_args!("{}", target_line(target)));
+        push_line(&mut text, format_args!("{}", target_line(target)));
     }
     text
 }
 
-fn push(text: &mut String, line: std::fmt::Arguments<'_>) {
+fn push_line(text: &mut String, line: std::fmt::Arguments<'_>) {
     writeln!(text, "{line}").expect("writing to a string can't fail");
 }
 
--- a/porthoist-cli/src/cmd/table/get.rs
+++ b/porthoist-cli/src/cmd/table/get.rs
@@ -39,7 +39,7 @@
 ) -> Result<Option<VersionedRow>, ToolError> {
     let table = client.table().await?;
     let kind = key.kind.to_string();
-    let named =
+    let has_key =
         |row: &VersionedRow| row.cells.get("kind") == Some(&kind) && row.cells.get("name") == Some(&key.name);
-    Ok(table.rows.into_iter().find(named))
+    Ok(table.rows.into_iter().find(has_key))
 }
--- a/porthoist-cli/src/cmd/table/import.rs
+++ b/porthoist-cli/src/cmd/table/import.rs
@@ -29,7 +29,7 @@
         .map_err(|error| ToolError::File(format!("failed to read {}: {error}", args.file)))?;
     let edits = from_csv(&args.file, &text)?;
     let table = client.table().await?;
-    let changed: Vec<RowEdit> = edits.into_iter().filter(|edit| !unchanged(edit, &table.rows)).collect();
+    let changed: Vec<RowEdit> = edits.into_iter().filter(|edit| !is_unchanged(edit, &table.rows)).collect();
     if changed.is_empty() {
         return Ok("no changes: the sheet matches the table\n".to_owned());
     }
@@ -40,6 +40,6 @@
     Ok(message + &wait_in_force(client, answer.revision, wait).await?)
 }
 
-fn unchanged(edit: &RowEdit, rows: &[VersionedRow]) -> bool {
+fn is_unchanged(edit: &RowEdit, rows: &[VersionedRow]) -> bool {
     rows.iter().any(|row| row.cells == edit.cells)
 }
--- a/porthoist-cli/src/cmd/table/set.rs
+++ b/porthoist-cli/src/cmd/table/set.rs
@@ -54,8 +54,8 @@
         cells.insert(column.to_owned(), cell.to_owned());
     }
     let answer = edit_row(client, &args.row, cells, args.if_version).await?;
-    let lost = if answer.read_back { " (the platform's answer was lost; read back)" } else { "" };
-    let message = format!("{} is in the table, revision {}{lost}\n", args.row, answer.revision);
+    let read_back = if answer.read_back { " (the platform's answer was lost; read back)" } else { "" };
+    let message = format!("{} is in the table, revision {}{read_back}\n", args.row, answer.revision);
     let wait = EditWait { enabled: args.wait, seconds: args.timeout };
     Ok(message + &wait_in_force(client, answer.revision, wait).await?)
 }
--- a/porthoist-cli/src/log_lines.rs
+++ b/porthoist-cli/src/log_lines.rs
@@ -13,7 +13,7 @@
 /// the newest configuration is valid.
 const CONTEXT_MILLIS: i64 = 5_000;
 /// Fields that are not listed: they are shown elsewhere in the line or do not concern the request.
-const HIDDEN: [&str; 7] = ["msg", "level", "ts", "host", "role", "event", "request"];
+const HIDDEN_FIELDS: [&str; 7] = ["msg", "level", "ts", "host", "role", "event", "request"];
 
 /// A log line.
 #[derive(Debug, Clone, PartialEq)]
@@ -41,7 +41,7 @@
     }
 
     /// A field that is an unsigned integer.
-    pub fn whole(&self, name: &str) -> Option<u64> {
+    pub fn unsigned(&self, name: &str) -> Option<u64> {
         self.fields.get(name).and_then(Value::as_u64)
     }
 
@@ -62,7 +62,7 @@
     let mut lines = Vec::new();
     let mut unreadable = Vec::new();
     for (index, line) in text.lines().enumerate().filter(|(_index, line)| !line.trim().is_empty()) {
-        match read_line(line) {
+        match parse_line(line) {
             Some(line) => lines.push(line),
             None => unreadable.push(index + 1),
         }
@@ -70,7 +70,7 @@
     (lines, unreadable)
 }
 
-fn read_line(line: &str) -> Option<LogLine> {
+fn parse_line(line: &str) -> Option<LogLine> {
     let object = &line[line.find('{')?..];
     let fields: Map<String, Value> = serde_json::from_str(object).ok()?;
     let text = |name: &str| fields.get(name).and_then(Value::as_str).unwrap_or_default().to_owned();
@@ -108,11 +108,13 @@
     let first = selected.iter().find(|line| line.request.is_some()).map_or(0, |line| line.millis);
     let mut text = String::new();
     for line in selected {
-        let about = if line.request.is_some() { ' ' } else { '.' };
+        let marker = if line.request.is_some() { ' ' } else { '.' };
         let LogLine { host, message, .. } = line;
-        write!(text, "{:>+7} ms {about} {host}  {message}", line.millis - first)
+        write!(text, "{:>+7} ms {marker} {host}  {message}", line.millis - first)
             .expect("writing to a string can't fail");
-        for (name, value) in line.fields.iter().filter(|(name, _value)| !HIDDEN.contains(&name.as_str())) {
+        for (name, value) in
+            line.fields.iter().filter(|(name, _value)| !HIDDEN_FIELDS.contains(&name.as_str()))
+        {
             write!(text, "  {name}={value}").expect("writing to a string can't fail");
         }
         text.push('\n');
--- a/porthoist-cli/src/report/groups.rs
+++ b/porthoist-cli/src/report/groups.rs
@@ -47,7 +47,8 @@
     /// Forward passes per second, by the second in which they were counted.
     pub passes: BTreeMap<u32, f64>,
     /// Periods in which a rank was unreachable.
-    pub deaf: Vec<UnreachableSpan>,
+    #[serde(rename = "deaf")]
+    pub unreachable: Vec<UnreachableSpan>,
     #[serde(skip)]
     last_step: Option<(i64, u64)>,
     #[serde(skip)]
@@ -61,12 +62,12 @@
         let second = second_of(line.millis, began_millis);
         let of_rank = line.text("dependency") == "rank";
         match line.event() {
-            "planner_start" => started(groups.entry(line.host.clone()).or_default(), line, second),
-            "map_planned" => planned(groups.entry(line.host.clone()).or_default(), line, second),
-            "map_in_force" => in_force(groups.entry(line.host.clone()).or_default(), line, second),
+            "planner_start" => start_planning(groups.entry(line.host.clone()).or_default(), line, second),
+            "map_planned" => add_plan(groups.entry(line.host.clone()).or_default(), line, second),
+            "map_in_force" => set_in_force(groups.entry(line.host.clone()).or_default(), line, second),
             "dependency_lost" if of_rank => {
                 if let Some(group) = groups.get_mut(&line.host) {
-                    group.deaf.push(UnreachableSpan { from: second, until: None });
+                    group.unreachable.push(UnreachableSpan { from: second, until: None });
                 }
             }
             "dependency_regained" if of_rank => {
@@ -80,37 +81,37 @@
     groups
 }
 
-fn started(group: &mut GroupReport, line: &LogLine, second: u32) {
+fn start_planning(group: &mut GroupReport, line: &LogLine, second: u32) {
     line.text("group").clone_into(&mut group.group);
-    group.ranks = line.whole("ranks").unwrap_or_default();
+    group.ranks = line.unsigned("ranks").unwrap_or_default();
     group.last_step = None;
     end_span(group, second);
 }
 
 fn end_span(group: &mut GroupReport, second: u32) {
-    if let Some(span) = group.deaf.last_mut() {
+    if let Some(span) = group.unreachable.last_mut() {
         span.until.get_or_insert(second);
     }
 }
 
-fn planned(group: &mut GroupReport, line: &LogLine, second: u32) {
+fn add_plan(group: &mut GroupReport, line: &LogLine, second: u32) {
     count_passes(group, line, second);
     group.planned_millis = line.millis;
     group.plans.push(MapPlan {
         second,
-        version: line.whole("version").unwrap_or_default(),
-        moves: line.whole("moves").unwrap_or_default(),
+        version: line.unsigned("version").unwrap_or_default(),
+        moves: line.unsigned("moves").unwrap_or_default(),
         skew_before: line.number("skew_before").unwrap_or_default(),
         skew_after: line.number("skew_after").unwrap_or_default(),
-        requests: line.whole("requests").unwrap_or_default(),
-        most_requests: line.whole("most_requests").unwrap_or_default(),
+        requests: line.unsigned("requests").unwrap_or_default(),
+        most_requests: line.unsigned("most_requests").unwrap_or_default(),
         force_millis: None,
     });
 }
 
-fn in_force(group: &mut GroupReport, line: &LogLine, second: u32) {
+fn set_in_force(group: &mut GroupReport, line: &LogLine, second: u32) {
     count_passes(group, line, second);
-    let (version, planned) = (line.whole("version"), group.planned_millis);
+    let (version, planned) = (line.unsigned("version"), group.planned_millis);
     if let Some(plan) = group.plans.last_mut().filter(|plan| Some(plan.version) == version) {
         plan.force_millis = Some(line.millis - planned);
     }
@@ -119,7 +120,7 @@
 /// The difference of two step numbers is the number of passes between them; a lower step belongs to a new
 /// formation of the group.
 fn count_passes(group: &mut GroupReport, line: &LogLine, second: u32) {
-    let Some(step) = line.whole("step") else { return };
+    let Some(step) = line.unsigned("step") else { return };
     if let Some((millis, before)) = group.last_step.replace((line.millis, step))
         && step > before
         && line.millis > millis
--- a/porthoist-cli/src/report/plot.rs
+++ b/porthoist-cli/src/report/plot.rs
@@ -31,7 +31,7 @@
     root.fill(&WHITE)?;
     let end = report.services.values().filter_map(|seconds| seconds.keys().max()).max().copied().unwrap_or(1);
     for (area, (service, seconds)) in root.split_evenly((charts, 1)).iter().zip(&report.services) {
-        let most = seconds.values().map(|row| row.admitted.max(row.all_refused())).max().unwrap_or(1);
+        let max_count = seconds.values().map(|row| row.admitted.max(row.all_refused())).max().unwrap_or(1);
         let mut chart = ChartBuilder::on(area)
             .caption(
                 format!("{service}: what requests got, by the second in which they came"),
@@ -40,7 +40,7 @@
             .margin(10)
             .x_label_area_size(32)
             .y_label_area_size(48)
-            .build_cartesian_2d(0..end + 1, 0..most + 1)?;
+            .build_cartesian_2d(0..end + 1, 0..max_count + 1)?;
         chart.configure_mesh().x_desc("time (s)").y_desc("requests").draw()?;
         for (name, color, value) in LINES {
             let points = (0..=end).map(|second| (second, seconds.get(&second).map_or(0, value)));
--- a/porthoist-cli/src/report/requests.rs
+++ b/porthoist-cli/src/report/requests.rs
@@ -89,31 +89,31 @@
         let key = (line.host.as_str(), request);
         match line.event() {
             "admitted" => {
-                let facts = admitted(line, began_millis);
-                let second = at(&mut seconds, &facts.service, facts.second);
+                let facts = admission_facts(line, began_millis);
+                let second = second_entry(&mut seconds, &facts.service, facts.second);
                 second.admitted += 1;
                 second.returned += u32::from(facts.returned);
                 open.insert(key, facts);
             }
             "answered" => {
                 if let Some(facts) = open.remove(&key) {
-                    answered(at(&mut seconds, &facts.service, facts.second), &facts, line);
+                    count_answer(second_entry(&mut seconds, &facts.service, facts.second), &facts, line);
                 }
             }
             "refused" => {
-                let facts = open.remove(&key).unwrap_or_else(|| unknown(line, began_millis));
-                let second = at(&mut seconds, &facts.service, facts.second);
+                let facts = open.remove(&key).unwrap_or_else(|| facts_without_admission(line, began_millis));
+                let second = second_entry(&mut seconds, &facts.service, facts.second);
                 *second.refused.entry(line.text("reason").to_owned()).or_default() += 1;
                 second.refused_again += u32::from(facts.returned);
             }
             "stream_unfinished" => {
                 if let Some(facts) = open.remove(&key) {
-                    at(&mut seconds, &facts.service, facts.second).broken_off += 1;
+                    second_entry(&mut seconds, &facts.service, facts.second).broken_off += 1;
                 }
             }
             "caller_left" => {
                 if let Some(facts) = open.remove(&key) {
-                    at(&mut seconds, &facts.service, facts.second).left += 1;
+                    second_entry(&mut seconds, &facts.service, facts.second).left += 1;
                 }
             }
             _ => {}
@@ -122,21 +122,21 @@
     seconds
 }
 
-fn at<'a>(seconds: &'a mut ServiceSeconds, service: &str, second: u32) -> &'a mut ServiceSecond {
+fn second_entry<'a>(seconds: &'a mut ServiceSeconds, service: &str, second: u32) -> &'a mut ServiceSecond {
     seconds.entry(service.to_owned()).or_default().entry(second).or_default()
 }
 
-fn admitted(line: &LogLine, began_millis: i64) -> AdmissionFacts {
+fn admission_facts(line: &LogLine, began_millis: i64) -> AdmissionFacts {
     AdmissionFacts {
         service: line.text("service").to_owned(),
         second: second_of(line.millis, began_millis),
-        aim_millis: line.whole("aim_ms").unwrap_or(u64::MAX),
-        pause_millis: line.whole("pause_aim_ms").filter(|pause| *pause > 0).unwrap_or(u64::MAX),
+        aim_millis: line.unsigned("aim_ms").unwrap_or(u64::MAX),
+        pause_millis: line.unsigned("pause_aim_ms").filter(|pause| *pause > 0).unwrap_or(u64::MAX),
         returned: line.flag("returned"),
     }
 }
 
-fn unknown(line: &LogLine, began_millis: i64) -> AdmissionFacts {
+fn facts_without_admission(line: &LogLine, began_millis: i64) -> AdmissionFacts {
     let second = second_of(line.millis, began_millis);
     AdmissionFacts {
         service: NO_SERVICE.to_owned(),
@@ -147,12 +147,12 @@
     }
 }
 
-fn answered(second: &mut ServiceSecond, facts: &AdmissionFacts, line: &LogLine) {
+fn count_answer(second: &mut ServiceSecond, facts: &AdmissionFacts, line: &LogLine) {
     // A stream is judged by its first event, any other answer by its end.
-    let first = line.whole("first_ms").or_else(|| line.whole("took_ms")).unwrap_or_default();
+    let first = line.unsigned("first_ms").or_else(|| line.unsigned("took_ms")).unwrap_or_default();
     if first > facts.aim_millis || facts.returned {
         second.late_first += 1;
-    } else if line.whole("longest_pause_ms").unwrap_or_default() > facts.pause_millis {
+    } else if line.unsigned("longest_pause_ms").unwrap_or_default() > facts.pause_millis {
         second.late_pause += 1;
     } else {
         second.in_time += 1;
--- a/porthoist-cli/src/report/text.rs
+++ b/porthoist-cli/src/report/text.rs
@@ -13,7 +13,7 @@
     let mut text = String::new();
     for (service, seconds) in &report.services {
         let total = report.total(service);
-        writeln!(text, "service {service}: {}", totals(&total)).expect("writing to a string can't fail");
+        writeln!(text, "service {service}: {}", totals_text(&total)).expect("writing to a string can't fail");
         for (cause, count) in total.causes().into_iter().take(MAX_CAUSES) {
             writeln!(text, "  {count:>6} {cause}").expect("writing to a string can't fail");
         }
@@ -28,7 +28,7 @@
     text
 }
 
-fn totals(total: &ServiceSecond) -> String {
+fn totals_text(total: &ServiceSecond) -> String {
     format!(
         "{} admitted ({} returned), {} in time, {} late, {} refused ({} again), {} broken off, {} left",
         total.admitted,
@@ -64,7 +64,7 @@
 fn group_text(text: &mut String, host: &str, group: &GroupReport) {
     writeln!(text, "group {} of {} ranks, planned for by {host}", group.group, group.ranks)
         .expect("writing to a string can't fail");
-    for span in &group.deaf {
+    for span in &group.unreachable {
         let until = span.until.map_or_else(|| "the end".to_owned(), |until| until.to_string());
         writeln!(text, "  a rank was not heard from second {} to {until}", span.from)
             .expect("writing to a string can't fail");
--- a/porthoist-cli/src/sheet.rs
+++ b/porthoist-cli/src/sheet.rs
@@ -11,13 +11,13 @@
 /// Writes rows as CSV.
 pub fn to_csv(rows: &[VersionedRow]) -> Result<String, ToolError> {
     let mut writer = csv::Writer::from_writer(Vec::new());
-    let unwritable = |error: csv::Error| ToolError::File(error.to_string());
+    let write_error = |error: csv::Error| ToolError::File(error.to_string());
     let header = COLUMNS.iter().copied().chain([VERSION_COLUMN]);
-    writer.write_record(header).map_err(unwritable)?;
+    writer.write_record(header).map_err(write_error)?;
     for row in rows {
         let cell = |column: &&str| row.cells.get(*column).cloned().unwrap_or_default();
         let cells = COLUMNS.iter().map(cell).chain([row.version.to_string()]);
-        writer.write_record(cells).map_err(unwritable)?;
+        writer.write_record(cells).map_err(write_error)?;
     }
     let bytes = writer.into_inner().map_err(|error| ToolError::File(error.to_string()))?;
     String::from_utf8(bytes).map_err(|error| ToolError::File(error.to_string()))
@@ -43,7 +43,8 @@
     let mut edits = Vec::new();
     for record in reader.records() {
         let record = record.map_err(|error| ToolError::File(format!("{file}: {error}")))?;
-        let edit = read_row(&headers, &record).map_err(|cell| at_line(file, text, &record, cell))?;
+        let edit =
+            read_row(&headers, &record).map_err(|cell| imported_cell_error(file, text, &record, cell))?;
         edits.push(edit);
     }
     Ok(edits)
@@ -82,15 +83,15 @@
     if cell.is_empty() {
         return Ok(None);
     }
-    let bad = |_parse| CellError {
+    let invalid = |_parse| CellError {
         column: VERSION_COLUMN.to_owned(),
         given: cell.to_owned(),
         expected: "a whole number, or nothing for a new row".to_owned(),
     };
-    cell.parse().map(Some).map_err(bad)
+    cell.parse().map(Some).map_err(invalid)
 }
 
-fn at_line(file: &str, text: &str, record: &csv::StringRecord, cell: CellError) -> ToolError {
+fn imported_cell_error(file: &str, text: &str, record: &csv::StringRecord, cell: CellError) -> ToolError {
     let line = record.position().map_or(0, csv::Position::line);
     let start = record.position().map_or(0, |position| position.byte() as usize).min(text.len());
     let length = text[start..].find('\n').unwrap_or(text.len() - start);
