--- a/porthoist-cli/tests/entries.rs
+++ b/porthoist-cli/tests/entries.rs
@@ -18,7 +18,7 @@
 "#;
 
 #[test]
-fn those_that_are_behind_stand_first() {
+fn entries_that_lag_behind_are_listed_first() {
     let state = read_metrics(METRICS);
     let behind = EntryState { version: 11, ..state.clone() };
     let old = EntryState { routes_age: Some(4_000), emptied: Vec::new(), ..state.clone() };
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn what_an_entry_exports_is_read() {
+fn exported_metrics_are_parsed() {
     let hub = MetricsHub::new().unwrap();
     hub.revision(5);
     hub.belief_age("routes", 70);
--- a/porthoist-cli/tests/log_lines.rs
+++ b/porthoist-cli/tests/log_lines.rs
@@ -12,7 +12,7 @@
 "#;
 
 #[test]
-fn the_course_has_its_own_lines_in_order_and_what_its_host_learnt_before() {
+fn lines_of_a_request_are_sorted_and_include_earlier_lines_of_its_hosts() {
     let (lines, unreadable) = read_log(LOG);
     assert_eq!((lines.len(), unreadable), (5, vec![7]));
     insta::assert_snapshot!(lines_text(&lines_about("r1", lines)), @r#"
@@ -23,12 +23,12 @@
 }
 
 #[test]
-fn a_request_that_no_log_knows_has_no_course() {
+fn an_unknown_request_has_no_lines() {
     assert!(lines_about("r9", read_log(LOG).0).is_empty());
 }
 
 #[test]
-fn times_of_leap_years_are_read() {
+fn times_in_leap_years_are_parsed() {
     let millis = |ts: &str| read_log(&format!("{{\"ts\":\"{ts}\"}}")).0[0].millis;
     assert_eq!(millis("1970-01-01T00:00:00.001Z"), 1);
     assert_eq!(millis("2028-03-01T00:00:00Z") - millis("2028-02-28T00:00:00Z"), 2 * 86_400_000);
--- a/porthoist-cli/tests/quarantine.rs
+++ b/porthoist-cli/tests/quarantine.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn the_most_deaths_stand_first() {
+fn requests_with_the_most_crashes_are_listed_first() {
     insta::assert_snapshot!(quarantine_text(&rows(), UnixMillis(100_000)), @r"
     request       level       deaths  kept (s)  targets that died
     0123456789ab  quarantined      3       599  i-1@0 i-2@0 i-3@0
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn the_first_digits_name_a_request_if_they_name_one() {
+fn a_unique_prefix_of_a_mark_identifies_its_request() {
     assert_eq!(find_mark(&rows(), "0123").unwrap(), FIRST.parse().unwrap());
     assert_eq!(
         find_mark(&rows(), "01").unwrap_err().to_string(),
--- a/porthoist-cli/tests/report.rs
+++ b/porthoist-cli/tests/report.rs
@@ -31,7 +31,7 @@
 "#;
 
 #[test]
-fn each_request_counts_in_the_second_in_which_it_came() {
+fn requests_are_counted_in_the_second_of_their_arrival() {
     let report = read_report(read_log(LOG).0).unwrap();
     insta::assert_snapshot!(log_report_text(&report), @r#"
     service -: 0 admitted (0 returned), 0 in time, 0 late, 1 refused (0 again), 0 broken off, 0 left
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn logs_without_lines_make_no_report() {
+fn logs_without_readable_lines_give_no_report() {
     assert!(read_report(read_log("nothing of ours\n").0).is_none());
 }
 
--- a/porthoist-cli/tests/sheet.rs
+++ b/porthoist-cli/tests/sheet.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_sheet_goes_out_and_comes_back() {
+fn an_exported_sheet_can_be_imported() {
     let rows = [
         row(3, &[("kind", "team"), ("name", "border"), ("rate", "50/s")]),
         row(4, &[("kind", "target"), ("name", "t1")]),
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn the_cell_at_fault_is_named() {
+fn an_error_names_the_invalid_cell() {
     let sheet = "kind,name,rate\nteam,border,50/s\nteam,desk,many\n";
     let error = from_csv("sheet.csv", sheet).unwrap_err();
     assert_eq!(error.to_string(), "sheet.csv: line 3, column rate: \"many\" is not valid");
@@ -37,14 +37,14 @@
 }
 
 #[test]
-fn an_unknown_column_refuses_the_sheet() {
+fn a_sheet_with_an_unknown_column_is_rejected() {
     let error = from_csv("sheet.csv", "kind,name,colour\n").unwrap_err();
     assert!(error.to_string().contains("unknown column \"colour\""), "{error}");
 }
 
 proptest! {
     #[test]
-    fn any_text_is_read_or_refused(text in "(kind,name,rate\n)?[a-z,\"\n/0-9é]{0,200}") {
+    fn any_text_is_parsed_or_rejected(text in "(kind,name,rate\n)?[a-z,\"\n/0-9é]{0,200}") {
         if let Err(error) = from_csv("sheet.csv", &text) {
             prop_assert_eq!(error.exit_status(), 2);
         }
