--- a/crates/porthoist-caller/src/delivery.rs
+++ b/crates/porthoist-caller/src/delivery.rs
@@ -9,7 +9,7 @@
 /// Largest number of pieces of a streamed answer that wait for a slow caller.
 pub const MAX_WAITING_PIECES: usize = 64;
 /// Data of the last event of a completion's stream.
-pub const DONE_MARK: &[u8] = b"[DONE]";
+pub const DONE_MARKER: &[u8] = b"[DONE]";
 
 /// The start of an answer, as passed to the connection's handler.
 #[derive(Debug)]
@@ -85,7 +85,7 @@
         if verdict != FrameVerdict::Deliver {
             return Ok(verdict);
         }
-        self.done_seen |= frame.data.as_ref() == DONE_MARK;
+        self.done_seen |= frame.data.as_ref() == DONE_MARKER;
         if self.done_seen {
             // The end mark is sent only after the complete stream was verified.
             return Ok(verdict);
@@ -116,7 +116,7 @@
 
     /// Ends a complete stream by sending the end mark.
     pub async fn finish_stream(&mut self, now: UnixMillis) -> Result<(), CallerGone> {
-        let event = event_bytes(self.assembler.last_event(), DONE_MARK);
+        let event = event_bytes(self.assembler.last_event(), DONE_MARKER);
         self.send(now, event).await?;
         self.body = None;
         Ok(())
--- a/crates/porthoist-caller/src/handler.rs
+++ b/crates/porthoist-caller/src/handler.rs
@@ -132,18 +132,18 @@
             RequestEnd::Gone => Err(CallerGone),
         };
         let dropped = self.delivery.assembler().dropped();
-        self.ports.metrics.dropped_frames("foreign", dropped.foreign);
-        self.ports.metrics.dropped_frames("repeated", dropped.repeated);
+        self.ports.metrics.record_dropped_frames("foreign", dropped.foreign);
+        self.ports.metrics.record_dropped_frames("repeated", dropped.repeated);
         if delivered.is_ok() {
             let first_byte = self.delivery.first_byte_at().unwrap_or(now).since(self.received_at);
-            self.ports.metrics.answer(first_byte as f64);
-            self.ports.routing.first_token(first_byte);
+            self.ports.metrics.record_answer(first_byte as f64);
+            self.ports.routing.report_first_token(first_byte);
             self.ports.record_decision(self.id, DecisionKind::Answered { first_byte_millis: first_byte });
         }
     }
 
     async fn refuse(&mut self, refusal: CallerRefusal) {
-        self.ports.metrics.refusal(refusal.reason, refusal.verdict);
+        self.ports.metrics.record_refusal(refusal.reason, refusal.verdict);
         let CallerRefusal { reason, verdict, .. } = refusal;
         self.ports.record_decision(self.id, DecisionKind::Refused { reason, verdict });
         self.delivery.refuse(refusal).await;
@@ -213,7 +213,7 @@
     }
 
     pub(crate) fn record_retry(&self, reason: RetryReason) {
-        self.ports.metrics.retry(reason);
+        self.ports.metrics.record_retry(reason);
         self.ports.record_decision(self.id, DecisionKind::Retried { reason });
     }
 
@@ -346,7 +346,7 @@
             let end = match event {
                 AttemptEvent::Frame(frame) => {
                     if std::mem::take(&mut first) {
-                        self.ports.routing.first_frame(attempt.target.clone(), attempt.id);
+                        self.ports.routing.report_first_frame(attempt.target.clone(), attempt.id);
                     }
                     match self.deliver(&frame).await {
                         Some(end) => end,
@@ -366,7 +366,7 @@
         match self.delivery.frame(self.ports.clock.now(), frame).await {
             Err(CallerGone) => Some(AttemptEnd::Gone),
             Ok(FrameVerdict::Gap) => {
-                self.ports.metrics.dropped_frames("gap", 1);
+                self.ports.metrics.record_dropped_frames("gap", 1);
                 Some(corrupt())
             }
             Ok(_verdict) => None,
--- a/crates/porthoist-caller/src/ports.rs
+++ b/crates/porthoist-caller/src/ports.rs
@@ -84,9 +84,9 @@
     /// Reports that an admitted request has ended.
     fn release(&self, team: TeamName);
     /// Reports the first frame of an attempt.
-    fn first_frame(&self, target: TargetName, attempt: AttemptId);
+    fn report_first_frame(&self, target: TargetName, attempt: AttemptId);
     /// Reports a request's time to the first token, in milliseconds.
-    fn first_token(&self, millis: u64);
+    fn report_first_token(&self, millis: u64);
 }
 
 /// Offers to targets.
--- a/crates/porthoist-caller/src/server.rs
+++ b/crates/porthoist-caller/src/server.rs
@@ -93,13 +93,13 @@
             _ => {}
         }
         let shared = Arc::clone(&self.shared);
-        shared.ports.metrics.request();
+        shared.ports.metrics.record_request();
         let id = RequestId(shared.next_request.fetch_add(1, Ordering::Relaxed));
         let label = format!("{}-{id}", shared.settings.entry);
         let mut response = match self.respond(id, request).await {
             Ok(answered) => answered,
             Err(refusal) => {
-                shared.ports.metrics.refusal(refusal.reason, refusal.verdict);
+                shared.ports.metrics.record_refusal(refusal.reason, refusal.verdict);
                 problem_response(shared.ports.clock.now(), &label, &refusal)
             }
         };
--- a/crates/porthoist-fleet/src/client.rs
+++ b/crates/porthoist-fleet/src/client.rs
@@ -1,7 +1,7 @@
 //! The client side of a connection to a peer.
 
 use crate::convert::{
-    read_digest, read_frame, read_outcome, read_told, write_asks, write_digest, write_offer,
+    read_digest, read_frame, read_outcome, read_settle_told, write_digest, write_offer, write_settle_asks,
 };
 use crate::digest::FleetDigest;
 use crate::fleet_capnp::{frame_sink, login, node};
@@ -182,7 +182,7 @@
     }
 
     /// Sends a leader's message to the rank next to the peer and returns the rank's reply.
-    pub async fn rank(&self, message: LeaderMessage) -> Result<Option<RankReply>, FleetError> {
+    pub async fn send_leader_message(&self, message: LeaderMessage) -> Result<Option<RankReply>, FleetError> {
         let mut request = self.node.rank_request();
         let bytes = serde_json::to_vec(&message).map_err(FleetError::unreachable)?;
         request.get().set_message(&bytes);
@@ -195,10 +195,10 @@
     /// Settles teams' limits with their coordinator.
     pub async fn settle(&self, asks: &[SettleAsk]) -> Result<Vec<SettleTold>, FleetError> {
         let mut request = self.node.settle_request();
-        write_asks(request.get().init_asks(asks.len() as u32), asks);
+        write_settle_asks(request.get().init_asks(asks.len() as u32), asks);
         let response = request.send().promise.await.map_err(FleetError::unreachable)?;
         let results = response.get().map_err(FleetError::unreachable)?;
-        Ok(read_told(results.get_told().map_err(FleetError::unreachable)?))
+        Ok(read_settle_told(results.get_told().map_err(FleetError::unreachable)?))
     }
 
     /// Exchanges digests with the peer.
--- a/crates/porthoist-fleet/src/convert.rs
+++ b/crates/porthoist-fleet/src/convert.rs
@@ -235,7 +235,7 @@
 }
 
 /// Writes an entry's settlement requests to a coordinator.
-pub fn write_asks(mut list: struct_list::Builder<'_, settle_ask::Owned>, asks: &[SettleAsk]) {
+pub fn write_settle_asks(mut list: struct_list::Builder<'_, settle_ask::Owned>, asks: &[SettleAsk]) {
     for (index, ask) in asks.iter().enumerate() {
         let mut item = list.reborrow().get(index as u32);
         item.set_team(ask.team);
@@ -245,7 +245,7 @@
 }
 
 /// Reads an entry's settlement requests to a coordinator.
-pub fn read_asks(list: struct_list::Reader<'_, settle_ask::Owned>) -> Vec<SettleAsk> {
+pub fn read_settle_asks(list: struct_list::Reader<'_, settle_ask::Owned>) -> Vec<SettleAsk> {
     let ask = |item: settle_ask::Reader<'_>| SettleAsk {
         team: item.get_team(),
         debt: item.get_debt(),
@@ -255,7 +255,7 @@
 }
 
 /// Writes a coordinator's answers.
-pub fn write_told(mut list: struct_list::Builder<'_, settle_told::Owned>, told: &[SettleTold]) {
+pub fn write_settle_told(mut list: struct_list::Builder<'_, settle_told::Owned>, told: &[SettleTold]) {
     for (index, one) in told.iter().enumerate() {
         let mut item = list.reborrow().get(index as u32);
         item.set_team(one.team);
@@ -265,7 +265,7 @@
 }
 
 /// Reads a coordinator's answers.
-pub fn read_told(list: struct_list::Reader<'_, settle_told::Owned>) -> Vec<SettleTold> {
+pub fn read_settle_told(list: struct_list::Reader<'_, settle_told::Owned>) -> Vec<SettleTold> {
     let told = |item: settle_told::Reader<'_>| SettleTold {
         team: item.get_team(),
         granted: item.get_granted(),
--- a/crates/porthoist-fleet/src/rank/branches.rs
+++ b/crates/porthoist-fleet/src/rank/branches.rs
@@ -129,7 +129,7 @@
     }
 
     /// Reads the states of all ranks that answer, by host, and the sum of their counts.
-    pub async fn sweep(
+    pub async fn observe(
         &self,
         counts: bool,
         timeout: &RefCell<AdaptiveTimeout>,
@@ -223,7 +223,7 @@
                 return reading;
             }
         }
-        let (states, sum) = self.branches.sweep(counts, timeout).await;
+        let (states, sum) = self.branches.observe(counts, timeout).await;
         reading.add_counts(&sum.counts);
         let ranks: HashMap<Ipv4Addr, usize> =
             self.hosts.iter().enumerate().filter_map(|(rank, host)| Some(((*host)?, rank))).collect();
@@ -242,7 +242,7 @@
 
     async fn gather_lists(&self) -> Vec<Option<ExpertLists>> {
         let mut lists = vec![None; self.hosts.len()];
-        lists[0] = self.call_own(&self.timeouts.lists, self.own.lists()).await.ok();
+        lists[0] = self.call_own(&self.timeouts.lists, self.own.expert_lists()).await.ok();
         let call = async |head: &RankPeer, others: &[Ipv4Addr], members: Duration| {
             head.gather(others, members).await
         };
@@ -355,7 +355,7 @@
         Box::pin(self.read_all(counts))
     }
 
-    fn lists(&self) -> LocalBoxFuture<'_, Vec<Option<ExpertLists>>> {
+    fn expert_lists(&self) -> LocalBoxFuture<'_, Vec<Option<ExpertLists>>> {
         Box::pin(self.gather_lists())
     }
 
--- a/crates/porthoist-fleet/src/rank/peer.rs
+++ b/crates/porthoist-fleet/src/rank/peer.rs
@@ -412,7 +412,7 @@
         Box::pin(self.observe_rank(counts))
     }
 
-    fn lists(&self) -> RankFuture<'_, ExpertLists> {
+    fn expert_lists(&self) -> RankFuture<'_, ExpertLists> {
         Box::pin(self.rank_lists())
     }
 
--- a/crates/porthoist-fleet/src/rank/server.rs
+++ b/crates/porthoist-fleet/src/rank/server.rs
@@ -151,7 +151,7 @@
         _params: rank_process::ListsParams,
         mut results: rank_process::ListsResults,
     ) -> Result<(), Error> {
-        let lists = self.service.link.lists().await.map_err(failed)?;
+        let lists = self.service.link.expert_lists().await.map_err(failed)?;
         let mut builder = results.get();
         builder.set_version(lists.version.0);
         let mut sets = builder.init_experts(lists.experts.len() as u32);
@@ -234,7 +234,7 @@
         let params = params.get()?;
         let timeout = Duration::from_millis(params.get_millis().into());
         let members = self.service.branch_members(&read_hosts(params.get_others()?));
-        let asked = members.iter().map(|member| with_timeout(member, timeout, member.lists()));
+        let asked = members.iter().map(|member| with_timeout(member, timeout, member.expert_lists()));
         let answers = join_all(asked).await.into_iter().enumerate();
         let lists: Vec<_> = answers.filter_map(|(member, lists)| Some((member, lists?))).collect();
         results.get().set_lists(&pack(&lists));
--- a/crates/porthoist-fleet/src/server.rs
+++ b/crates/porthoist-fleet/src/server.rs
@@ -1,7 +1,7 @@
 //! The server side: a peer authenticates with the shared key, then offers requests, asks for tickets and gossips.
 
 use crate::convert::{
-    read_asks, read_digest, read_offer, write_digest, write_frames, write_outcome, write_told,
+    read_digest, read_offer, read_settle_asks, write_digest, write_frames, write_outcome, write_settle_told,
 };
 use crate::digest::FleetDigest;
 use crate::fleet_capnp::{frame_sink, login, node};
@@ -59,7 +59,7 @@
     /// Handles a peer's digest and returns this process's own.
     fn gossip(&self, digest: FleetDigest) -> HandlerFuture<FleetDigest>;
     /// Handles a leader's message to the rank next to this process; `None` if there is no rank or it does not answer.
-    fn rank(&self, message: LeaderMessage) -> HandlerFuture<Option<Option<RankReply>>>;
+    fn handle_leader_message(&self, message: LeaderMessage) -> HandlerFuture<Option<Option<RankReply>>>;
     /// Settles the limits of teams that this process coordinates; a team without limits is left out.
     fn settle(&self, asks: Vec<SettleAsk>) -> HandlerFuture<Vec<SettleTold>>;
 }
@@ -145,7 +145,11 @@
         mut results: node::RankResults,
     ) -> Result<(), Error> {
         let message = serde_json::from_slice(params.get()?.get_message()?).map_err(failed)?;
-        let reply = self.handler.rank(message).await.ok_or_else(|| failed("the rank does not answer"))?;
+        let reply = self
+            .handler
+            .handle_leader_message(message)
+            .await
+            .ok_or_else(|| failed("the rank does not answer"))?;
         let bytes = serde_json::to_vec(&reply).map_err(failed)?;
         results.get().set_reply(&bytes);
         Ok(())
@@ -156,9 +160,9 @@
         params: node::SettleParams,
         mut results: node::SettleResults,
     ) -> Result<(), Error> {
-        let asks = read_asks(params.get()?.get_asks()?);
+        let asks = read_settle_asks(params.get()?.get_asks()?);
         let told = self.handler.settle(asks).await;
-        write_told(results.get().init_told(told.len() as u32), &told);
+        write_settle_told(results.get().init_told(told.len() as u32), &told);
         Ok(())
     }
 }
--- a/crates/porthoist-fleet/tests/branches.rs
+++ b/crates/porthoist-fleet/tests/branches.rs
@@ -84,7 +84,7 @@
         async move { Ok(RankObservation { state, counts }) }.boxed_local()
     }
 
-    fn lists(&self) -> RankFuture<'_, ExpertLists> {
+    fn expert_lists(&self) -> RankFuture<'_, ExpertLists> {
         let experts = vec![vec![ExpertId(self.rank as u16)]; SETS];
         async move { Ok(ExpertLists { version: MapVersion(2), experts }) }.boxed_local()
     }
@@ -253,7 +253,7 @@
         let reading = control.observe(false).await;
         let direct = group.direct().observe(false).await;
         assert_eq!(reading.states, direct.states);
-        let lists = control.lists().await;
+        let lists = control.expert_lists().await;
         let own = |rank: usize| ExpertLists {
             version: MapVersion(2),
             experts: vec![vec![ExpertId(rank as u16)]; SETS],
--- a/crates/porthoist-fleet/tests/rank.rs
+++ b/crates/porthoist-fleet/tests/rank.rs
@@ -50,7 +50,7 @@
         async move { Ok(RankObservation { state, counts: Vec::new() }) }.boxed_local()
     }
 
-    fn lists(&self) -> RankFuture<'_, ExpertLists> {
+    fn expert_lists(&self) -> RankFuture<'_, ExpertLists> {
         async { Err(CallError::unknown("not asked")) }.boxed_local()
     }
 
--- a/crates/porthoist-fleet/tests/zone.rs
+++ b/crates/porthoist-fleet/tests/zone.rs
@@ -71,7 +71,7 @@
         async { Err(CallError::unknown("not asked")) }.boxed_local()
     }
 
-    fn lists(&self) -> RankFuture<'_, ExpertLists> {
+    fn expert_lists(&self) -> RankFuture<'_, ExpertLists> {
         async { Err(CallError::unknown("not asked")) }.boxed_local()
     }
 
--- a/crates/porthoist-group/src/controller.rs
+++ b/crates/porthoist-group/src/controller.rs
@@ -360,7 +360,7 @@
         if self.current_map.is_some() {
             return true;
         }
-        let asked = group.lists().await;
+        let asked = group.expert_lists().await;
         let Some(lists) = asked.into_iter().collect::<Option<Vec<ExpertLists>>>() else { return false };
         let version = views[0].map;
         let alike = lists.iter().all(|list| list.version == version && list.experts.len() == self.shape.sets);
--- a/crates/porthoist-group/src/engine.rs
+++ b/crates/porthoist-group/src/engine.rs
@@ -21,7 +21,7 @@
 /// The engine of one rank.
 pub trait GroupEngine: fmt::Debug + Send + Sync {
     /// Returns the engine's saved state and the last step that it started.
-    fn kept(&self) -> BoxFuture<'_, Result<SavedRank, CallError>>;
+    fn saved_state(&self) -> BoxFuture<'_, Result<SavedRank, CallError>>;
     /// Returns what the engine counted since the last window.
     fn window(&self) -> BoxFuture<'_, Result<ExpertWindow, CallError>>;
     /// Loads a rank's experts of a map without blocking steps; returns true once they are loaded.
@@ -56,7 +56,7 @@
 }
 
 impl GroupEngine for HttpGroupEngine {
-    fn kept(&self) -> BoxFuture<'_, Result<SavedRank, CallError>> {
+    fn saved_state(&self) -> BoxFuture<'_, Result<SavedRank, CallError>> {
         Box::pin(async move {
             let (_status, kept) = self.client.json(Method::GET, &self.url, None::<&()>).await?;
             Ok(kept)
--- a/crates/porthoist-group/src/group_control.rs
+++ b/crates/porthoist-group/src/group_control.rs
@@ -65,7 +65,7 @@
     /// Reads the states of all ranks, the first rank's before the others', with counts if asked for.
     fn observe(&self, counts: bool) -> LocalBoxFuture<'_, GroupObservation>;
     /// Reads the experts of all ranks, by rank.
-    fn lists(&self) -> LocalBoxFuture<'_, Vec<Option<ExpertLists>>>;
+    fn expert_lists(&self) -> LocalBoxFuture<'_, Vec<Option<ExpertLists>>>;
     /// Sends orders to ranks, with the map if they prepare one; returns an answer for each order.
     fn order<'a>(
         &'a self,
@@ -212,9 +212,9 @@
         })
     }
 
-    fn lists(&self) -> LocalBoxFuture<'_, Vec<Option<ExpertLists>>> {
+    fn expert_lists(&self) -> LocalBoxFuture<'_, Vec<Option<ExpertLists>>> {
         Box::pin(async {
-            let calls = self.ranks.iter().enumerate().map(|(index, rank)| (index, rank.lists()));
+            let calls = self.ranks.iter().enumerate().map(|(index, rank)| (index, rank.expert_lists()));
             self.call(&self.timeouts.lists, calls, false).await.into_iter().map(Result::ok).collect()
         })
     }
--- a/crates/porthoist-group/src/rank.rs
+++ b/crates/porthoist-group/src/rank.rs
@@ -45,7 +45,7 @@
     pub async fn handle(&self, message: LeaderMessage) -> Result<Option<RankReply>, CallError> {
         let _guard = self.message_lock.lock().await;
         let loaded = self.loaded(message).await?;
-        let before = self.engine.kept().await?;
+        let before = self.engine.saved_state().await?;
         let mut machine = RankMachine::restored(before);
         let reply = machine.on(message, loaded);
         let hold = machine.saved();
--- a/crates/porthoist-group/src/rank_control.rs
+++ b/crates/porthoist-group/src/rank_control.rs
@@ -39,7 +39,7 @@
     /// Reads the counts since the engine started.
     fn counts(&self) -> RankFuture<'_, ExpertCounts>;
     /// Reads the engine's experts.
-    fn lists(&self) -> RankFuture<'_, ExpertLists>;
+    fn expert_lists(&self) -> RankFuture<'_, ExpertLists>;
     /// Sends an order, with the map if the order prepares one; returns `false` if it was refused.
     fn order<'a>(&'a self, order: EngineOrder, map: Option<&'a EqualShareMap>) -> RankFuture<'a, bool>;
 }
@@ -67,7 +67,7 @@
     /// Reads the rank's state, with counts if asked for.
     fn observe(&self, counts: bool) -> RankFuture<'_, RankObservation>;
     /// Reads the rank's experts.
-    fn lists(&self) -> RankFuture<'_, ExpertLists>;
+    fn expert_lists(&self) -> RankFuture<'_, ExpertLists>;
     /// Sends an order, with the map if the order prepares one.
     fn order<'a>(&'a self, order: EngineOrder, map: Option<&'a EqualShareMap>)
     -> RankFuture<'a, OrderAnswer>;
--- a/crates/porthoist-group/tests/held.rs
+++ b/crates/porthoist-group/tests/held.rs
@@ -238,7 +238,7 @@
         async move { Ok(RankObservation { state, counts }) }.boxed_local()
     }
 
-    fn lists(&self) -> RankFuture<'_, ExpertLists> {
+    fn expert_lists(&self) -> RankFuture<'_, ExpertLists> {
         let group = self.group.borrow();
         let engine = &group.engines[self.rank];
         let map = &engine.maps[&engine.view.map];
--- a/crates/porthoist-group/tests/silence.rs
+++ b/crates/porthoist-group/tests/silence.rs
@@ -51,7 +51,7 @@
         async move { Ok(RankObservation { state, counts: Vec::new() }) }.boxed_local()
     }
 
-    fn lists(&self) -> RankFuture<'_, ExpertLists> {
+    fn expert_lists(&self) -> RankFuture<'_, ExpertLists> {
         async { Err(CallError::unknown("not asked")) }.boxed_local()
     }
 
--- a/crates/porthoist-lab/src/capacity.rs
+++ b/crates/porthoist-lab/src/capacity.rs
@@ -9,7 +9,7 @@
     ServiceName, TargetName, TeamName, UnixDeadline, UnixMillis, ZoneName,
 };
 use porthoist_fleet::FleetDigest;
-use porthoist_fleet::convert::{read_offer, write_asks, write_digest, write_offer, write_outcome};
+use porthoist_fleet::convert::{read_offer, write_digest, write_offer, write_outcome, write_settle_asks};
 use porthoist_fleet::fleet_capnp::{digest, node, offer, outcome};
 use porthoist_policy::adoption::{ConfigChange, ConfigState};
 use porthoist_policy::explain::{DecisionKind, DecisionLog};
@@ -305,7 +305,7 @@
         let asks: Vec<SettleAsk> = (0..count).map(|team| SettleAsk { team, debt: 1, wanted: 1 }).collect();
         let mut message = capnp::message::Builder::new_default();
         let mut params = message.init_root::<node::settle_params::Builder<'_>>();
-        write_asks(params.reborrow().init_asks(asks.len() as u32), &asks);
+        write_settle_asks(params.reborrow().init_asks(asks.len() as u32), &asks);
         capnp::serialize::write_message_to_words(&message).len()
     };
     vec![
--- a/crates/porthoist-metrics/src/lib.rs
+++ b/crates/porthoist-metrics/src/lib.rs
@@ -23,7 +23,7 @@
     "unwritten",
 ];
 /// Changes of the backpressure that a target reports.
-const NEED_CHANGES: [&str; 6] = ["limited", "lifted", "resting", "rested", "leaving", "unreadable"];
+const BACKPRESSURE_CHANGES: [&str; 6] = ["limited", "lifted", "resting", "rested", "leaving", "unreadable"];
 /// Bucket bounds of the latency histograms, in milliseconds.
 const LATENCY_BOUNDS: [f64; 12] = [0.5, 1.0, 2.0, 5.0, 10.0, 20.0, 50.0, 100.0, 250.0, 500.0, 1400.0, 5000.0];
 
@@ -39,7 +39,7 @@
     refusals: Counter<u64>,
     retries: Counter<u64>,
     answers: Counter<u64>,
-    frames: Counter<u64>,
+    dropped_frames: Counter<u64>,
     runs: Counter<u64>,
     control_bytes: Counter<u64>,
     revision: Gauge<u64>,
@@ -49,13 +49,13 @@
     connections: Counter<u64>,
     broken_streams: Counter<u64>,
     crash_events: Counter<u64>,
-    need_changes: Counter<u64>,
+    backpressure_changes: Counter<u64>,
     cold_targets: Gauge<u64>,
     zones_emptied: Gauge<u64>,
-    suspects: Gauge<u64>,
+    suspected_requests: Gauge<u64>,
     table_calls: Counter<u64>,
-    table_asked: Counter<u64>,
-    belief_age: Gauge<u64>,
+    table_fallbacks: Counter<u64>,
+    table_ages: Gauge<u64>,
     table_era: Gauge<u64>,
 }
 
@@ -71,7 +71,7 @@
             refusals: meter.u64_counter("porthoist_refusals").build(),
             retries: meter.u64_counter("porthoist_retries").build(),
             answers: meter.u64_counter("porthoist_answers").build(),
-            frames: meter.u64_counter("porthoist_frames_dropped").build(),
+            dropped_frames: meter.u64_counter("porthoist_frames_dropped").build(),
             runs: meter.u64_counter("porthoist_runs").build(),
             control_bytes: meter.u64_counter("porthoist_control_bytes").build(),
             revision: meter.u64_gauge("porthoist_config_revision").build(),
@@ -90,13 +90,13 @@
             connections: meter.u64_counter("porthoist_target_connections").build(),
             broken_streams: meter.u64_counter("porthoist_broken_streams").build(),
             crash_events: meter.u64_counter("porthoist_crash_events").build(),
-            need_changes: meter.u64_counter("porthoist_target_need_changes").build(),
+            backpressure_changes: meter.u64_counter("porthoist_target_need_changes").build(),
             cold_targets: meter.u64_gauge("porthoist_cold_targets").build(),
             zones_emptied: meter.u64_gauge("porthoist_zone_emptied_since_milliseconds").build(),
-            suspects: meter.u64_gauge("porthoist_suspected_requests").build(),
+            suspected_requests: meter.u64_gauge("porthoist_suspected_requests").build(),
             table_calls: meter.u64_counter("porthoist_table_calls").build(),
-            table_asked: meter.u64_counter("porthoist_table_asked").build(),
-            belief_age: meter.u64_gauge("porthoist_belief_age_milliseconds").build(),
+            table_fallbacks: meter.u64_counter("porthoist_table_asked").build(),
+            table_ages: meter.u64_gauge("porthoist_belief_age_milliseconds").build(),
             table_era: meter.u64_gauge("porthoist_table_era").build(),
             registry,
             _provider: provider,
@@ -114,7 +114,7 @@
             self.retries.add(0, &[KeyValue::new("reason", reason.as_str())]);
         }
         for kind in ["foreign", "repeated", "gap"] {
-            self.frames.add(0, &[KeyValue::new("kind", kind)]);
+            self.dropped_frames.add(0, &[KeyValue::new("kind", kind)]);
         }
         self.requests.add(0, &[]);
         self.answers.add(0, &[]);
@@ -126,123 +126,123 @@
         for event in CRASH_EVENTS {
             self.crash_events.add(0, &[KeyValue::new("event", event)]);
         }
-        for change in NEED_CHANGES {
-            self.need_changes.add(0, &[KeyValue::new("change", change)]);
+        for change in BACKPRESSURE_CHANGES {
+            self.backpressure_changes.add(0, &[KeyValue::new("change", change)]);
         }
-        self.suspects.record(0, &[]);
+        self.suspected_requests.record(0, &[]);
         self.cold_targets.record(0, &[]);
     }
 
     /// Sets the number of cold targets.
-    pub fn cold_targets(&self, targets: u64) {
+    pub fn set_cold_targets(&self, targets: u64) {
         self.cold_targets.record(targets, &[]);
     }
 
     /// Sets since when operators have emptied a zone, in Unix milliseconds; 0 if, as far as this process knows, they have not.
-    pub fn zone_emptied(&self, zone: &str, since: u64) {
+    pub fn set_zone_emptied(&self, zone: &str, since: u64) {
         self.zones_emptied.record(since, &[KeyValue::new("zone", zone.to_owned())]);
     }
 
     /// Counts a new connection to a target.
-    pub fn connection(&self) {
+    pub fn record_connection(&self) {
         self.connections.add(1, &[]);
     }
 
     /// Counts a stream that ended before it was complete.
-    pub fn broken_stream(&self) {
+    pub fn record_broken_stream(&self) {
         self.broken_streams.add(1, &[]);
     }
 
     /// Counts an event of crashes that are attributed to requests.
-    pub fn crash_event(&self, event: &'static str) {
+    pub fn record_crash_event(&self, event: &'static str) {
         self.crash_events.add(1, &[KeyValue::new("event", event)]);
     }
 
     /// Counts a change of the backpressure that a target reports.
-    pub fn need_change(&self, change: &'static str) {
-        self.need_changes.add(1, &[KeyValue::new("change", change)]);
+    pub fn record_backpressure_change(&self, change: &'static str) {
+        self.backpressure_changes.add(1, &[KeyValue::new("change", change)]);
     }
 
     /// Sets the number of requests to which crashes are attributed.
-    pub fn suspects(&self, requests: u64) {
-        self.suspects.record(requests, &[]);
+    pub fn set_suspected_requests(&self, requests: u64) {
+        self.suspected_requests.record(requests, &[]);
     }
 
     /// Counts a call to the table service.
-    pub fn table_call(&self) {
+    pub fn record_table_call(&self) {
         self.table_calls.add(1, &[]);
     }
 
     /// Counts a query to the table service that another process could have answered, with the reason why it did not.
-    pub fn table_asked(&self, reason: &'static str) {
-        self.table_asked.add(1, &[KeyValue::new("reason", reason)]);
+    pub fn record_table_fallback(&self, reason: &'static str) {
+        self.table_fallbacks.add(1, &[KeyValue::new("reason", reason)]);
     }
 
     /// Sets the age of the known state of a table, in milliseconds: the time since it was last confirmed to be the newest.
-    pub fn belief_age(&self, table: &'static str, millis: u64) {
-        self.belief_age.record(millis, &[KeyValue::new("table", table)]);
+    pub fn set_table_age(&self, table: &'static str, millis: u64) {
+        self.table_ages.record(millis, &[KeyValue::new("table", table)]);
     }
 
     /// Sets the era of the table service, which increases by one each time the service is restored from a backup.
-    pub fn table_era(&self, era: u64) {
+    pub fn set_table_era(&self, era: u64) {
         self.table_era.record(era, &[]);
     }
 
     /// Records how long a request waited for a slot, in milliseconds.
-    pub fn queue_wait(&self, millis: f64) {
+    pub fn record_queue_wait(&self, millis: f64) {
         self.queue_wait.record(millis, &[]);
     }
 
     /// Records the pause between two events of a stream, in milliseconds.
-    pub fn event_pause(&self, millis: f64) {
+    pub fn record_event_pause(&self, millis: f64) {
         self.event_pause.record(millis, &[]);
     }
 
     /// Counts a request that a caller sent.
-    pub fn request(&self) {
+    pub fn record_request(&self) {
         self.requests.add(1, &[]);
     }
 
     /// Counts a refusal.
-    pub fn refusal(&self, reason: RefusalReason, _verdict: RunVerdict) {
+    pub fn record_refusal(&self, reason: RefusalReason, _verdict: RunVerdict) {
         self.refusals.add(1, &[KeyValue::new("reason", reason.as_str())]);
     }
 
     /// Counts a retry.
-    pub fn retry(&self, reason: RetryReason) {
+    pub fn record_retry(&self, reason: RetryReason) {
         self.retries.add(1, &[KeyValue::new("reason", reason.as_str())]);
     }
 
     /// Counts a complete answer and records the time to its first byte, in milliseconds.
-    pub fn answer(&self, first_byte_millis: f64) {
+    pub fn record_answer(&self, first_byte_millis: f64) {
         self.answers.add(1, &[]);
         self.first_byte.record(first_byte_millis, &[]);
     }
 
     /// Counts frames that were not delivered; `kind` is foreign, repeated or gap.
-    pub fn dropped_frames(&self, kind: &'static str, count: u64) {
+    pub fn record_dropped_frames(&self, kind: &'static str, count: u64) {
         if count > 0 {
-            self.frames.add(count, &[KeyValue::new("kind", kind)]);
+            self.dropped_frames.add(count, &[KeyValue::new("kind", kind)]);
         }
     }
 
     /// Counts a request handed to the engine or service.
-    pub fn run(&self) {
+    pub fn record_run(&self) {
         self.runs.add(1, &[]);
     }
 
     /// Counts bytes of control traffic.
-    pub fn control_bytes(&self, bytes: u64) {
+    pub fn record_control_bytes(&self, bytes: u64) {
         self.control_bytes.add(bytes, &[]);
     }
 
     /// Sets the configuration revision in force.
-    pub fn revision(&self, revision: u64) {
+    pub fn set_revision(&self, revision: u64) {
         self.revision.record(revision, &[]);
     }
 
     /// Returns the metrics as Prometheus text.
-    pub fn text(&self) -> String {
+    pub fn to_prometheus_text(&self) -> String {
         let mut buffer = Vec::new();
         let families = self.registry.gather();
         if let Err(error) = TextEncoder::new().encode(&families, &mut buffer) {
--- a/crates/porthoist-operator/src/server.rs
+++ b/crates/porthoist-operator/src/server.rs
@@ -72,7 +72,9 @@
         match (request.method(), request.uri().path()) {
             (&Method::GET, "/livez") => return text_response(StatusCode::OK, "live\n"),
             (&Method::GET, "/readyz") => return self.ready(),
-            (&Method::GET, "/metrics") => return text_response(StatusCode::OK, self.metrics.text()),
+            (&Method::GET, "/metrics") => {
+                return text_response(StatusCode::OK, self.metrics.to_prometheus_text());
+            }
             _ => {}
         }
         if !self.authorized(&request) {
--- a/crates/porthoist-proxy/src/control.rs
+++ b/crates/porthoist-proxy/src/control.rs
@@ -242,7 +242,7 @@
         let state = self.state.borrow();
         for (table, proof) in [("routes", state.proof), ("targets", state.targets_proof)] {
             if let Some(age) = proof.age(now) {
-                self.metrics.belief_age(table, age);
+                self.metrics.set_table_age(table, age);
             }
         }
         let Some(age) = state.targets_proof.age(now) else { return };
@@ -277,7 +277,7 @@
                 info!(self.logger, "configuration in force"; "event" => "config_adopted",
                     "version" => table.version.0, "routes" => table.route_count(),
                     "revision" => answer.revision.to_string());
-                self.metrics.revision(table.version.0);
+                self.metrics.set_revision(table.version.0);
                 if state.targets.set_services(table.services.keys().cloned()) {
                     // A row of another writer may have replaced a target with the same address while the
                     // services were unknown.
@@ -306,7 +306,7 @@
                 ZoneChange::Emptied(zone) => (zone, true),
                 ZoneChange::Restored(zone) => (zone, false),
             };
-            self.metrics.zone_emptied(zone.as_str(), if emptied { self.clock.now().0 } else { 0 });
+            self.metrics.set_zone_emptied(zone.as_str(), if emptied { self.clock.now().0 } else { 0 });
             info!(self.logger, "zone emptied or restored"; "event" => "zone_emptied",
                 "zone" => zone.as_str(), "emptied" => emptied);
         }
--- a/crates/porthoist-proxy/src/crashes.rs
+++ b/crates/porthoist-proxy/src/crashes.rs
@@ -253,7 +253,7 @@
 
     fn add(&mut self, change: CrashChange) {
         if self.pending.len() >= MAX_PENDING {
-            self.metrics.crash_event("unwritten");
+            self.metrics.record_crash_event("unwritten");
             warn!(self.logger, "too many pending crashes, one dropped"; "event" => "crash_dropped");
             return;
         }
--- a/crates/porthoist-proxy/src/exchange.rs
+++ b/crates/porthoist-proxy/src/exchange.rs
@@ -324,7 +324,7 @@
         drop(stream.set_zero_linger());
         let handshake = http1::Builder::new().handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(SendFailure::not_sent)?;
-        self.metrics.connection();
+        self.metrics.record_connection();
         let task = tokio::task::spawn_local(async move {
             // Errors are reported by the exchange that uses the connection.
             drop(connection.await);
--- a/crates/porthoist-proxy/src/handler.rs
+++ b/crates/porthoist-proxy/src/handler.rs
@@ -185,7 +185,7 @@
     fn log_cold_targets(&self) {
         let cold = self.dispatcher.cold_targets();
         if self.cold.replace(cold) != cold {
-            self.metrics.cold_targets(cold as u64);
+            self.metrics.set_cold_targets(cold as u64);
             info!(self.logger, "number of cold targets changed"; "event" => "targets_cold", "count" => cold);
         }
     }
@@ -233,7 +233,7 @@
         if !self.targets_applied.get() {
             self.sync_targets();
         }
-        self.metrics.request();
+        self.metrics.record_request();
         self.in_flight.set(self.in_flight.get() + 1);
         let (head, body) = request.into_parts();
         let facts = self.codec.request_facts(&head.headers);
@@ -272,7 +272,7 @@
         info!(self.logger, "request refused"; "event" => "refused", "request" => attempt, "reason" => reason.as_str(),
             "status" => status.as_u16(), "verdict" => verdict.as_str(), "retry_ms" => retry_millis,
             "held_ms" => self.clock.now().since(arrival));
-        self.metrics.refusal(reason, verdict);
+        self.metrics.record_refusal(reason, verdict);
         let mut reply = refusal_reply(status, reason, retry_millis);
         self.codec.write_own_answer(attempt, reply.headers_mut());
         reply
@@ -328,7 +328,7 @@
 
     fn relay_whole(&self, admitted: &AdmittedRequest, slot: &TargetSlot, answer: WholeAnswer) -> Reply {
         let millis = self.clock.now().since(admitted.arrival);
-        self.metrics.answer(millis as f64);
+        self.metrics.record_answer(millis as f64);
         info!(self.logger, "answered"; "event" => "answered", "request" => &*admitted.facts.attempt,
             "target" => slot.record.id.to_string(), "status" => answer.status.as_u16(), "took_ms" => millis);
         complete_reply(answer.status, relayed_headers(answer.headers), answer.body)
--- a/crates/porthoist-proxy/src/handler/backpressure.rs
+++ b/crates/porthoist-proxy/src/handler/backpressure.rs
@@ -72,7 +72,7 @@
 
     fn log_signal_change(&self, target: &TargetLife, observed: ObservedChange, told_by: &'static str) {
         let ObservedChange { change, logged } = observed;
-        self.metrics.need_change(change.as_str());
+        self.metrics.record_backpressure_change(change.as_str());
         if !logged {
             return;
         }
--- a/crates/porthoist-proxy/src/handler/relay.rs
+++ b/crates/porthoist-proxy/src/handler/relay.rs
@@ -164,11 +164,11 @@
                     .first_event_received(&source.slot.record, now.since(source.slot.assigned) as f64);
             }
             let first = now.since(self.admitted.arrival) as f64;
-            self.handler.metrics.answer(first);
+            self.handler.metrics.record_answer(first);
         } else {
             let pause = now.since(self.last_at);
             self.longest_pause = self.longest_pause.max(pause);
-            self.handler.metrics.event_pause(pause as f64);
+            self.handler.metrics.record_event_pause(pause as f64);
             if let Some(source) = &self.source {
                 self.handler.dispatcher.event_received(&source.slot.record);
             }
@@ -241,7 +241,7 @@
 
     fn end_incomplete(&self, detail: &str) -> io::Error {
         self.guard.ended.set(true);
-        self.handler.metrics.broken_stream();
+        self.handler.metrics.record_broken_stream();
         info!(self.handler.logger, "stream ended incomplete"; "event" => "stream_unfinished",
             "request" => &*self.admitted.facts.attempt, "events" => self.forwarded, "last_id" => self.last_id,
             "detail" => detail, "took_ms" => self.handler.clock.now().since(self.admitted.arrival));
--- a/crates/porthoist-proxy/src/handler/retries.rs
+++ b/crates/porthoist-proxy/src/handler/retries.rs
@@ -21,7 +21,7 @@
     }
 
     pub(super) fn record_retry(&self, admitted: &AdmittedRequest, failure: &SendFailure) {
-        self.metrics.retry(failure.reason);
+        self.metrics.record_retry(failure.reason);
         info!(self.logger, "request sent again"; "event" => "sent_again", "request" => &*admitted.facts.attempt,
             "reason" => failure.reason.as_str());
     }
--- a/crates/porthoist-proxy/src/handler/slots.rs
+++ b/crates/porthoist-proxy/src/handler/slots.rs
@@ -34,7 +34,7 @@
         };
         let assigned = self.dispatcher.acquire_slot(demand).await;
         let waited = self.clock.now().since(now);
-        self.metrics.queue_wait(waited as f64);
+        self.metrics.record_queue_wait(waited as f64);
         match assigned {
             Ok(slot) => {
                 info!(self.logger, "placed"; "event" => "placed", "request" => &*admitted.facts.attempt,
--- a/crates/porthoist-proxy/src/peer_rows.rs
+++ b/crates/porthoist-proxy/src/peer_rows.rs
@@ -315,7 +315,7 @@
         if table == ControlTable::Targets {
             self.targets_due.set(self.after(START_PAUSE));
         }
-        self.metrics.table_asked(reason.as_str());
+        self.metrics.record_table_fallback(reason.as_str());
         info!(self.logger, "calling the table service"; "event" => "table_asked",
             "table" => table.as_str(), "reason" => reason.as_str(), "wait_ms" => wait.as_millis() as u64);
         let call = match revision {
--- a/crates/porthoist-proxy/src/quarantine.rs
+++ b/crates/porthoist-proxy/src/quarantine.rs
@@ -149,7 +149,7 @@
                 info!(self.logger, "suspected request refused"; "event" => "kept_back",
                     "request" => request.attempt(), "mark" => mark.short(), "level" => kept.level.as_str(),
                     "deaths" => kept.deaths);
-                self.metrics.crash_event("refused");
+                self.metrics.record_crash_event("refused");
                 Err(kept)
             }
         }
@@ -185,7 +185,7 @@
         info!(self.logger, "target crashed while running a request"; "event" => "target_died",
             "request" => request.attempt(), "mark" => key.mark.short(), "target" => life.id.to_string(),
             "level" => level, "deaths" => deaths);
-        self.metrics.crash_event(level);
+        self.metrics.record_crash_event(level);
         if outcome != DeathOutcome::Trusted {
             self.queue_change(CrashChange::Put(key, report));
         }
@@ -208,7 +208,7 @@
         }
         info!(self.logger, "complete response cleared a suspected request"; "event" => "suspect_cleared",
             "request" => request.attempt(), "mark" => mark.short(), "deaths" => rows.len());
-        self.metrics.crash_event("cleared");
+        self.metrics.record_crash_event("cleared");
         self.remove(rows);
     }
 
@@ -244,15 +244,15 @@
         for (mark, level, deaths) in heard {
             info!(self.logger, "learned of crashes under a request"; "event" => "suspect_heard",
                 "mark" => mark.short(), "level" => level.as_str(), "deaths" => deaths);
-            self.metrics.crash_event("heard");
+            self.metrics.record_crash_event("heard");
         }
         for mark in lifted {
             info!(self.logger, "request no longer suspected"; "event" => "suspect_lifted",
                 "mark" => mark.short());
-            self.metrics.crash_event("lifted");
+            self.metrics.record_crash_event("lifted");
         }
         self.remove(remove);
-        self.metrics.suspects(self.tracker.borrow().len() as u64);
+        self.metrics.set_suspected_requests(self.tracker.borrow().len() as u64);
     }
 
     /// Writes rows again that a restore of the table lost.
@@ -272,10 +272,10 @@
         for row in &rows {
             info!(self.logger, "crash expired"; "event" => "suspect_lapsed",
                 "mark" => row.mark.short(), "target" => &*row.target);
-            self.metrics.crash_event("lapsed");
+            self.metrics.record_crash_event("lapsed");
         }
         self.remove(rows);
-        self.metrics.suspects(self.tracker.borrow().len() as u64);
+        self.metrics.set_suspected_requests(self.tracker.borrow().len() as u64);
     }
 
     fn evict_excess(&self) {
@@ -283,7 +283,7 @@
         for row in &rows {
             warn!(self.logger, "too many suspected requests, a crash dropped"; "event" => "suspect_dropped",
                 "mark" => row.mark.short());
-            self.metrics.crash_event("dropped");
+            self.metrics.record_crash_event("dropped");
         }
         self.remove(rows);
     }
@@ -296,7 +296,7 @@
 
     fn queue_change(&self, change: CrashChange) {
         if self.changes.try_send(change).is_err() {
-            self.metrics.crash_event("unwritten");
+            self.metrics.record_crash_event("unwritten");
             warn!(self.logger, "too many pending crashes, one dropped"; "event" => "crash_dropped");
         }
     }
--- a/crates/porthoist-proxy/src/server.rs
+++ b/crates/porthoist-proxy/src/server.rs
@@ -107,9 +107,9 @@
         let Err(error) = connection.await else { return };
         // hyper has already answered these.
         if error.is_parse_too_large() {
-            metrics.refusal(RefusalReason::HeaderTooLong, RunVerdict::NotRun);
+            metrics.record_refusal(RefusalReason::HeaderTooLong, RunVerdict::NotRun);
         } else if error.is_parse() {
-            metrics.refusal(RefusalReason::Malformed, RunVerdict::NotRun);
+            metrics.record_refusal(RefusalReason::Malformed, RunVerdict::NotRun);
         }
     });
 }
--- a/crates/porthoist-scenario/src/backend.rs
+++ b/crates/porthoist-scenario/src/backend.rs
@@ -4,7 +4,7 @@
 use futures::future::BoxFuture;
 use porthoist_core::{AnswerHead, RefusalReason, RunVerdict};
 use porthoist_table::CallError;
-use porthoist_target::runner::{DONE_MARK, EnginePace};
+use porthoist_target::runner::{DONE_MARKER, EnginePace};
 use porthoist_target::{BackendRunner, LogEnd, RunJob};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -99,7 +99,7 @@
                 break;
             }
         }
-        if job.log.push(tokens + 1, Bytes::from_static(DONE_MARK.as_bytes())).is_err() {
+        if job.log.push(tokens + 1, Bytes::from_static(DONE_MARKER.as_bytes())).is_err() {
             let (reason, verdict) = (RefusalReason::BackendFailed, RunVerdict::MayHaveRun);
             return LogEnd::Refused { reason, verdict, retry_at: None };
         }
--- a/crates/porthoist-scenario/src/world/ports.rs
+++ b/crates/porthoist-scenario/src/world/ports.rs
@@ -221,12 +221,12 @@
 
     fn release(&self, _team: TeamName) {}
 
-    fn first_frame(&self, target: TargetName, attempt: AttemptId) {
+    fn report_first_frame(&self, target: TargetName, attempt: AttemptId) {
         let now = self.0.clock.now();
         self.0.router.lock().expect("no task panics").first_token(now, &target, attempt);
     }
 
-    fn first_token(&self, _millis: u64) {}
+    fn report_first_token(&self, _millis: u64) {}
 }
 
 impl OfferPort for EntryPort {
--- a/crates/porthoist-target/src/runner.rs
+++ b/crates/porthoist-target/src/runner.rs
@@ -119,7 +119,7 @@
             call();
         }
         let id = event.id.parse().map_err(|_parse| CallError::unknown("an event without a number"))?;
-        let done = event.data == DONE_MARK;
+        let done = event.data == DONE_MARKER;
         log.push(id, Bytes::from(event.data))
             .map_err(|gap| CallError::unknown(format!("event {} came for {}", gap.given, gap.expected)))?;
         if done {
@@ -130,7 +130,7 @@
 }
 
 /// Data of the last event of a completion's stream.
-pub const DONE_MARK: &str = "[DONE]";
+pub const DONE_MARKER: &str = "[DONE]";
 
 impl BackendRunner for HttpRunner {
     fn run(&self, job: RunJob, first_event: Box<dyn FnOnce() + Send>) -> BoxFuture<'static, ()> {
--- a/porthoist-cli/tests/entries.rs
+++ b/porthoist-cli/tests/entries.rs
@@ -42,15 +42,15 @@
 #[test]
 fn what_an_entry_exports_is_read() {
     let hub = MetricsHub::new().unwrap();
-    hub.revision(5);
-    hub.belief_age("routes", 70);
-    hub.belief_age("targets", 80);
-    hub.table_asked("start");
-    hub.cold_targets(3);
-    hub.zone_emptied("a", 77_000);
-    hub.zone_emptied("b", 0);
+    hub.set_revision(5);
+    hub.set_table_age("routes", 70);
+    hub.set_table_age("targets", 80);
+    hub.record_table_fallback("start");
+    hub.set_cold_targets(3);
+    hub.set_zone_emptied("a", 77_000);
+    hub.set_zone_emptied("b", 0);
     let emptied = vec![EmptiedZone { zone: "a".to_owned(), since: UnixMillis(77_000) }];
     let expected =
         EntryState { version: 5, routes_age: Some(70), targets_age: Some(80), queries: 1, cold: 3, emptied };
-    assert_eq!(read_metrics(&hub.text()), expected);
+    assert_eq!(read_metrics(&hub.to_prometheus_text()), expected);
 }
--- a/porthoistd/src/config.rs
+++ b/porthoistd/src/config.rs
@@ -41,7 +41,7 @@
         if outcome == AdoptOutcome::Adopted {
             history.push(change);
             *self.in_force.write() = Arc::new(state.clone());
-            self.metrics.revision(state.revision());
+            self.metrics.set_revision(state.revision());
             self.revision.send_replace(state.revision());
         }
         outcome
--- a/porthoistd/src/duty/entry_fleet/gossip.rs
+++ b/porthoistd/src/duty/entry_fleet/gossip.rs
@@ -116,7 +116,7 @@
         Box::pin(std::future::ready(Vec::new()))
     }
 
-    fn rank(&self, _message: LeaderMessage) -> HandlerFuture<Option<Option<RankReply>>> {
+    fn handle_leader_message(&self, _message: LeaderMessage) -> HandlerFuture<Option<Option<RankReply>>> {
         Box::pin(std::future::ready(None))
     }
 
--- a/porthoistd/src/duty/group.rs
+++ b/porthoistd/src/duty/group.rs
@@ -119,7 +119,7 @@
             peer = FleetPeer::connect(&address.to_string(), &key).await.ok();
         }
         let answer = match &peer {
-            Some(peer) => peer.rank(message).await.ok(),
+            Some(peer) => peer.send_leader_message(message).await.ok(),
             None => None,
         };
         // The leader may have stopped waiting.
@@ -149,7 +149,7 @@
             }
             tokio::time::sleep(delay).await;
             if self.switch_needed().await
-                && let Ok(saved) = self.engine.kept().await
+                && let Ok(saved) = self.engine.saved_state().await
             {
                 let map = if self.requested_map().0 > 0 { self.requested_map() } else { planned_map(&saved) };
                 self.lead(&links, saved, map).await;
@@ -177,7 +177,7 @@
         if !window.usable() {
             return;
         }
-        let Ok(saved) = self.engine.kept().await else { return };
+        let Ok(saved) = self.engine.saved_state().await else { return };
         let current = saved.committed.map_or(saved.map, |switch| switch.map);
         if planner.is_none() {
             let Ok(map) = self.maps.map(current).await else { return };
@@ -204,7 +204,7 @@
     /// switch that was never decided.
     async fn switch_needed(&self) -> bool {
         let requested = self.requested_map();
-        let Ok(saved) = self.engine.kept().await else { return false };
+        let Ok(saved) = self.engine.saved_state().await else { return false };
         let planned = saved.committed.map_or(saved.map, |switch| switch.map);
         (requested.0 > 0 && planned != requested) || saved.armed.is_some()
     }
--- a/porthoistd/src/duty/offers.rs
+++ b/porthoistd/src/duty/offers.rs
@@ -69,7 +69,7 @@
 ) {
     tokio::task::spawn_local(follow_pace(Arc::clone(&runner), actor.clone()));
     while let Some(job) = jobs.receive().await {
-        metrics.run();
+        metrics.record_run();
         tokio::task::spawn_local(run_to_end(job, Arc::clone(&runner), actor.clone()));
     }
 }
--- a/porthoistd/src/duty/rank.rs
+++ b/porthoistd/src/duty/rank.rs
@@ -104,8 +104,8 @@
         }))
     }
 
-    fn lists(&self) -> RankFuture<'_, ExpertLists> {
-        Box::pin(read_with_timeout(self.engine.lists()))
+    fn expert_lists(&self) -> RankFuture<'_, ExpertLists> {
+        Box::pin(read_with_timeout(self.engine.expert_lists()))
     }
 
     fn order<'a>(
@@ -311,7 +311,7 @@
         let hosts = self.candidates();
         self.peers.retain(&hosts.keys().copied().collect());
         let (states, _counts) =
-            RankBranches::new(&hosts, Rc::clone(&self.peers)).sweep(false, &self.find_timeout).await;
+            RankBranches::new(&hosts, Rc::clone(&self.peers)).observe(false, &self.find_timeout).await;
         let same = |state: &RankState| {
             state.group == own.group && state.view.epoch == own.view.epoch && state.rank != own.rank
         };
--- a/porthoistd/src/duty/routing.rs
+++ b/porthoistd/src/duty/routing.rs
@@ -335,12 +335,12 @@
         self.send_reliably(ReleaseMessage(team));
     }
 
-    fn first_frame(&self, target: TargetName, attempt: AttemptId) {
+    fn report_first_frame(&self, target: TargetName, attempt: AttemptId) {
         // Losing an observation is harmless.
         let _sent = self.0.tell(FirstFrameMessage { target, attempt }).try_send();
     }
 
-    fn first_token(&self, millis: u64) {
+    fn report_first_token(&self, millis: u64) {
         // Losing an observation is harmless.
         let _sent = self.0.tell(FirstTokenMessage(millis)).try_send();
     }
--- a/porthoistd/src/duty/status.rs
+++ b/porthoistd/src/duty/status.rs
@@ -97,7 +97,7 @@
     let listener = TcpListener::from_std(listener).expect("the listener is bound and non-blocking");
     serve_until(listener, ServerSettings::default(), never.subscribe(), move |request| {
         let answer = if request.uri().path() == METRICS_PATH {
-            text_response(StatusCode::OK, metrics.text())
+            text_response(StatusCode::OK, metrics.to_prometheus_text())
         } else {
             text_response(StatusCode::NOT_FOUND, "not found\n")
         };
--- a/porthoistd/src/duty/target_fleet.rs
+++ b/porthoistd/src/duty/target_fleet.rs
@@ -78,7 +78,7 @@
             }
         };
         if let OfferOutcome::Refused { reason, verdict, .. } = outcome {
-            self.metrics.refusal(reason, verdict);
+            self.metrics.record_refusal(reason, verdict);
         }
         outcome
     }
@@ -148,7 +148,7 @@
 }
 
 impl FleetHandler for TargetHandler {
-    fn rank(&self, message: LeaderMessage) -> HandlerFuture<Option<Option<RankReply>>> {
+    fn handle_leader_message(&self, message: LeaderMessage) -> HandlerFuture<Option<Option<RankReply>>> {
         let driver = Arc::clone(&self.rank);
         Box::pin(async move { driver.handle(message).await.ok() })
     }
--- a/porthoistd/src/role/rank.rs
+++ b/porthoistd/src/role/rank.rs
@@ -91,7 +91,7 @@
     loop {
         tokio::time::sleep(Duration::from_millis(TRAFFIC_INTERVAL_MILLIS)).await;
         let all = traffic.sent() + traffic.received();
-        metrics.control_bytes(all - counted);
+        metrics.record_control_bytes(all - counted);
         counted = all;
     }
 }
--- a/porthoistd/tests/loads.rs
+++ b/porthoistd/tests/loads.rs
@@ -36,7 +36,7 @@
         Box::pin(futures::future::pending())
     }
 
-    fn lists(&self) -> RankFuture<'_, ExpertLists> {
+    fn expert_lists(&self) -> RankFuture<'_, ExpertLists> {
         Box::pin(futures::future::pending())
     }
 
--- a/porthoistd/tests/rank.rs
+++ b/porthoistd/tests/rank.rs
@@ -51,7 +51,7 @@
         silent()
     }
 
-    fn lists(&self) -> RankFuture<'_, ExpertLists> {
+    fn expert_lists(&self) -> RankFuture<'_, ExpertLists> {
         silent()
     }
 
@@ -84,7 +84,7 @@
         let started = tokio::time::Instant::now();
         let read = async {
             match reading {
-                "lists" => rank.lists().await.map(|_lists| ()),
+                "lists" => rank.expert_lists().await.map(|_lists| ()),
                 _ => rank.observe(reading != "state").await.map(|_observed| ()),
             }
         };
@@ -141,7 +141,7 @@
         async { Ok(ExpertCounts { counts: vec![0; EXPERTS], ..ExpertCounts::default() }) }.boxed_local()
     }
 
-    fn lists(&self) -> RankFuture<'_, ExpertLists> {
+    fn expert_lists(&self) -> RankFuture<'_, ExpertLists> {
         silent()
     }
 
