--- a/crates/porthoist-scenario/src/world/ports.rs
+++ b/crates/porthoist-scenario/src/world/ports.rs
@@ -20,7 +20,7 @@
 use porthoist_policy::router::{RouteQuery, Router};
 use porthoist_policy::table::{RowKey, RowKind, ServiceRow, TableRow, TeamRow};
 use porthoist_table::{CLAIM_PREFIX, CONFIG_PREFIX, PlatformClient, TableWrite, WriteResult};
-use porthoist_target::log::LogUpdate;
+use porthoist_target::answer_log::LogUpdate;
 use porthoist_target::offers::{MintTickets, OfferAbandoned, OfferRequest};
 use porthoist_target::{LogEnd, LogFollower};
 use std::collections::BTreeMap;
--- a/crates/porthoist-target/src/lib.rs
+++ b/crates/porthoist-target/src/lib.rs
@@ -2,10 +2,10 @@
 //!
 //! The offers actor owns the gate, the queue and the retained answers; the runner calls the engine or service.
 
-pub mod log;
+pub mod answer_log;
 pub mod offers;
 pub mod runner;
 
-pub use log::{AnswerLog, LogEnd, LogFollower};
+pub use answer_log::{AnswerLog, LogEnd, LogFollower};
 pub use offers::{OffersActor, OffersSettings};
 pub use runner::{BackendRunner, HttpRunner, RunJob, run_to_end};
--- a/crates/porthoist-target/src/offers.rs
+++ b/crates/porthoist-target/src/offers.rs
@@ -3,7 +3,7 @@
 //! It owns the gate, the queue, the retained answers and the drain flag. No request runs without it, so its refusal proves
 //! that the request did not run.
 
-use crate::log::{AnswerLog, LogEnd, LogFollower};
+use crate::answer_log::{AnswerLog, LogEnd, LogFollower};
 use crate::runner::RunJob;
 use kameo::Actor;
 use kameo::message::{Context, Message};
--- a/crates/porthoist-target/src/runner.rs
+++ b/crates/porthoist-target/src/runner.rs
@@ -2,7 +2,7 @@
 //!
 //! A run's answer is written to its log. A failure says whether the request may have run.
 
-use crate::log::{AnswerLog, LogEnd};
+use crate::answer_log::{AnswerLog, LogEnd};
 use crate::offers::{FirstEvent, OffersActor, RunEnded};
 use bytes::Bytes;
 use eventsource_stream::Eventsource as _;
--- a/porthoistd/src/duty/target_fleet.rs
+++ b/porthoistd/src/duty/target_fleet.rs
@@ -14,7 +14,7 @@
 use porthoist_metrics::MetricsHub;
 use porthoist_policy::limits::coordinator::{SettleAsk, SettleTold};
 use porthoist_policy::switch::{LeaderMessage, RankReply};
-use porthoist_target::log::LogUpdate;
+use porthoist_target::answer_log::LogUpdate;
 use porthoist_target::offers::{MintTickets, OfferAbandoned, OfferRefusal, OfferRequest};
 use porthoist_target::{LogEnd, LogFollower, OffersActor};
 use std::rc::Rc;
