--- a/crates/porthoist-fleet/src/rank/server.rs
+++ b/crates/porthoist-fleet/src/rank/server.rs
@@ -39,7 +39,7 @@
 #[derive(Debug, bon::Builder)]
 pub struct RankService {
     /// The rank next to this process.
-    link: Rc<dyn RankControl>,
+    own_rank: Rc<dyn RankControl>,
     /// Reports the loads of the group.
     publisher: LoadsPublisher,
     /// The processes that it calls as the head of a branch.
@@ -87,9 +87,9 @@
 
     /// Returns the members of a branch whose head is this process, its own rank first.
     fn branch_members(&self, others: &[Ipv4Addr]) -> Vec<Rc<dyn RankControl>> {
-        let own: Rc<dyn RankControl> = Rc::clone(&self.link);
+        let own_rank: Rc<dyn RankControl> = Rc::clone(&self.own_rank);
         let others = others.iter().map(|host| -> Rc<dyn RankControl> { self.peers.get(*host) });
-        std::iter::once(own).chain(others).collect()
+        std::iter::once(own_rank).chain(others).collect()
     }
 }
 
@@ -116,7 +116,7 @@
 
 /// Waits for a member's answer; drops the connection to a member that does not answer in time.
 async fn with_timeout<T>(
-    link: &Rc<dyn RankControl>,
+    member: &Rc<dyn RankControl>,
     timeout: Duration,
     call: RankFuture<'_, T>,
 ) -> Option<T> {
@@ -124,7 +124,7 @@
     match tokio::time::timeout(timeout, call).await {
         Ok(answer) => answer.ok(),
         Err(_elapsed) => {
-            link.reset();
+            member.reset();
             None
         }
     }
@@ -137,7 +137,7 @@
         mut results: rank_process::ObserveResults,
     ) -> Result<(), Error> {
         self.record_observer();
-        let observed = self.service.link.observe(params.get()?.get_counts()).await.map_err(failed)?;
+        let observed = self.service.own_rank.observe(params.get()?.get_counts()).await.map_err(failed)?;
         let mut builder = results.get();
         write_state(builder.reborrow().init_state(), &observed.state);
         let (counts, unit) = pack_counts(&observed.counts);
@@ -151,7 +151,7 @@
         _params: rank_process::ListsParams,
         mut results: rank_process::ListsResults,
     ) -> Result<(), Error> {
-        let lists = self.service.link.expert_lists().await.map_err(failed)?;
+        let lists = self.service.own_rank.expert_lists().await.map_err(failed)?;
         let mut builder = results.get();
         builder.set_version(lists.version.0);
         let mut sets = builder.init_experts(lists.experts.len() as u32);
@@ -180,7 +180,7 @@
             }
             None => None,
         };
-        let answer = self.service.link.order(order, map.as_ref()).await.map_err(failed)?;
+        let answer = self.service.own_rank.order(order, map.as_ref()).await.map_err(failed)?;
         let mut results = results.get();
         results.set_taken(answer.taken);
         if let Some(view) = &answer.view {
@@ -314,15 +314,15 @@
 /// Sends an order to a member; `None` if there is no such member or it does not answer.
 async fn send_order(
     members: &[Rc<dyn RankControl>],
-    member: u16,
+    index: u16,
     order: EngineOrder,
     map: Option<&EqualShareMap>,
     timeout: Duration,
 ) -> Option<porthoist_group::OrderAnswer> {
-    let link = members.get(usize::from(member))?;
+    let member = members.get(usize::from(index))?;
     let map = matches!(order, EngineOrder::Prepare { .. }).then_some(map).flatten();
     // An order without an answer may still be carried out, so the connection is kept.
-    tokio::time::timeout(timeout, link.order(order, map)).await.ok()?.ok()
+    tokio::time::timeout(timeout, member.order(order, map)).await.ok()?.ok()
 }
 
 /// Serves the processes of other ranks on the current `LocalSet` until the future is dropped.
--- a/crates/porthoist-fleet/tests/branches.rs
+++ b/crates/porthoist-fleet/tests/branches.rs
@@ -144,11 +144,11 @@
             tokio::task::yield_now().await;
         }
         let listener = TcpListener::bind((host(network, rank), port)).await.expect("a free port");
-        let link: Rc<dyn RankControl> = Rc::<Engine>::clone(&process.engine);
+        let own_rank: Rc<dyn RankControl> = Rc::<Engine>::clone(&process.engine);
         let publisher = LoadsPublisher::new(watch::Sender::new(None).subscribe());
         let peers = Rc::new(PeerPool::new(port, process.traffic.clone()));
         let serving = RankService::builder()
-            .link(link)
+            .own_rank(own_rank)
             .publisher(publisher)
             .peers(peers)
             .traffic(process.traffic.clone())
--- a/crates/porthoist-fleet/tests/rank.rs
+++ b/crates/porthoist-fleet/tests/rank.rs
@@ -78,12 +78,12 @@
     start_with_rank(Rc::default(), published).await
 }
 
-async fn start_with_rank(link: Rc<IdleRank>, published: &watch::Sender<Option<GroupLoads>>) -> RankPeer {
+async fn start_with_rank(own_rank: Rc<IdleRank>, published: &watch::Sender<Option<GroupLoads>>) -> RankPeer {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("a bound address");
     let loads_publisher = LoadsPublisher::new(published.subscribe());
     let peers = Rc::new(PeerPool::new(address.port(), ControlTraffic::default()));
-    let serving = RankService::builder().link(link).publisher(loads_publisher).peers(peers).build();
+    let serving = RankService::builder().own_rank(own_rank).publisher(loads_publisher).peers(peers).build();
     tokio::task::spawn_local(serve_ranks(listener, Rc::new(serving)));
     RankPeer::new(address)
 }
@@ -150,8 +150,8 @@
 async fn maps_arrive_as_they_were_planned_also_as_changes() {
     let published = watch::Sender::new(None);
     let played = async {
-        let link = Rc::new(IdleRank::default());
-        let peer = start_with_rank(Rc::clone(&link), &published).await;
+        let own_rank = Rc::new(IdleRank::default());
+        let peer = start_with_rank(Rc::clone(&own_rank), &published).await;
         let maps = [large_map(0), large_map(7), large_map(7), large_map(30)];
         for (number, map) in maps.iter().enumerate() {
             let version = MapVersion(1 + number as u32);
@@ -164,7 +164,7 @@
                 peer.reset();
             }
         }
-        assert_eq!(*link.maps.borrow(), maps);
+        assert_eq!(*own_rank.maps.borrow(), maps);
     };
     LocalSet::new().run_until(played).await;
 }
--- a/crates/porthoist-fleet/tests/zone.rs
+++ b/crates/porthoist-fleet/tests/zone.rs
@@ -94,7 +94,7 @@
     let shared: Arc<dyn ClockSource> = Arc::<ManualClock>::clone(clock);
     let logger = Logger::root(Discard, o!());
     let serving = RankService::builder()
-        .link(Rc::new(NoEngine))
+        .own_rank(Rc::new(NoEngine))
         .publisher(LoadsPublisher::new(watch::Sender::new(None).subscribe()))
         .peers(Rc::new(PeerPool::new(address.port(), ControlTraffic::default())))
         .reader(TableReader::new(Rc::new(table), Arc::clone(&shared), logger))
--- a/porthoistd/src/role/rank.rs
+++ b/porthoistd/src/role/rank.rs
@@ -48,7 +48,7 @@
             Rc::new(StoreClient::new(settings.table, Arc::clone(&metrics), logger.clone()));
         let reader = TableReader::new(Rc::clone(&store), Arc::clone(&clock), logger.clone());
         let serving = RankService::builder()
-            .link(rank_control)
+            .own_rank(rank_control)
             .publisher(publisher)
             .peers(Rc::clone(&peers))
             .traffic(traffic.clone())
--- a/porthoistd/tests/loads.rs
+++ b/porthoistd/tests/loads.rs
@@ -122,7 +122,7 @@
             let loads_publisher = LoadsPublisher::new(loads.subscribe());
             let peers = Rc::new(PeerPool::new(rank_port, ControlTraffic::default()));
             let serving = RankService::builder()
-                .link(Rc::new(LoadsOnly))
+                .own_rank(Rc::new(LoadsOnly))
                 .publisher(loads_publisher)
                 .peers(peers)
                 .build();
@@ -176,7 +176,7 @@
             let loads_publisher = LoadsPublisher::new(loads.subscribe());
             let peers = Rc::new(PeerPool::new(rank_port, ControlTraffic::default()));
             let serving = RankService::builder()
-                .link(Rc::new(LoadsOnly))
+                .own_rank(Rc::new(LoadsOnly))
                 .publisher(loads_publisher)
                 .peers(peers)
                 .build();
--- a/porthoistd/tests/rank.rs
+++ b/porthoistd/tests/rank.rs
@@ -174,8 +174,8 @@
     let to = inner.local_addr().expect("a bound address");
     let loads_publisher = LoadsPublisher::new(watch::Sender::new(None).subscribe());
     let peers = Rc::new(PeerPool::new(address.port(), ControlTraffic::default()));
-    let link = Rc::new(OwnRank::new(engine));
-    let serving = RankService::builder().link(link).publisher(loads_publisher).peers(peers).build();
+    let own_rank = Rc::new(OwnRank::new(engine));
+    let serving = RankService::builder().own_rank(own_rank).publisher(loads_publisher).peers(peers).build();
     tokio::task::spawn_local(serve_ranks(inner, Rc::new(serving)));
     let count = Rc::new(Cell::new(0));
     tokio::task::spawn_local(count_connections(outer, to, Rc::clone(&count)));
