--- a/crates/porthoist-group/src/controller.rs
+++ b/crates/porthoist-group/src/controller.rs
@@ -139,13 +139,13 @@
         &mut self,
         group: &dyn GroupControl,
         new_version: MapVersion,
-        counting: bool,
+        with_counts: bool,
     ) -> RoundOutcome {
-        if !self.observe_first(group).await && !self.observe(group, new_version, counting).await {
+        if !self.observe_first(group).await && !self.observe(group, new_version, with_counts).await {
             return RoundOutcome::Unreachable;
         }
         let sent = self.send_due_orders(group).await;
-        self.outcome(sent)
+        self.round_outcome(sent)
     }
 
     /// While a switch holds the group, reads only the first rank: the others' views come with their answers to orders.
@@ -165,19 +165,24 @@
     ///
     /// A rank that does not answer costs only its own counts and load: with hundreds of ranks, one is nearly always
     /// missing. Only a switch needs all of them.
-    async fn observe(&mut self, group: &dyn GroupControl, new_version: MapVersion, counting: bool) -> bool {
-        let counting = counting && !self.driver.holding();
-        let mut reading = group.observe(counting).await;
-        let Some(first) = reading.states.first().cloned().flatten() else {
-            self.log_unreachable(reading.unreachable.as_ref());
+    async fn observe(
+        &mut self,
+        group: &dyn GroupControl,
+        new_version: MapVersion,
+        with_counts: bool,
+    ) -> bool {
+        let with_counts = with_counts && !self.driver.holding();
+        let mut observation = group.observe(with_counts).await;
+        let Some(first) = observation.states.first().cloned().flatten() else {
+            self.log_unreachable(observation.unreachable.as_ref());
             return false;
         };
         if !first.open || first.size != group.ranks() {
             return false;
         }
-        self.update_states(&first, &mut reading);
-        self.log_reachability(reading.unreachable.as_ref());
-        for (sum, count) in self.window_counts.iter_mut().zip(&reading.counts) {
+        self.update_states(&first, &mut observation);
+        self.log_reachability(observation.unreachable.as_ref());
+        for (sum, count) in self.window_counts.iter_mut().zip(&observation.counts) {
             *sum += u64::from(*count);
         }
         if self.views.is_empty() || self.unreachable.iter().any(Option::is_some) {
@@ -195,13 +200,13 @@
     }
 
     /// Updates the ranks' states. A rank in another epoch than the first one counts as unreachable.
-    fn update_states(&mut self, first: &RankState, reading: &mut GroupObservation) {
+    fn update_states(&mut self, first: &RankState, observation: &mut GroupObservation) {
         self.full_reads += 1;
-        let ranks = reading.states.len();
+        let ranks = observation.states.len();
         self.requests.resize(ranks, 0);
         self.paces.resize(ranks, RankPace::USUAL);
         self.unreachable.resize(ranks, None);
-        for (rank, read) in reading.states.iter_mut().enumerate() {
+        for (rank, read) in observation.states.iter_mut().enumerate() {
             let fits =
                 |state: &RankState| state.view.epoch == first.view.epoch && state.open && state.rank == rank;
             if !read.as_ref().is_some_and(fits) {
@@ -216,13 +221,13 @@
             self.paces[rank] = state.pace;
         }
         let views: Option<Vec<RankView>> =
-            reading.states.iter().map(|state| state.as_ref().map(|state| state.view)).collect();
+            observation.states.iter().map(|state| state.as_ref().map(|state| state.view)).collect();
         let known = self.views.first().is_some_and(|view| view.epoch == first.view.epoch);
         match views {
             Some(views) => self.views = views,
             // Some views may be older than others, which is harmless: every order names the epoch it is meant for.
             None if known && self.views.len() == ranks => {
-                let states = reading.states.iter().zip(&mut self.views);
+                let states = observation.states.iter().zip(&mut self.views);
                 states.for_each(|(state, view)| *view = state.as_ref().map_or(*view, |state| state.view));
             }
             None => self.views.clear(),
@@ -271,7 +276,7 @@
                 return sent;
             }
             sent += orders.len();
-            self.send(group, &orders).await;
+            self.send_orders(group, &orders).await;
             let copying = orders.iter().any(|(_rank, order)| matches!(order, EngineOrder::Prepare { .. }));
             if copying {
                 return sent;
@@ -310,7 +315,7 @@
         &self.paces
     }
 
-    fn outcome(&self, sent: usize) -> RoundOutcome {
+    fn round_outcome(&self, sent: usize) -> RoundOutcome {
         if self.views.first().is_some_and(|view| view.held.is_some()) || self.driver.holding() {
             return RoundOutcome::Holding;
         }
@@ -363,8 +368,9 @@
         let asked = group.expert_lists().await;
         let Some(lists) = asked.into_iter().collect::<Option<Vec<ExpertLists>>>() else { return false };
         let version = views[0].map;
-        let alike = lists.iter().all(|list| list.version == version && list.experts.len() == self.shape.sets);
-        if !alike {
+        let consistent =
+            lists.iter().all(|list| list.version == version && list.experts.len() == self.shape.sets);
+        if !consistent {
             return false;
         }
         let of_set = |set: usize| lists.iter().map(|list| list.experts[set].clone()).collect();
@@ -416,7 +422,7 @@
     }
 
     /// Sends orders and updates the views from the answers.
-    async fn send(&mut self, group: &dyn GroupControl, orders: &[(usize, EngineOrder)]) {
+    async fn send_orders(&mut self, group: &dyn GroupControl, orders: &[(usize, EngineOrder)]) {
         let map = self.next_map.as_ref().map(|next| &next.map);
         let answers = group.order(orders, map).await;
         let mut refused = false;
--- a/crates/porthoist-group/src/engine.rs
+++ b/crates/porthoist-group/src/engine.rs
@@ -58,8 +58,8 @@
 impl GroupEngine for HttpGroupEngine {
     fn saved_state(&self) -> BoxFuture<'_, Result<SavedRank, CallError>> {
         Box::pin(async move {
-            let (_status, kept) = self.client.json(Method::GET, &self.url, None::<&()>).await?;
-            Ok(kept)
+            let (_status, saved) = self.client.json(Method::GET, &self.url, None::<&()>).await?;
+            Ok(saved)
         })
     }
 
@@ -82,7 +82,7 @@
 
     fn order(&self, order: RankOrder) -> BoxFuture<'_, Result<bool, CallError>> {
         Box::pin(async move {
-            let (status, _kept): (StatusCode, serde_json::Value) =
+            let (status, _saved): (StatusCode, serde_json::Value) =
                 self.client.json(Method::POST, &self.url, Some(&order)).await?;
             Ok(status.is_success())
         })
--- a/crates/porthoist-group/src/group_control.rs
+++ b/crates/porthoist-group/src/group_control.rs
@@ -99,12 +99,12 @@
 impl GroupTimeouts {
     /// Creates timeouts with the given lower bounds for readings and for orders that move no experts.
     pub fn with_minimums(min_read_timeout: Duration, min_order_timeout: Duration) -> Self {
-        let reading = || RefCell::new(AdaptiveTimeout::new(min_read_timeout));
+        let read_timeout = || RefCell::new(AdaptiveTimeout::new(min_read_timeout));
         Self {
-            states: reading(),
-            counts: reading(),
-            lists: reading(),
-            prepares: reading(),
+            states: read_timeout(),
+            counts: read_timeout(),
+            lists: read_timeout(),
+            prepares: read_timeout(),
             orders: RefCell::new(AdaptiveTimeout::without_doubling(min_order_timeout)),
             min_order_timeout,
         }
@@ -123,8 +123,8 @@
         }
         // An order takes the same path as reading states, but calls the engine twice. If orders always timed out at the
         // lower bound, no response time would ever be recorded that could raise it.
-        let reading = self.states.borrow().typical() * 2;
-        self.orders.borrow_mut().set_minimum(self.min_order_timeout.max(reading));
+        let read_time = self.states.borrow().typical() * 2;
+        self.orders.borrow_mut().set_minimum(self.min_order_timeout.max(read_time));
         &self.orders
     }
 }
@@ -185,15 +185,15 @@
 
     fn observe_first(&self) -> LocalBoxFuture<'_, Option<RankState>> {
         Box::pin(async {
-            let asked = self.ranks.first()?.observe(false);
-            let answered = self.call(&self.timeouts.states, std::iter::once((0, asked)), false).await;
-            answered.into_iter().next()?.ok().map(|observed| observed.state)
+            let call = self.ranks.first()?.observe(false);
+            let answers = self.call(&self.timeouts.states, std::iter::once((0, call)), false).await;
+            answers.into_iter().next()?.ok().map(|observed| observed.state)
         })
     }
 
     fn observe(&self, counts: bool) -> LocalBoxFuture<'_, GroupObservation> {
         Box::pin(async move {
-            let mut reading = GroupObservation::empty(self.ranks.len());
+            let mut observation = GroupObservation::empty(self.ranks.len());
             let timeout = self.timeouts.for_states(counts);
             for ranks in [0..1.min(self.ranks.len()), 1.min(self.ranks.len())..self.ranks.len()] {
                 let calls = ranks.clone().map(|rank| (rank, self.ranks[rank].observe(counts)));
@@ -201,14 +201,14 @@
                 for (rank, answer) in ranks.zip(answers) {
                     match answer {
                         Ok(observed) => {
-                            reading.add_counts(&observed.counts);
-                            reading.states[rank] = Some(observed.state);
+                            observation.add_counts(&observed.counts);
+                            observation.states[rank] = Some(observed.state);
                         }
-                        Err(unreachable) => reading.unreachable = Some(unreachable),
+                        Err(unreachable) => observation.unreachable = Some(unreachable),
                     }
                 }
             }
-            reading
+            observation
         })
     }
 
--- a/crates/porthoist-group/src/rank.rs
+++ b/crates/porthoist-group/src/rank.rs
@@ -31,8 +31,9 @@
         Self { engine, maps, rank, message_lock: Mutex::new(()) }
     }
 
-    /// Whether the engine has loaded the rank's experts of a map; a map without content needs none.
-    async fn loaded(&self, message: LeaderMessage) -> Result<bool, CallError> {
+    /// Has the engine load the rank's experts of the map to be armed. Returns whether they are loaded; a map without
+    /// content needs none.
+    async fn load_experts(&self, message: LeaderMessage) -> Result<bool, CallError> {
         let LeaderMessage::Arm(switch) = message else { return Ok(true) };
         let Some(map) = self.maps.map(switch.map).await? else { return Ok(true) };
         if usize::from(self.rank.0) >= map.ranks() {
@@ -44,7 +45,7 @@
     /// Handles a leader's message. If the engine does not answer, neither does the driver.
     pub async fn handle(&self, message: LeaderMessage) -> Result<Option<RankReply>, CallError> {
         let _guard = self.message_lock.lock().await;
-        let loaded = self.loaded(message).await?;
+        let loaded = self.load_experts(message).await?;
         let before = self.engine.saved_state().await?;
         let mut machine = RankMachine::restored(before);
         let reply = machine.on(message, loaded);
--- a/crates/porthoist-group/tests/held.rs
+++ b/crates/porthoist-group/tests/held.rs
@@ -1,4 +1,4 @@
-//! The controller over in-memory engines that carry out orders late, twice or not at all.
+//! The expert map controller over in-memory engines that carry out orders late, twice or not at all.
 
 use futures::FutureExt as _;
 use porthoist_group::{
@@ -29,30 +29,30 @@
 const ROUNDS: u32 = 400;
 
 #[derive(Debug, Clone)]
-struct Engine {
+struct SimulatedEngine {
     view: RankView,
-    highest: MapVersion,
+    highest_version: MapVersion,
     maps: HashMap<MapVersion, EqualShareMap>,
 }
 
 /// A group in memory.
 #[derive(Debug)]
-struct Group {
-    engines: Vec<Engine>,
+struct SimulatedGroup {
+    engines: Vec<SimulatedEngine>,
     /// Orders that may still be carried out, in any later pass.
-    late: Vec<(usize, EngineOrder, Option<EqualShareMap>)>,
+    delayed_orders: Vec<(usize, EngineOrder, Option<EqualShareMap>)>,
     random: Pcg32,
     /// Part of the orders that get no answer and are carried out late or never.
     loss_rate: f64,
-    hot: usize,
+    hot_expert: usize,
     /// Whether a pass ran with different maps on different ranks.
-    mixed: bool,
+    mixed_maps: bool,
     held_passes: u32,
     /// Part of the choices in a window that still follow the demand before the last shift.
-    lag: f64,
-    before: usize,
+    stale_fraction: f64,
+    previous_hot_expert: usize,
     /// Whether a lost order never returns, instead of failing at once.
-    silent: bool,
+    lost_orders_hang: bool,
     /// Longest time that a sender waited for an order that moves no experts.
     longest_wait: Duration,
     /// Slowness of each rank.
@@ -61,13 +61,13 @@
     unreachable: Option<usize>,
 }
 
-fn first_map() -> EqualShareMap {
+fn initial_map() -> EqualShareMap {
     let held =
         |rank: usize| (0..PLACES).map(|place| ExpertId(((place * RANKS + rank) % EXPERTS) as u16)).collect();
     EqualShareMap::new(vec![(0..RANKS).map(held).collect()])
 }
 
-impl Group {
+impl SimulatedGroup {
     fn new(seed: u64, loss_rate: f64) -> Self {
         let view = RankView {
             epoch: GroupEpoch(1),
@@ -79,22 +79,22 @@
             held: None,
             busy: false,
         };
-        let maps = HashMap::from([(MapVersion(0), first_map())]);
-        let engine = Engine { view, highest: MapVersion(0), maps };
+        let maps = HashMap::from([(MapVersion(0), initial_map())]);
+        let engine = SimulatedEngine { view, highest_version: MapVersion(0), maps };
         let random = Pcg32::seed_from_u64(seed);
         let engines = vec![engine; RANKS];
         Self {
             engines,
-            late: Vec::new(),
+            delayed_orders: Vec::new(),
             random,
             loss_rate,
-            hot: 0,
-            mixed: false,
+            hot_expert: 0,
+            mixed_maps: false,
             held_passes: 0,
-            lag: 0.0,
-            before: 0,
+            stale_fraction: 0.0,
+            previous_hot_expert: 0,
             unreachable: None,
-            silent: false,
+            lost_orders_hang: false,
             longest_wait: Duration::ZERO,
             paces: [RankPace::USUAL; RANKS],
         }
@@ -102,15 +102,15 @@
 
     /// Applies an order as an engine does; returns `false` if it is refused.
     fn apply_order(&mut self, rank: usize, order: EngineOrder, map: Option<&EqualShareMap>) -> bool {
-        let Engine { view, highest, maps } = &mut self.engines[rank];
+        let SimulatedEngine { view, highest_version, maps } = &mut self.engines[rank];
         let (fits, done) = match order {
             EngineOrder::Prepare { epoch, version, sequence } => {
                 let fits = epoch == view.epoch
                     && sequence == view.sequence
-                    && version > *highest
+                    && version > *highest_version
                     && view.armed.is_none();
                 if fits {
-                    *highest = version;
+                    *highest_version = version;
                     view.prepared = Some(version);
                     maps.insert(version, map.expect("a prepare has its map").clone());
                 }
@@ -146,11 +146,11 @@
 
     /// Applies some late orders, then begins a pass unless the group is held.
     fn run_pass(&mut self) {
-        for (rank, order, map) in std::mem::take(&mut self.late) {
+        for (rank, order, map) in std::mem::take(&mut self.delayed_orders) {
             if self.random.random_bool(0.1) {
                 self.apply_order(rank, order, map.as_ref());
             } else {
-                self.late.push((rank, order, map));
+                self.delayed_orders.push((rank, order, map));
             }
         }
         let next = StepNumber(self.engines[0].view.step.0 + 1);
@@ -166,22 +166,26 @@
                 engine.view = RankView { map: version, armed: None, prepared: None, ..engine.view };
             }
         }
-        let map = |engine: &Engine| engine.maps[&engine.view.map].clone();
-        self.mixed |= self.engines.iter().any(|engine| map(engine) != map(&self.engines[0]));
+        let map = |engine: &SimulatedEngine| engine.maps[&engine.view.map].clone();
+        self.mixed_maps |= self.engines.iter().any(|engine| map(engine) != map(&self.engines[0]));
     }
 
     fn demand(&self) -> Vec<f64> {
-        demand_for(self.hot)
+        demand_for(self.hot_expert)
     }
 
-    fn shift(&mut self, hot: usize, lag: f64) {
-        (self.before, self.hot, self.lag) = (self.hot, hot, lag);
+    fn shift(&mut self, hot_expert: usize, stale_fraction: f64) {
+        (self.previous_hot_expert, self.hot_expert, self.stale_fraction) =
+            (self.hot_expert, hot_expert, stale_fraction);
     }
 
     /// The counts of a window, of which a part was chosen before the last shift.
     fn window(&self) -> Vec<u32> {
-        let (now, before) = (self.demand(), demand_for(self.before));
-        let mixed = now.iter().zip(before).map(|(now, before)| now * (1.0 - self.lag) + before * self.lag);
+        let (now, before) = (self.demand(), demand_for(self.previous_hot_expert));
+        let mixed = now
+            .iter()
+            .zip(before)
+            .map(|(now, before)| now * (1.0 - self.stale_fraction) + before * self.stale_fraction);
         mixed.map(|part| (part * 2_000.0) as u32).collect()
     }
 
@@ -191,35 +195,36 @@
     }
 }
 
-fn demand_for(hot: usize) -> Vec<f64> {
-    let weight = |expert: usize| if expert == hot || expert == (hot + 4) % EXPERTS { 10.0 } else { 1.0 };
+fn demand_for(hot_expert: usize) -> Vec<f64> {
+    let weight =
+        |expert: usize| if expert == hot_expert || expert == (hot_expert + 4) % EXPERTS { 10.0 } else { 1.0 };
     let total: f64 = (0..EXPERTS).map(weight).sum();
     (0..EXPERTS).map(|expert| weight(expert) / total).collect()
 }
 
 /// Measures how long a sender waits for an order that is never answered.
-struct SilentWait {
-    group: Rc<RefCell<Group>>,
+struct UnansweredOrder {
+    group: Rc<RefCell<SimulatedGroup>>,
     began: Instant,
-    moves: bool,
+    copies_experts: bool,
 }
 
-impl Drop for SilentWait {
+impl Drop for UnansweredOrder {
     fn drop(&mut self) {
         let mut group = self.group.borrow_mut();
-        if !self.moves {
+        if !self.copies_experts {
             group.longest_wait = group.longest_wait.max(self.began.elapsed());
         }
     }
 }
 
 #[derive(Debug)]
-struct Link {
-    group: Rc<RefCell<Group>>,
+struct SimulatedRank {
+    group: Rc<RefCell<SimulatedGroup>>,
     rank: usize,
 }
 
-impl RankControl for Link {
+impl RankControl for SimulatedRank {
     fn observe(&self, counts: bool) -> RankFuture<'_, RankObservation> {
         let group = self.group.borrow();
         if group.unreachable == Some(self.rank) {
@@ -256,19 +261,20 @@
         if group.unreachable == Some(self.rank) {
             return async { Err(CallError::unknown("unreachable")) }.boxed_local();
         }
-        let (loss_rate, silent) = (group.loss_rate, group.silent);
+        let (loss_rate, lost_orders_hang) = (group.loss_rate, group.lost_orders_hang);
         let lost = group.random.random_bool(loss_rate);
         let answer = if lost {
             // No answer comes. Half of these orders are applied at once, and any of them may be applied again later.
             if group.random.random_bool(0.5) {
                 group.apply_order(self.rank, order, map);
             }
-            group.late.push((self.rank, order, map.cloned()));
-            if silent {
-                let moves = matches!(order, EngineOrder::Prepare { .. });
-                let wait = SilentWait { group: Rc::clone(&self.group), began: Instant::now(), moves };
+            group.delayed_orders.push((self.rank, order, map.cloned()));
+            if lost_orders_hang {
+                let copies_experts = matches!(order, EngineOrder::Prepare { .. });
+                let unanswered =
+                    UnansweredOrder { group: Rc::clone(&self.group), began: Instant::now(), copies_experts };
                 return async move {
-                    let _wait = wait;
+                    let _unanswered = unanswered;
                     futures::future::pending().await
                 }
                 .boxed_local();
@@ -282,18 +288,19 @@
     }
 }
 
-fn direct_group(group: &Rc<RefCell<Group>>) -> DirectGroup {
-    let link = |rank: usize| -> Rc<dyn RankControl> { Rc::new(Link { group: Rc::clone(group), rank }) };
+fn direct_group(group: &Rc<RefCell<SimulatedGroup>>) -> DirectGroup {
+    let link =
+        |rank: usize| -> Rc<dyn RankControl> { Rc::new(SimulatedRank { group: Rc::clone(group), rank }) };
     DirectGroup::new((0..RANKS).map(link).collect())
 }
 
-fn shape() -> GroupShape {
+fn group_shape() -> GroupShape {
     let bounds = EqualShareBounds { places: PLACES, spare: 2, new_a_rank: 3, move_price: 0.01 };
     GroupShape { sets: 1, experts: EXPERTS, bounds }
 }
 
-fn controller() -> ExpertMapController {
-    ExpertMapController::new(shape(), Logger::root(Discard, o!()))
+fn new_controller() -> ExpertMapController {
+    ExpertMapController::new(group_shape(), Logger::root(Discard, o!()))
 }
 
 #[test_case(0.0, false; "calm")]
@@ -301,18 +308,21 @@
 #[test_case(0.35, true; "late orders and a planner that restarts")]
 #[test_case(0.8, true; "most orders late and a planner that restarts")]
 #[tokio::test]
-async fn passes_are_never_mixed_and_the_group_goes_on(loss_rate: f64, restarts: bool) {
+async fn all_ranks_run_every_pass_with_the_same_map_and_the_group_keeps_running(
+    loss_rate: f64,
+    restarts: bool,
+) {
     for seed in 0..20 {
-        let group = Rc::new(RefCell::new(Group::new(seed, loss_rate)));
+        let group = Rc::new(RefCell::new(SimulatedGroup::new(seed, loss_rate)));
         let ranks = direct_group(&group);
-        let mut controller = controller();
+        let mut controller = new_controller();
         let mut random = Pcg32::seed_from_u64(seed + 1_000);
         for round in 0..ROUNDS {
             if restarts && random.random_bool(0.02) {
-                controller = self::controller();
+                controller = new_controller();
             }
             if round % 100 == 0 {
-                group.borrow_mut().hot = random.random_range(0..EXPERTS);
+                group.borrow_mut().hot_expert = random.random_range(0..EXPERTS);
             }
             controller.run_round(&ranks, MapVersion(round)).await;
             if random.random_bool(0.7) {
@@ -320,7 +330,7 @@
             }
         }
         let group = group.borrow();
-        assert!(!group.mixed, "seed {seed}: a pass was mixed");
+        assert!(!group.mixed_maps, "seed {seed}: a pass was mixed");
         let passes = group.engines[0].view.step.0;
         assert!(passes > ROUNDS / 4, "seed {seed}: {passes} passes, {} held", group.held_passes);
         if loss_rate == 0.0 {
@@ -342,19 +352,19 @@
 #[test_case(0.35; "a third of the orders unanswered")]
 #[test_case(0.8; "most orders unanswered")]
 #[tokio::test(start_paused = true)]
-async fn an_order_without_an_answer_does_not_keep_a_held_group_waiting(loss_rate: f64) {
+async fn unanswered_orders_time_out_soon_while_the_group_is_held(loss_rate: f64) {
     for seed in 0..20 {
-        let mut group = Group::new(seed, loss_rate);
-        group.silent = true;
+        let mut group = SimulatedGroup::new(seed, loss_rate);
+        group.lost_orders_hang = true;
         let group = Rc::new(RefCell::new(group));
         let ranks = direct_group(&group);
-        let mut controller = controller();
+        let mut controller = new_controller();
         for round in 0..ROUNDS {
             controller.run_round(&ranks, MapVersion(round)).await;
             group.borrow_mut().run_pass();
         }
         let group = group.borrow();
-        assert!(!group.mixed, "seed {seed}: a pass was mixed");
+        assert!(!group.mixed_maps, "seed {seed}: a pass was mixed");
         assert!(group.engines[0].view.map > MapVersion(0), "seed {seed}: no map came into force");
         assert!(group.longest_wait <= MAX_WAIT, "seed {seed}: {:?}", group.longest_wait);
     }
@@ -369,7 +379,7 @@
 /// Runs rounds and passes until the controller is idle.
 async fn run_until_idle(
     controller: &mut ExpertMapController,
-    group: &Rc<RefCell<Group>>,
+    group: &Rc<RefCell<SimulatedGroup>>,
     ranks: &DirectGroup,
 ) {
     for round in 0..ROUNDS {
@@ -385,20 +395,20 @@
 #[test_case(0.7; "a third of the window after the shift")]
 #[test_case(0.3; "two thirds of the window after the shift")]
 #[tokio::test]
-async fn a_shift_is_followed_by_one_map_from_the_window_that_shows_it_whole(lag: f64) {
-    let group = Rc::new(RefCell::new(Group::new(1, 0.0)));
+async fn a_demand_shift_causes_one_switch_planned_from_the_first_complete_window(stale_fraction: f64) {
+    let group = Rc::new(RefCell::new(SimulatedGroup::new(1, 0.0)));
     let ranks = direct_group(&group);
-    let mut controller = controller();
+    let mut controller = new_controller();
     run_until_idle(&mut controller, &group, &ranks).await;
     for round in 0..LEARNING_ROUNDS {
         controller.run_round(&ranks, MapVersion(round)).await;
         group.borrow_mut().run_pass();
     }
     let maps_before = group.borrow().engines[0].maps.len();
-    group.borrow_mut().shift(6, lag);
+    group.borrow_mut().shift(6, stale_fraction);
     let outcome = controller.run_round(&ranks, MapVersion(0)).await;
     assert_eq!(outcome, RoundOutcome::Shifting, "the first window shows a part of the shift");
-    group.borrow_mut().lag = 0.0;
+    group.borrow_mut().stale_fraction = 0.0;
     run_until_idle(&mut controller, &group, &ranks).await;
     let group = group.borrow();
     assert_eq!(group.engines[0].maps.len(), maps_before + 1, "one switch follows");
@@ -406,10 +416,10 @@
 }
 
 #[tokio::test]
-async fn a_round_of_loads_reads_no_counts_and_lets_a_switch_go_on() {
-    let group = Rc::new(RefCell::new(Group::new(1, 0.0)));
+async fn load_rounds_read_no_counts_and_continue_a_switch() {
+    let group = Rc::new(RefCell::new(SimulatedGroup::new(1, 0.0)));
     let ranks = direct_group(&group);
-    let mut controller = controller();
+    let mut controller = new_controller();
     for _round in 0..FIRST_ROUNDS {
         controller.run_load_round(&ranks, MapVersion(1)).await;
         group.borrow_mut().run_pass();
@@ -427,10 +437,10 @@
 
 /// A single unreachable rank, of 129 for example, must not stop the whole round from counting, reporting and planning.
 #[tokio::test]
-async fn a_missing_rank_costs_its_own_part_and_only_a_switch_waits_for_it() {
-    let group = Rc::new(RefCell::new(Group::new(1, 0.0)));
+async fn an_unreachable_rank_delays_only_switches() {
+    let group = Rc::new(RefCell::new(SimulatedGroup::new(1, 0.0)));
     let ranks = direct_group(&group);
-    let mut controller = controller();
+    let mut controller = new_controller();
     for _round in 0..FIRST_ROUNDS {
         controller.run_load_round(&ranks, MapVersion(1)).await;
         group.borrow_mut().run_pass();
--- a/crates/porthoist-group/tests/silence.rs
+++ b/crates/porthoist-group/tests/silence.rs
@@ -73,7 +73,7 @@
 /// ranks. Dropped 0.6 s later, such connections kept the group without a new map for 0.9 s instead of 0.2 s. The other
 /// ranks keep their connections, with the map that was sent over them.
 #[tokio::test(start_paused = true)]
-async fn connections_that_bring_no_reading_in_time_are_left_at_once() {
+async fn unresponsive_connections_are_reset_in_the_same_round() {
     let connections: Vec<Rc<RankConnection>> =
         (0..RANKS).map(|rank| Rc::new(RankConnection { rank, ..RankConnection::default() })).collect();
     let group = connections
