--- a/crates/porthoist-group/src/lib.rs
+++ b/crates/porthoist-group/src/lib.rs
@@ -7,8 +7,8 @@
 pub mod group_control;
 pub mod leader;
 pub mod planner;
-pub mod rank;
 pub mod rank_control;
+pub mod rank_driver;
 pub mod timeout;
 
 pub use controller::{ExpertMapController, GroupShape, RoundOutcome};
@@ -16,8 +16,8 @@
 pub use group_control::{DirectGroup, GroupControl, GroupObservation, GroupTimeouts, UnreachableRank};
 pub use leader::{RankLink, SwitchError, SwitchOutcome, switch_group};
 pub use planner::{ExpertWindow, GroupPlanner};
-pub use rank::{MapSource, RankDriver};
 pub use rank_control::{
     ExpertCounts, ExpertLists, LocalEngine, OrderAnswer, RankControl, RankFuture, RankObservation,
 };
+pub use rank_driver::{MapSource, RankDriver};
 pub use timeout::AdaptiveTimeout;
