--- a/crates/porthoist-fleet/src/client.rs
+++ b/crates/porthoist-fleet/src/client.rs
@@ -49,7 +49,7 @@
     }
 
     /// Creates an error for a connection that broke after the call was sent.
-    pub fn lost(message: impl fmt::Display) -> Self {
+    pub fn connection_lost(message: impl fmt::Display) -> Self {
         let message = message.to_string();
         Self { reason: RefusalReason::ConnectionLost, verdict: RunVerdict::MayHaveRun, message }
     }
@@ -143,12 +143,12 @@
         let mut request = self.node.offer_request();
         write_offer(request.get().init_offer(), offer);
         request.get().set_sink(new_client(FrameReceiver { frames }));
-        let response = request.send().promise.await.map_err(FleetError::lost)?;
+        let response = request.send().promise.await.map_err(FleetError::connection_lost)?;
         let outcome = response
             .get()
             .and_then(super::fleet_capnp::node::offer_results::Reader::get_outcome)
-            .map_err(FleetError::lost)?;
-        read_outcome(outcome).map_err(FleetError::lost)
+            .map_err(FleetError::connection_lost)?;
+        read_outcome(outcome).map_err(FleetError::connection_lost)
     }
 
     /// Requests tickets, without running a request.
@@ -186,10 +186,12 @@
         let mut request = self.node.rank_request();
         let bytes = serde_json::to_vec(&message).map_err(FleetError::unreachable)?;
         request.get().set_message(&bytes);
-        let response = request.send().promise.await.map_err(FleetError::lost)?;
-        let reply =
-            response.get().and_then(node::rank_results::Reader::get_reply).map_err(FleetError::lost)?;
-        serde_json::from_slice(reply).map_err(FleetError::lost)
+        let response = request.send().promise.await.map_err(FleetError::connection_lost)?;
+        let reply = response
+            .get()
+            .and_then(node::rank_results::Reader::get_reply)
+            .map_err(FleetError::connection_lost)?;
+        serde_json::from_slice(reply).map_err(FleetError::connection_lost)
     }
 
     /// Settles teams' limits with their coordinator.
--- a/crates/porthoist-fleet/src/convert.rs
+++ b/crates/porthoist-fleet/src/convert.rs
@@ -12,7 +12,7 @@
 use porthoist_policy::limits::coordinator::{SettleAsk, SettleTold};
 use std::str::FromStr;
 
-fn parsed<T: FromStr>(text: capnp::text::Reader<'_>) -> Result<T, Error>
+fn parse_text<T: FromStr>(text: capnp::text::Reader<'_>) -> Result<T, Error>
 where
     T::Err: std::fmt::Display,
 {
@@ -74,13 +74,13 @@
 
 /// Reads an offer.
 pub fn read_offer(reader: offer::Reader<'_>) -> Result<RequestOffer, Error> {
-    let ticket = if reader.has_ticket() { Some(parsed(reader.get_ticket()?)?) } else { None };
+    let ticket = if reader.has_ticket() { Some(parse_text(reader.get_ticket()?)?) } else { None };
     let blocks: primitive_list::Reader<'_, u64> = reader.get_prefix_blocks()?;
     let resume_after = reader.get_resume_after();
     Ok(RequestOffer {
         attempt: read_attempt(reader.get_attempt()?),
-        team: parsed(reader.get_team()?)?,
-        service: parsed(reader.get_service()?)?,
+        team: parse_text(reader.get_team()?)?,
+        service: parse_text(reader.get_service()?)?,
         kind: if reader.get_plain() { ServiceKind::Plain } else { ServiceKind::Model },
         method: reader.get_method()?.to_str()?.to_owned(),
         path: reader.get_path()?.to_str()?.to_owned(),
@@ -145,9 +145,9 @@
 }
 
 /// Writes an outcome with the target's load.
-pub fn write_outcome(mut builder: outcome::Builder<'_>, ended: &OfferOutcome, report: &LoadReport) {
+pub fn write_outcome(mut builder: outcome::Builder<'_>, outcome: &OfferOutcome, report: &LoadReport) {
     write_load(builder.reborrow().init_load(), report);
-    match ended {
+    match outcome {
         OfferOutcome::Refused { reason, verdict, retry_at } => {
             let mut refused = builder.init_refused();
             refused.set_reason(reason.as_str());
@@ -172,12 +172,12 @@
 /// Reads an outcome with the target's load.
 pub fn read_outcome(reader: outcome::Reader<'_>) -> Result<(OfferOutcome, LoadReport), Error> {
     let report = read_load(reader.get_load()?);
-    let ended = match reader.which()? {
+    let outcome = match reader.which()? {
         outcome::Which::Refused(refused) => {
             let retry_at = refused.get_retry_at();
             OfferOutcome::Refused {
-                reason: parsed(refused.get_reason()?)?,
-                verdict: parsed(refused.get_verdict()?)?,
+                reason: parse_text(refused.get_reason()?)?,
+                verdict: parse_text(refused.get_verdict()?)?,
                 retry_at: (retry_at > 0).then_some(UnixMillis(retry_at)),
             }
         }
@@ -190,7 +190,7 @@
             OfferOutcome::StreamEnd { frames: end.get_frames(), digest: end.get_digest() }
         }
     };
-    Ok((ended, report))
+    Ok((outcome, report))
 }
 
 /// Writes a gossip digest.
@@ -225,8 +225,8 @@
         serde_json::from_slice(hosts).map_err(|error| Error::failed(error.to_string()))?
     };
     Ok(FleetDigest {
-        node: parsed(reader.get_node()?)?,
-        zone: parsed(reader.get_zone()?)?,
+        node: parse_text(reader.get_node()?)?,
+        zone: parse_text(reader.get_zone()?)?,
         revision: reader.get_revision(),
         change,
         wants_hosts: reader.get_wants_hosts(),
@@ -256,11 +256,11 @@
 
 /// Writes a coordinator's answers.
 pub fn write_settle_told(mut list: struct_list::Builder<'_, settle_told::Owned>, told: &[SettleTold]) {
-    for (index, one) in told.iter().enumerate() {
+    for (index, answer) in told.iter().enumerate() {
         let mut item = list.reborrow().get(index as u32);
-        item.set_team(one.team);
-        item.set_granted(one.granted);
-        item.set_wait_millis(one.wait_millis);
+        item.set_team(answer.team);
+        item.set_granted(answer.granted);
+        item.set_wait_millis(answer.wait_millis);
     }
 }
 
--- a/crates/porthoist-fleet/src/rank/branches.rs
+++ b/crates/porthoist-fleet/src/rank/branches.rs
@@ -31,7 +31,7 @@
 /// Part of the planning process's timeout that a head has for its members; the rest is for the path to the head.
 const MEMBER_TIMEOUT_FRACTION: f64 = 0.6;
 /// Factor by which the transfer of a map may exceed the time of its bytes: the links also carry loads and counts.
-const MAP_TIME_FACTOR: u32 = 2;
+const MAP_TRANSFER_TIME_FACTOR: u32 = 2;
 
 /// One branch of a group.
 #[derive(Debug)]
@@ -135,7 +135,7 @@
         timeout: &RefCell<AdaptiveTimeout>,
     ) -> (Vec<(Ipv4Addr, RankState)>, GroupObservation) {
         let call = async |head: &RankPeer, others: &[Ipv4Addr], members: Duration| {
-            head.sweep(others, counts, members).await
+            head.observe_members(others, counts, members).await
         };
         let (mut states, mut sum) = (Vec::new(), GroupObservation::default());
         for HeadAnswer { members, answer, .. } in self.call_heads(timeout, call).await {
@@ -152,7 +152,7 @@
         for branch in &self.branches {
             let members = branch.members();
             let (head, loads) = (self.peers.get(members[0]), loads.clone());
-            tokio::task::spawn_local(async move { head.tell(&loads, &members[1..]).await });
+            tokio::task::spawn_local(async move { head.publish_loads(&loads, &members[1..]).await });
         }
     }
 
@@ -164,27 +164,27 @@
 /// A group whose first rank is next to this process.
 #[derive(Debug)]
 pub struct BranchedGroup {
-    own: Rc<dyn RankControl>,
+    own_rank: Rc<dyn RankControl>,
     /// The hosts of the ranks, by rank, as far as they are known. The first one is this process's.
     hosts: Vec<Option<Ipv4Addr>>,
     /// All ranks but the first.
     branches: RankBranches,
     timeouts: Rc<GroupTimeouts>,
     /// Bandwidth of the link of a host next to a rank.
-    link: LinkRate,
+    link_rate: LinkRate,
 }
 
 impl BranchedGroup {
     /// Creates the group of the rank next to this process and those on `hosts`, by rank. `timeouts` may come from an
     /// earlier group, to keep what it recorded.
     pub fn new(
-        own: Rc<dyn RankControl>,
+        own_rank: Rc<dyn RankControl>,
         hosts: Vec<Option<Ipv4Addr>>,
         branches: RankBranches,
         timeouts: Rc<GroupTimeouts>,
-        link: LinkRate,
+        link_rate: LinkRate,
     ) -> Self {
-        Self { own, hosts, branches, timeouts, link }
+        Self { own_rank, hosts, branches, timeouts, link_rate }
     }
 
     /// Returns the hosts of the ranks, by rank, as far as they are known.
@@ -197,7 +197,7 @@
         &self.branches
     }
 
-    async fn call_own<T>(
+    async fn call_own_rank<T>(
         &self,
         timeout: &RefCell<AdaptiveTimeout>,
         call: porthoist_group::RankFuture<'_, T>,
@@ -210,41 +210,41 @@
         }
     }
 
-    async fn read_all(&self, counts: bool) -> GroupObservation {
-        let mut reading = GroupObservation::empty(self.hosts.len());
+    async fn observe_all(&self, counts: bool) -> GroupObservation {
+        let mut observation = GroupObservation::empty(self.hosts.len());
         let timeout = self.timeouts.for_states(counts);
-        match self.call_own(timeout, self.own.observe(counts)).await {
+        match self.call_own_rank(timeout, self.own_rank.observe(counts)).await {
             Ok(observed) => {
-                reading.add_counts(&observed.counts);
-                reading.states[0] = Some(observed.state);
+                observation.add_counts(&observed.counts);
+                observation.states[0] = Some(observed.state);
             }
             Err(unreachable) => {
-                reading.unreachable = Some(unreachable);
-                return reading;
+                observation.unreachable = Some(unreachable);
+                return observation;
             }
         }
         let (states, sum) = self.branches.observe(counts, timeout).await;
-        reading.add_counts(&sum.counts);
+        observation.add_counts(&sum.counts);
         let ranks: HashMap<Ipv4Addr, usize> =
             self.hosts.iter().enumerate().filter_map(|(rank, host)| Some(((*host)?, rank))).collect();
         for (host, state) in states {
             if let Some(rank) = ranks.get(&host) {
-                reading.states[*rank] = Some(state);
+                observation.states[*rank] = Some(state);
             }
         }
-        if let Some(rank) = reading.states.iter().position(Option::is_none) {
+        if let Some(rank) = observation.states.iter().position(Option::is_none) {
             let host = self.hosts[rank]
                 .map_or_else(|| "its host is not known".to_owned(), |host| format!("no answer of {host}"));
-            reading.unreachable = Some(UnreachableRank { rank, error: host });
+            observation.unreachable = Some(UnreachableRank { rank, error: host });
         }
-        reading
+        observation
     }
 
     async fn gather_lists(&self) -> Vec<Option<ExpertLists>> {
         let mut lists = vec![None; self.hosts.len()];
-        lists[0] = self.call_own(&self.timeouts.lists, self.own.expert_lists()).await.ok();
+        lists[0] = self.call_own_rank(&self.timeouts.lists, self.own_rank.expert_lists()).await.ok();
         let call = async |head: &RankPeer, others: &[Ipv4Addr], members: Duration| {
-            head.gather(others, members).await
+            head.member_lists(others, members).await
         };
         for HeadAnswer { members, answer, .. } in self.branches.call_heads(&self.timeouts.lists, call).await {
             for (member, list) in answer {
@@ -262,7 +262,7 @@
     ///
     /// A whole map for 129 ranks takes 0.4 s of links of 6 Mbit/s. A timeout that does not include this expires for each
     /// such map, which is then sent whole again.
-    fn map_time(&self, orders: &[(usize, EngineOrder)], map: Option<&EqualShareMap>) -> Duration {
+    fn map_transfer_time(&self, orders: &[(usize, EngineOrder)], map: Option<&EqualShareMap>) -> Duration {
         let version = orders.iter().find_map(|(_rank, order)| match order {
             EngineOrder::Prepare { version, .. } => Some(*version),
             _ => None,
@@ -274,11 +274,11 @@
         let (to_heads, to_members) = bytes.fold((0, 0), |(to_heads, to_members), (bytes, members)| {
             (to_heads + bytes, to_members.max(bytes * members))
         });
-        self.link.transfer_time(to_heads + to_members) * MAP_TIME_FACTOR
+        self.link_rate.transfer_time(to_heads + to_members) * MAP_TRANSFER_TIME_FACTOR
     }
 
     /// Forwards orders to ranks of one branch; returns the answers with the indices of their orders.
-    async fn forward(
+    async fn forward_orders(
         &self,
         branch: &RankBranch,
         orders: &[(usize, Ipv4Addr, EngineOrder)],
@@ -291,20 +291,20 @@
                 Some((member as u16, *order))
             });
             let numbered: Vec<MemberOrder> = numbered.collect();
-            head.pass(&members[1..], timeout.mul_f64(MEMBER_TIMEOUT_FRACTION), &numbered, map).await
+            head.forward_orders(&members[1..], timeout.mul_f64(MEMBER_TIMEOUT_FRACTION), &numbered, map).await
         };
         let HeadAnswer { answer, took, .. } = self.branches.call_head(branch, timeout, call).await?;
         let answers = orders.iter().zip(answer);
         Some((answers.filter_map(|((index, _host, _order), answer)| Some((*index, answer?))).collect(), took))
     }
 
-    async fn order_all(
+    async fn send_orders(
         &self,
         orders: &[(usize, EngineOrder)],
         map: Option<&EqualShareMap>,
     ) -> Vec<Option<OrderAnswer>> {
         let timeout = self.timeouts.for_orders(orders);
-        let allowed = timeout.borrow().get() + self.map_time(orders, map);
+        let allowed = timeout.borrow().get() + self.map_transfer_time(orders, map);
         let mut answers = vec![None; orders.len()];
         let mut own = None;
         let mut of_branch: BTreeMap<usize, Vec<(usize, Ipv4Addr, EngineOrder)>> = BTreeMap::new();
@@ -321,11 +321,14 @@
         let own_answer = async {
             let (index, order) = own?;
             let map = matches!(order, EngineOrder::Prepare { .. }).then_some(map).flatten();
-            self.call_own(timeout, self.own.order(order, map)).await.ok().map(|answer| (index, answer))
+            self.call_own_rank(timeout, self.own_rank.order(order, map))
+                .await
+                .ok()
+                .map(|answer| (index, answer))
         };
-        let forwarded = of_branch
-            .iter()
-            .map(|(branch, orders)| self.forward(&self.branches.branches[*branch], orders, map, allowed));
+        let forwarded = of_branch.iter().map(|(branch, orders)| {
+            self.forward_orders(&self.branches.branches[*branch], orders, map, allowed)
+        });
         let (own_answer, forwarded) = tokio::join!(own_answer, join_all(forwarded));
         if !of_branch.is_empty() {
             let times: Vec<Duration> = forwarded.iter().flatten().map(|(_answers, took)| *took).collect();
@@ -346,13 +349,13 @@
 
     fn observe_first(&self) -> LocalBoxFuture<'_, Option<RankState>> {
         Box::pin(async {
-            let observed = self.call_own(&self.timeouts.states, self.own.observe(false)).await;
+            let observed = self.call_own_rank(&self.timeouts.states, self.own_rank.observe(false)).await;
             observed.ok().map(|observed| observed.state)
         })
     }
 
     fn observe(&self, counts: bool) -> LocalBoxFuture<'_, GroupObservation> {
-        Box::pin(self.read_all(counts))
+        Box::pin(self.observe_all(counts))
     }
 
     fn expert_lists(&self) -> LocalBoxFuture<'_, Vec<Option<ExpertLists>>> {
@@ -364,6 +367,6 @@
         orders: &'a [(usize, EngineOrder)],
         map: Option<&'a EqualShareMap>,
     ) -> LocalBoxFuture<'a, Vec<Option<OrderAnswer>>> {
-        Box::pin(self.order_all(orders, map))
+        Box::pin(self.send_orders(orders, map))
     }
 }
--- a/crates/porthoist-fleet/src/rank/convert.rs
+++ b/crates/porthoist-fleet/src/rank/convert.rs
@@ -106,12 +106,12 @@
 /// States of a branch's members. Equal parts are stored once, since all ranks of a group normally agree in them.
 #[derive(Debug, Default, Serialize, Deserialize)]
 struct WireStates {
-    alike: Vec<AlikeState>,
+    alike: Vec<SharedState>,
     members: Vec<MemberState>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct AlikeState {
+struct SharedState {
     /// The view with sequence number 0.
     view: RankView,
     group: String,
@@ -135,7 +135,7 @@
     let mut wire = WireStates::default();
     for (member, state) in states {
         let view = RankView { sequence: OrderSequence(0), ..state.view };
-        let alike = AlikeState { view, group: state.group.clone(), size: state.size, open: state.open };
+        let alike = SharedState { view, group: state.group.clone(), size: state.size, open: state.open };
         let known = wire.alike.iter().position(|known| *known == alike);
         let place = known.unwrap_or_else(|| {
             wire.alike.push(alike);
@@ -156,19 +156,21 @@
 /// Decodes states by member of a branch.
 pub(crate) fn unpack_states(bytes: &[u8]) -> Result<Vec<(usize, RankState)>, Error> {
     let WireStates { alike, members } = unpack(bytes)?;
-    let state = |line: MemberState| {
-        let alike = alike.get(usize::from(line.alike));
-        let alike = alike.ok_or_else(|| Error::failed("a member is like none".to_owned()))?;
+    let state = |member: MemberState| {
+        let alike = alike.get(usize::from(member.alike));
+        let alike = alike.ok_or_else(|| {
+            Error::failed("the state of a member refers to a shared state that does not exist".to_owned())
+        })?;
         let state = RankState {
-            view: RankView { sequence: line.sequence, ..alike.view },
+            view: RankView { sequence: member.sequence, ..alike.view },
             group: alike.group.clone(),
-            rank: usize::from(line.rank),
+            rank: usize::from(member.rank),
             size: alike.size,
             open: alike.open,
-            requests: line.requests,
-            pace: line.pace,
+            requests: member.requests,
+            pace: member.pace,
         };
-        Ok((usize::from(line.member), state))
+        Ok((usize::from(member.member), state))
     };
     members.into_iter().map(state).collect()
 }
--- a/crates/porthoist-fleet/src/rank/maps.rs
+++ b/crates/porthoist-fleet/src/rank/maps.rs
@@ -7,7 +7,7 @@
 use std::collections::VecDeque;
 
 /// Number of cached maps: the one in use, the one being switched to, and one whose switch was aborted.
-const MAX_MAPS: usize = 3;
+const MAX_CACHED_MAPS: usize = 3;
 
 /// The last maps that a process received, over any connection, so that a new connection does not need a whole map. With
 /// 129 ranks a map has 10 KB, and sending it to all of them takes 1.7 s of a small host's link.
@@ -32,7 +32,7 @@
         let mut maps = self.maps.borrow_mut();
         maps.retain(|(known, _map)| *known != version);
         maps.push_back((version, map.clone()));
-        if maps.len() > MAX_MAPS {
+        if maps.len() > MAX_CACHED_MAPS {
             maps.pop_front();
         }
         Some(map)
--- a/crates/porthoist-fleet/src/rank/peer.rs
+++ b/crates/porthoist-fleet/src/rank/peer.rs
@@ -6,7 +6,9 @@
     write_hosts, write_order,
 };
 use super::maps::PeerMaps;
-use super::table_update::{EntryReport, QueryProgress, RowPieces, ZoneTableUpdate, read_zone, write_query};
+use super::table_update::{
+    EntryReport, QueryProgress, RowPieces, ZoneTableUpdate, read_zone_update, write_query,
+};
 use super::traffic::ControlTraffic;
 use crate::rank_capnp::rank_process;
 use crate::server::vat_network;
@@ -67,7 +69,7 @@
 pub struct RankPeer {
     address: SocketAddr,
     traffic: ControlTraffic,
-    connected: RefCell<Option<Rc<PeerConnection>>>,
+    connection: RefCell<Option<Rc<PeerConnection>>>,
     /// The maps that the process is known to have.
     maps: PeerMaps,
     /// The hosts of the loads that were last received from it.
@@ -107,15 +109,15 @@
 impl RankPeer {
     /// Creates a client of the process at an address.
     pub fn new(address: SocketAddr) -> Self {
-        Self::counted(address, ControlTraffic::default())
+        Self::with_traffic(address, ControlTraffic::default())
     }
 
     /// Creates a client whose traffic is counted.
-    pub fn counted(address: SocketAddr, traffic: ControlTraffic) -> Self {
+    pub fn with_traffic(address: SocketAddr, traffic: ControlTraffic) -> Self {
         Self {
             address,
             traffic,
-            connected: RefCell::default(),
+            connection: RefCell::default(),
             maps: PeerMaps::default(),
             hosts: RefCell::default(),
             sent_layout: Cell::new(0),
@@ -128,8 +130,8 @@
         self.address
     }
 
-    async fn connected(&self) -> Result<Rc<PeerConnection>, CallError> {
-        if let Some(connection) = self.connected.borrow().as_ref() {
+    async fn connect(&self) -> Result<Rc<PeerConnection>, CallError> {
+        if let Some(connection) = self.connection.borrow().as_ref() {
             return Ok(Rc::clone(connection));
         }
         let connecting = TcpStream::connect(self.address);
@@ -138,19 +140,19 @@
             .map_err(|_elapsed| CallError::not_sent("no connection in time"))?
             .map_err(|error| CallError::not_sent(error.to_string()))?;
         let connection = Rc::new(PeerConnection::open(stream, &self.traffic));
-        *self.connected.borrow_mut() = Some(Rc::clone(&connection));
+        *self.connection.borrow_mut() = Some(Rc::clone(&connection));
         Ok(connection)
     }
 
     /// Drops the connection after a failed call, and returns the call's error.
-    fn lost(&self, error: &Error) -> CallError {
+    fn connection_failed(&self, error: &Error) -> CallError {
         self.reset();
         CallError::unknown(error.to_string())
     }
 
     /// Queries for loads newer than `after`; the process may name another one to ask.
     pub async fn loads(&self, after: LoadRevision) -> Result<LoadsAnswer, CallError> {
-        let connection = self.connected().await?;
+        let connection = self.connect().await?;
         let mut request = connection.client.loads_request();
         request.get().set_after(after.0);
         request.get().set_layout(self.hosts.borrow().as_ref().map_or(0, |(layout, _hosts)| *layout));
@@ -158,21 +160,21 @@
             let response = request.send().promise.await?;
             read_loads(response.get()?, &mut self.hosts.borrow_mut())
         };
-        answered.await.map_err(|error: Error| self.lost(&error))
+        answered.await.map_err(|error: Error| self.connection_failed(&error))
     }
 
     /// Queries a table on behalf of an entry. Rows may come in pieces; the first one must come within `timeout` plus the
     /// time for which the process may hold the query.
     pub async fn query(
         &self,
-        ask: TableQuery,
+        query: TableQuery,
         report: &EntryReport,
         timeout: Duration,
     ) -> Result<ZoneTableUpdate, CallError> {
         let mut pieces = RowPieces::default();
-        let mut limit = ask.hold + timeout;
+        let mut limit = query.hold + timeout;
         for _piece in 0..MAX_PIECES {
-            let asked = tokio::time::timeout(limit, self.query_piece(&ask, report, &mut pieces)).await;
+            let asked = tokio::time::timeout(limit, self.query_piece(&query, report, &mut pieces)).await;
             match asked.map_err(|_elapsed| CallError::unknown("no table update in time"))?? {
                 QueryProgress::Complete(update) => return Ok(update),
                 QueryProgress::Incomplete => limit = PIECE_TIMEOUT,
@@ -183,33 +185,33 @@
 
     async fn query_piece(
         &self,
-        ask: &TableQuery,
+        query: &TableQuery,
         report: &EntryReport,
         pieces: &mut RowPieces,
     ) -> Result<QueryProgress, CallError> {
-        let connection = self.connected().await?;
+        let connection = self.connect().await?;
         let mut request = connection.client.news_request();
         let mut builder = request.get().init_ask();
-        write_query(builder.reborrow(), ask, report);
+        write_query(builder.reborrow(), query, report);
         pieces.write(builder);
-        let answered = async { read_zone(request.send().promise.await?.get()?.get_news()?, pieces) };
-        answered.await.map_err(|error: Error| self.lost(&error))
+        let answered = async { read_zone_update(request.send().promise.await?.get()?.get_news()?, pieces) };
+        answered.await.map_err(|error: Error| self.connection_failed(&error))
     }
 
     /// Sends the newest loads to the process, which forwards them to those on `others`. Sends nothing while the last report
     /// is not acknowledged.
-    pub async fn tell(&self, loads: &GroupLoads, others: &[Ipv4Addr]) {
+    pub async fn publish_loads(&self, loads: &GroupLoads, others: &[Ipv4Addr]) {
         if self.sending_loads.replace(true) {
             return;
         }
-        let sent = tokio::time::timeout(REPORT_TIMEOUT, self.tell_now(loads, others)).await;
+        let sent = tokio::time::timeout(REPORT_TIMEOUT, self.publish_loads_now(loads, others)).await;
         if sent.is_err() {
             self.reset();
         }
         self.sending_loads.set(false);
     }
 
-    async fn tell_now(&self, loads: &GroupLoads, others: &[Ipv4Addr]) -> Result<(), CallError> {
+    async fn publish_loads_now(&self, loads: &GroupLoads, others: &[Ipv4Addr]) -> Result<(), CallError> {
         let hosts = hosts_of(loads);
         let layout = layout_of(&hosts);
         let known = self.sent_layout.replace(layout) == layout;
@@ -227,7 +229,7 @@
         layout: u64,
         hosts: &[Ipv4Addr],
     ) -> Result<bool, CallError> {
-        let connection = self.connected().await?;
+        let connection = self.connect().await?;
         let mut request = connection.client.tell_request();
         let mut call = request.get();
         call.set_revision(loads.revision.0);
@@ -237,54 +239,54 @@
         write_hosts(call.reborrow().init_hosts(hosts.len() as u32), hosts);
         write_hosts(call.init_others(others.len() as u32), others);
         let sent = async { Ok(!request.send().promise.await?.get()?.get_unknown_layout()) };
-        sent.await.map_err(|error: Error| self.lost(&error))
+        sent.await.map_err(|error: Error| self.connection_failed(&error))
     }
 
     /// Reads the process's rank and, through it, those on other hosts.
-    pub(super) async fn sweep(
+    pub(super) async fn observe_members(
         &self,
         others: &[Ipv4Addr],
         counts: bool,
-        patience: Duration,
+        member_timeout: Duration,
     ) -> Result<BranchObservation, CallError> {
-        let connection = self.connected().await?;
+        let connection = self.connect().await?;
         let mut request = connection.client.sweep_request();
         let mut call = request.get();
         call.set_counts(counts);
-        call.set_millis(patience.as_millis() as u16);
+        call.set_millis(member_timeout.as_millis() as u16);
         write_hosts(call.init_others(others.len() as u32), others);
-        let swept = async {
+        let observed = async {
             let response = request.send().promise.await?;
             let results = response.get()?;
             let states = unpack_states(results.get_states()?)?;
             Ok(BranchObservation { states, counts: unpack_counts(results.get_counts()?, results.get_unit()) })
         };
-        swept.await.map_err(|error: Error| self.lost(&error))
+        observed.await.map_err(|error: Error| self.connection_failed(&error))
     }
 
     /// Reads the experts of the process's rank and, through it, of those on other hosts, by member.
-    pub(super) async fn gather(
+    pub(super) async fn member_lists(
         &self,
         others: &[Ipv4Addr],
-        patience: Duration,
+        member_timeout: Duration,
     ) -> Result<Vec<(usize, ExpertLists)>, CallError> {
-        let connection = self.connected().await?;
+        let connection = self.connect().await?;
         let mut request = connection.client.gather_request();
         let mut call = request.get();
-        call.set_millis(patience.as_millis() as u16);
+        call.set_millis(member_timeout.as_millis() as u16);
         write_hosts(call.init_others(others.len() as u32), others);
         let gathered = async {
             let response = request.send().promise.await?;
             unpack(response.get()?.get_lists()?)
         };
-        gathered.await.map_err(|error: Error| self.lost(&error))
+        gathered.await.map_err(|error: Error| self.connection_failed(&error))
     }
 
     /// Sends orders to members of a branch through the process; returns an answer for each order.
-    pub(super) async fn pass(
+    pub(super) async fn forward_orders(
         &self,
         others: &[Ipv4Addr],
-        patience: Duration,
+        member_timeout: Duration,
         orders: &[MemberOrder],
         map: Option<&EqualShareMap>,
     ) -> Result<Vec<Option<OrderAnswer>>, CallError> {
@@ -292,7 +294,9 @@
             EngineOrder::Prepare { version, .. } => Some(*version),
             _ => None,
         });
-        let send = async |changes: MapChanges| self.pass_with(others, patience, orders, &changes).await;
+        let send = async |changes: MapChanges| {
+            self.forward_orders_with(others, member_timeout, orders, &changes).await
+        };
         let (Some(version), Some(map)) = (version, map) else {
             return Ok(send(MapChanges::default()).await?.answers);
         };
@@ -313,43 +317,43 @@
     ) -> Result<T, CallError> {
         let changes = self.maps.changes(version, map);
         self.maps.record_sent(version, map);
-        let mut passed = send(changes).await?;
-        if passed.unknown_base {
+        let mut forwarded = send(changes).await?;
+        if forwarded.unknown_base {
             self.maps.forget();
             let whole = self.maps.changes(version, map);
             self.maps.record_sent(version, map);
-            passed = send(whole).await?;
+            forwarded = send(whole).await?;
         }
         self.maps.record_acknowledged(version, map);
-        Ok(passed.answers)
+        Ok(forwarded.answers)
     }
 
-    async fn pass_with(
+    async fn forward_orders_with(
         &self,
         others: &[Ipv4Addr],
-        patience: Duration,
+        member_timeout: Duration,
         orders: &[MemberOrder],
         map: &MapChanges,
     ) -> Result<ForwardedOrders<Vec<Option<OrderAnswer>>>, CallError> {
-        let connection = self.connected().await?;
+        let connection = self.connect().await?;
         let mut request = connection.client.pass_request();
         let mut call = request.get();
-        call.set_millis(patience.as_millis() as u16);
+        call.set_millis(member_timeout.as_millis() as u16);
         call.set_orders(&pack(&orders));
         write_hosts(call.reborrow().init_others(others.len() as u32), others);
         write_branch_map(call.init_map(), map);
-        let passed = async {
+        let forwarded = async {
             let response = request.send().promise.await?;
             let results = response.get()?;
             let unknown_base = results.get_unknown_base();
             let answers = if unknown_base { Vec::new() } else { unpack(results.get_answers()?)? };
             Ok(ForwardedOrders { answers, unknown_base })
         };
-        passed.await.map_err(|error: Error| self.lost(&error))
+        forwarded.await.map_err(|error: Error| self.connection_failed(&error))
     }
 
     async fn observe_rank(&self, counts: bool) -> Result<RankObservation, CallError> {
-        let connection = self.connected().await?;
+        let connection = self.connect().await?;
         let mut request = connection.client.observe_request();
         request.get().set_counts(counts);
         let observed = async {
@@ -358,11 +362,11 @@
             let counts = unpack_counts(results.get_counts()?, results.get_unit());
             read_observation(results.get_state()?, counts)
         };
-        observed.await.map_err(|error: Error| self.lost(&error))
+        observed.await.map_err(|error: Error| self.connection_failed(&error))
     }
 
-    async fn rank_lists(&self) -> Result<ExpertLists, CallError> {
-        let connection = self.connected().await?;
+    async fn read_expert_lists(&self) -> Result<ExpertLists, CallError> {
+        let connection = self.connect().await?;
         let request = connection.client.lists_request();
         let lists = async {
             let response = request.send().promise.await?;
@@ -373,7 +377,7 @@
             }
             Ok(ExpertLists { version: MapVersion(results.get_version()), experts })
         };
-        lists.await.map_err(|error: Error| self.lost(&error))
+        lists.await.map_err(|error: Error| self.connection_failed(&error))
     }
 
     async fn order_rank(
@@ -393,17 +397,17 @@
         order: EngineOrder,
         map: &MapChanges,
     ) -> Result<ForwardedOrders<OrderAnswer>, CallError> {
-        let connection = self.connected().await?;
+        let connection = self.connect().await?;
         let mut request = connection.client.order_request();
         write_order(request.get().init_order(), order, map);
-        let passed = async {
+        let forwarded = async {
             let response = request.send().promise.await?;
             let results = response.get()?;
             let view = if results.has_view() { Some(read_view(results.get_view()?)) } else { None };
             let answers = OrderAnswer { taken: results.get_taken(), view };
             Ok(ForwardedOrders { answers, unknown_base: results.get_unknown_base() })
         };
-        passed.await.map_err(|error: Error| self.lost(&error))
+        forwarded.await.map_err(|error: Error| self.connection_failed(&error))
     }
 }
 
@@ -413,7 +417,7 @@
     }
 
     fn expert_lists(&self) -> RankFuture<'_, ExpertLists> {
-        Box::pin(self.rank_lists())
+        Box::pin(self.read_expert_lists())
     }
 
     fn order<'a>(
@@ -425,7 +429,7 @@
     }
 
     fn reset(&self) {
-        self.connected.borrow_mut().take();
+        self.connection.borrow_mut().take();
         self.maps.connection_dropped();
     }
 }
@@ -447,7 +451,7 @@
     /// Returns the client of the process on a host.
     pub fn get(&self, host: Ipv4Addr) -> Rc<RankPeer> {
         let mut peers = self.peers.borrow_mut();
-        let new = || Rc::new(RankPeer::counted((host, self.port).into(), self.traffic.clone()));
+        let new = || Rc::new(RankPeer::with_traffic((host, self.port).into(), self.traffic.clone()));
         Rc::clone(peers.entry(host).or_insert_with(new))
     }
 
--- a/crates/porthoist-fleet/src/rank/server.rs
+++ b/crates/porthoist-fleet/src/rank/server.rs
@@ -8,7 +8,7 @@
 use super::peer::{MemberOrder, PeerPool};
 use super::publisher::LoadsPublisher;
 use super::table_update::{
-    EntryReport, PackedRows, read_piece_query, read_query, read_report, write_update, write_zone,
+    EntryReport, PackedRows, read_piece_query, read_query, read_report, write_update, write_zone_info,
 };
 use super::traffic::ControlTraffic;
 use crate::rank_capnp::rank_process;
@@ -287,7 +287,7 @@
         let loads = decode_loads(params.get_revision(), hosts, params.get_requests()?, params.get_pass());
         for host in read_hosts(params.get_others()?) {
             let (peer, loads) = (self.service.peers.get(host), loads.clone());
-            tokio::task::spawn_local(async move { peer.tell(&loads, &[]).await });
+            tokio::task::spawn_local(async move { peer.publish_loads(&loads, &[]).await });
         }
         self.service.publisher.receive(loads);
         Ok(())
@@ -298,15 +298,15 @@
         params: rank_process::NewsParams,
         mut results: rank_process::NewsResults,
     ) -> Result<(), Error> {
-        let asked = params.get()?.get_ask()?;
-        let (ask, report) = (read_query(asked)?, read_report(asked)?);
+        let message = params.get()?.get_ask()?;
+        let (query, report) = (read_query(message)?, read_report(message)?);
         let reader = self.service.reader.as_ref();
         let reader = reader.ok_or_else(|| Error::failed("this process follows no tables".to_owned()))?;
         let position = report.and_then(|report| self.service.handle_report(report));
-        let update = reader.query(ask).await;
+        let update = reader.query(query).await;
         let mut builder = results.get().init_news();
-        write_zone(builder.reborrow(), position, &self.service.recent_notes());
-        write_update(builder, &update, read_piece_query(asked), &mut self.service.packed.borrow_mut());
+        write_zone_info(builder.reborrow(), position, &self.service.recent_notes());
+        write_update(builder, &update, read_piece_query(message), &mut self.service.packed.borrow_mut());
         Ok(())
     }
 }
--- a/crates/porthoist-fleet/src/rank/table_update.rs
+++ b/crates/porthoist-fleet/src/rank/table_update.rs
@@ -45,7 +45,7 @@
     pub notes: Vec<AgedNote>,
 }
 
-pub(super) fn write_zone(
+pub(super) fn write_zone_info(
     mut builder: table_news::Builder<'_>,
     position: Option<EntryPosition>,
     notes: &[AgedNote],
@@ -59,7 +59,7 @@
     }
 }
 
-pub(super) fn read_zone(
+pub(super) fn read_zone_update(
     reader: table_news::Reader<'_>,
     pieces: &mut RowPieces,
 ) -> Result<QueryProgress, Error> {
@@ -83,21 +83,21 @@
     Ok((entry != EntryId(0)).then_some(EntryReport { entry, notes }))
 }
 
-pub(super) fn write_query(mut builder: news_ask::Builder<'_>, ask: &TableQuery, report: &EntryReport) {
+pub(super) fn write_query(mut builder: news_ask::Builder<'_>, query: &TableQuery, report: &EntryReport) {
     builder.set_entry(report.entry.0);
     if !report.notes.is_empty() {
         builder.set_notes(&pack(&report.notes));
     }
-    builder.set_table(match ask.table {
+    builder.set_table(match query.table {
         ControlTable::Routes => 0,
         ControlTable::Targets => 1,
         ControlTable::Crashes => 2,
     });
-    builder.set_after(ask.after.number);
-    builder.set_after_era(ask.after.era.0);
-    builder.set_stamp(ask.stamp);
-    builder.set_hold_millis(millis(ask.hold));
-    builder.set_wait_millis(millis(ask.wait));
+    builder.set_after(query.after.number);
+    builder.set_after_era(query.after.era.0);
+    builder.set_stamp(query.stamp);
+    builder.set_hold_millis(millis(query.hold));
+    builder.set_wait_millis(millis(query.wait));
 }
 
 fn millis(time: Duration) -> u32 {
@@ -193,10 +193,10 @@
     }
 
     /// Returns the queried piece, or the first one if the rows have changed since.
-    fn piece(&self, ask: PieceQuery) -> RowPiece<'_> {
+    fn piece(&self, query: PieceQuery) -> RowPiece<'_> {
         let (digest, total) = (self.digest, self.compressed.len());
-        let unchanged = ask.digest == digest && ask.offset as usize <= total;
-        let offset = if unchanged { ask.offset as usize } else { 0 };
+        let unchanged = query.digest == digest && query.offset as usize <= total;
+        let offset = if unchanged { query.offset as usize } else { 0 };
         let end = total.min(offset + PIECE_BYTES);
         RowPiece { bytes: &self.compressed[offset..end], offset: offset as u32, total: total as u32, digest }
     }
--- a/crates/porthoist-fleet/src/rank/traffic.rs
+++ b/crates/porthoist-fleet/src/rank/traffic.rs
@@ -25,7 +25,7 @@
     }
 
     /// Wraps a stream whose bytes are counted here.
-    pub fn counted<S>(&self, stream: S) -> CountedStream<S> {
+    pub fn count_stream<S>(&self, stream: S) -> CountedStream<S> {
         CountedStream { stream, traffic: self.clone() }
     }
 }
--- a/crates/porthoist-fleet/src/server.rs
+++ b/crates/porthoist-fleet/src/server.rs
@@ -197,7 +197,7 @@
     // Without these options, latency is higher and a dead peer is noticed later.
     drop(configure_socket(&stream, SocketPeer::Control));
     let (reader, writer) = stream.into_split();
-    let reader = futures::io::BufReader::new(traffic.counted(reader).compat());
-    let writer = futures::io::BufWriter::new(traffic.counted(writer).compat_write());
+    let reader = futures::io::BufReader::new(traffic.count_stream(reader).compat());
+    let writer = futures::io::BufWriter::new(traffic.count_stream(writer).compat_write());
     VatNetwork::new(reader, writer, side, capnp::message::ReaderOptions::default())
 }
--- a/crates/porthoist-fleet/tests/branches.rs
+++ b/crates/porthoist-fleet/tests/branches.rs
@@ -45,7 +45,7 @@
 
 /// An engine that counts, records its orders and may stop answering.
 #[derive(Debug, Default)]
-struct Engine {
+struct RecordingEngine {
     rank: usize,
     size: usize,
     silent: Cell<bool>,
@@ -66,7 +66,7 @@
     }
 }
 
-impl RankControl for Engine {
+impl RankControl for RecordingEngine {
     fn observe(&self, counts: bool) -> RankFuture<'_, RankObservation> {
         if self.silent.get() {
             return futures::future::pending::<Result<RankObservation, CallError>>().boxed_local();
@@ -104,32 +104,32 @@
 }
 
 /// A process next to a rank.
-struct Process {
-    engine: Rc<Engine>,
+struct RankProcess {
+    engine: Rc<RecordingEngine>,
     traffic: ControlTraffic,
     accepting: Option<JoinHandle<()>>,
 }
 
 /// A group of processes, each on its own loopback address.
-struct Group {
+struct ProcessGroup {
     port: u16,
     network: u8,
-    processes: Vec<Process>,
+    processes: Vec<RankProcess>,
 }
 
 fn host(network: u8, rank: usize) -> Ipv4Addr {
     Ipv4Addr::new(127, network, (rank / 200) as u8, 1 + (rank % 200) as u8)
 }
 
-impl Group {
+impl ProcessGroup {
     async fn start(network: u8, ranks: usize) -> Self {
         let first = TcpListener::bind((host(network, 0), 0)).await.expect("a free port");
         let port = first.local_addr().expect("a bound address").port();
         drop(first);
         let mut group = Self { port, network, processes: Vec::new() };
         for rank in 0..ranks {
-            let engine = Rc::new(Engine { rank, size: ranks, ..Engine::default() });
-            group.processes.push(Process { engine, traffic: ControlTraffic::default(), accepting: None });
+            let engine = Rc::new(RecordingEngine { rank, size: ranks, ..RecordingEngine::default() });
+            group.processes.push(RankProcess { engine, traffic: ControlTraffic::default(), accepting: None });
             group.restart(rank).await;
         }
         group
@@ -144,7 +144,7 @@
             tokio::task::yield_now().await;
         }
         let listener = TcpListener::bind((host(network, rank), port)).await.expect("a free port");
-        let own_rank: Rc<dyn RankControl> = Rc::<Engine>::clone(&process.engine);
+        let own_rank: Rc<dyn RankControl> = Rc::<RecordingEngine>::clone(&process.engine);
         let publisher = LoadsPublisher::new(watch::Sender::new(None).subscribe());
         let peers = Rc::new(PeerPool::new(port, process.traffic.clone()));
         let serving = RankService::builder()
@@ -157,7 +157,7 @@
     }
 
     /// Replaces a process by one that accepts connections and never answers.
-    async fn mute(&mut self, rank: usize) {
+    async fn make_unresponsive(&mut self, rank: usize) {
         let (port, network) = (self.port, self.network);
         let process = &mut self.processes[rank];
         if let Some(accepting) = process.accepting.take() {
@@ -166,9 +166,9 @@
         }
         let listener = TcpListener::bind((host(network, rank), port)).await.expect("a free port");
         process.accepting = Some(tokio::task::spawn_local(async move {
-            let mut kept = Vec::new();
+            let mut connections = Vec::new();
             while let Ok(connection) = listener.accept().await {
-                kept.push(connection);
+                connections.push(connection);
             }
         }));
     }
@@ -184,45 +184,50 @@
         let others: BTreeMap<_, _> = (1..ranks).map(|rank| (host(self.network, rank), zone(rank))).collect();
         let hosts = (0..ranks).map(|rank| Some(host(self.network, rank))).collect();
         let branches = RankBranches::new(&others, self.peers());
-        let own: Rc<dyn RankControl> = Rc::<Engine>::clone(&self.processes[0].engine);
+        let own: Rc<dyn RankControl> = Rc::<RecordingEngine>::clone(&self.processes[0].engine);
         BranchedGroup::new(own, hosts, branches, Rc::new(timeouts()), LinkRate(6.0))
     }
 
     /// The same group, with each rank called directly.
     fn direct(&self) -> DirectGroup {
         let peers = self.peers();
-        let own: Rc<dyn RankControl> = Rc::<Engine>::clone(&self.processes[0].engine);
+        let own: Rc<dyn RankControl> = Rc::<RecordingEngine>::clone(&self.processes[0].engine);
         let other = |rank: usize| -> Rc<dyn RankControl> { peers.get(host(self.network, rank)) };
         DirectGroup::new(std::iter::once(own).chain((1..self.processes.len()).map(other)).collect())
             .with_timeouts(timeouts())
     }
 
     /// Bytes sent and received by each process so far.
-    fn bytes(&self) -> Vec<u64> {
+    fn traffic_bytes(&self) -> Vec<u64> {
         self.processes.iter().map(|process| process.traffic.sent() + process.traffic.received()).collect()
     }
 }
 
 /// Returns the bytes of the planning process and of the busiest other one in a round with counts, once all are connected.
-async fn bytes_of_a_round(group: &Group, control: &dyn GroupControl) -> (u64, u64) {
+async fn round_bytes(group: &ProcessGroup, control: &dyn GroupControl) -> (u64, u64) {
     let first = control.observe(true).await;
     assert!(first.states.iter().all(Option::is_some), "all ranks are read");
-    let before = group.bytes();
-    let reading = control.observe(true).await;
-    assert_eq!(reading.counts, vec![group.processes.len() as u32; SETS * EXPERTS], "each rank counts once");
-    let spent: Vec<u64> = group.bytes().iter().zip(before).map(|(now, before)| now - before).collect();
+    let before = group.traffic_bytes();
+    let observation = control.observe(true).await;
+    assert_eq!(
+        observation.counts,
+        vec![group.processes.len() as u32; SETS * EXPERTS],
+        "each rank counts once"
+    );
+    let spent: Vec<u64> =
+        group.traffic_bytes().iter().zip(before).map(|(now, before)| now - before).collect();
     (spent[0], spent[1..].iter().copied().max().unwrap_or_default())
 }
 
 /// Bytes that any process of a group may send and receive in a round with counts, per square root of the number of ranks:
 /// 4.1 KB of counts and the states of a branch. A group of 129 takes 67.8 KB, 0.09 s of a link of 6 Mbit/s, and 573 KB if
 /// each rank is called directly.
-const BYTES_PER_ROOT: f64 = 6_000.0;
+const MAX_BYTES_PER_SQRT_RANKS: f64 = 6_000.0;
 
 /// Indices at which there is no answer.
-fn missing<T>(heard: &[Option<T>]) -> Vec<usize> {
-    let silent = heard.iter().enumerate().filter(|(_place, heard)| heard.is_none());
-    silent.map(|(place, _heard)| place).collect()
+fn missing_indices<T>(answers: &[Option<T>]) -> Vec<usize> {
+    let missing = answers.iter().enumerate().filter(|(_index, answer)| answer.is_none());
+    missing.map(|(index, _answer)| index).collect()
 }
 
 #[test_case(31, 12; "12 ranks")]
@@ -230,29 +235,29 @@
 #[test_case(33, 63; "63 ranks")]
 #[test_case(34, 129; "129 ranks")]
 #[tokio::test]
-async fn a_round_costs_no_process_more_than_the_root_of_the_group(network: u8, ranks: usize) {
-    let played = async {
-        let group = Group::start(network, ranks).await;
-        let bound = BYTES_PER_ROOT * (ranks.max(144) as f64).sqrt();
-        let (planner, busiest) = bytes_of_a_round(&group, &group.branched()).await;
+async fn traffic_of_a_round_grows_with_the_square_root_of_the_group_size(network: u8, ranks: usize) {
+    let scenario = async {
+        let group = ProcessGroup::start(network, ranks).await;
+        let bound = MAX_BYTES_PER_SQRT_RANKS * (ranks.max(144) as f64).sqrt();
+        let (planner, busiest) = round_bytes(&group, &group.branched()).await;
         assert!((planner as f64) < bound, "{ranks} ranks: {planner} bytes at the process that plans");
         assert!((busiest as f64) < bound, "{ranks} ranks: {busiest} bytes at another");
         if ranks == 129 {
-            let (direct, _member) = bytes_of_a_round(&group, &group.direct()).await;
+            let (direct, _member) = round_bytes(&group, &group.direct()).await;
             assert!(direct > 6 * planner, "{direct} bytes with each rank called directly, {planner} without");
         }
     };
-    LocalSet::new().run_until(played).await;
+    LocalSet::new().run_until(scenario).await;
 }
 
 #[tokio::test]
-async fn states_lists_and_orders_pass_through_branches_as_they_are() {
-    let played = async {
-        let group = Group::start(35, 40).await;
+async fn branches_forward_states_lists_and_orders_unchanged() {
+    let scenario = async {
+        let group = ProcessGroup::start(35, 40).await;
         let control = group.branched();
-        let reading = control.observe(false).await;
+        let observation = control.observe(false).await;
         let direct = group.direct().observe(false).await;
-        assert_eq!(reading.states, direct.states);
+        assert_eq!(observation.states, direct.states);
         let lists = control.expert_lists().await;
         let own = |rank: usize| ExpertLists {
             version: MapVersion(2),
@@ -272,7 +277,7 @@
             assert_eq!(*process.engine.orders.borrow(), expected, "rank {rank}");
         }
     };
-    LocalSet::new().run_until(played).await;
+    LocalSet::new().run_until(scenario).await;
 }
 
 fn map(ranks: usize, changed: usize) -> EqualShareMap {
@@ -293,23 +298,23 @@
 }
 
 /// Bytes per rank that a map which differs in one list may cost all processes together.
-const CHANGE_BYTES_PER_RANK: u64 = 700;
+const MAX_CHANGE_BYTES_PER_RANK: u64 = 700;
 
 /// The base of map changes must outlive the connection. Otherwise every later map is sent whole, which takes 1.7 s of a
 /// link of 6 Mbit/s.
 #[tokio::test]
-async fn maps_go_as_changes_also_over_new_connections_and_whole_to_a_process_that_began_anew() {
+async fn maps_are_sent_as_changes_over_new_connections_and_whole_to_restarted_processes() {
     const RANKS: usize = 40;
-    let played = async {
-        let mut group = Group::start(36, RANKS).await;
+    let scenario = async {
+        let mut group = ProcessGroup::start(36, RANKS).await;
         let control = group.branched();
         let all = |answers: &[Option<OrderAnswer>]| answers.iter().all(Option::is_some);
         assert!(all(&control.order(&prepares(RANKS, 11), Some(&map(RANKS, 0))).await));
-        let before: u64 = group.bytes().iter().sum();
+        let before: u64 = group.traffic_bytes().iter().sum();
         assert!(all(&control.order(&prepares(RANKS, 12), Some(&map(RANKS, 1))).await));
-        let spent = group.bytes().iter().sum::<u64>() - before;
+        let spent = group.traffic_bytes().iter().sum::<u64>() - before;
         assert!(
-            spent < CHANGE_BYTES_PER_RANK * RANKS as u64,
+            spent < MAX_CHANGE_BYTES_PER_RANK * RANKS as u64,
             "{spent} bytes for a map that differs in one list"
         );
         // Another planning process has its own connections and does not know which maps the others have.
@@ -326,77 +331,76 @@
             assert!(*process.engine.maps.borrow() == expected, "rank {rank} got other maps");
         }
     };
-    LocalSet::new().run_until(played).await;
+    LocalSet::new().run_until(scenario).await;
 }
 
 /// A head that does not answer, whatever the call, costs only its own rank: the next member replaces it in the same round.
 #[test_case(37, "sweep"; "while it reads")]
 #[test_case(38, "order"; "while it orders")]
 #[tokio::test]
-async fn a_silent_head_is_passed_over_in_the_same_round(network: u8, call: &str) {
-    let played = async {
-        let mut group = Group::start(network, 60).await;
+async fn an_unresponsive_head_is_replaced_in_the_same_round(network: u8, call: &str) {
+    let scenario = async {
+        let mut group = ProcessGroup::start(network, 60).await;
         // The first host of the first branch: its head.
-        group.mute(1).await;
+        group.make_unresponsive(1).await;
         let control = group.branched();
         if call == "sweep" {
-            let reading = control.observe(true).await;
-            let missing = missing(&reading.states);
+            let observation = control.observe(true).await;
+            let missing = missing_indices(&observation.states);
             assert_eq!(missing, [1]);
-            assert_eq!(reading.counts, vec![59; SETS * EXPERTS]);
+            assert_eq!(observation.counts, vec![59; SETS * EXPERTS]);
         } else {
             let hold = EngineOrder::Hold { epoch: GroupEpoch(1), step: StepNumber(9) };
             let orders: Vec<(usize, EngineOrder)> = (0..60).map(|rank| (rank, hold)).collect();
             let answers = control.order(&orders, None).await;
-            let missing = missing(&answers);
+            let missing = missing_indices(&answers);
             assert_eq!(missing, [1]);
         }
     };
-    LocalSet::new().run_until(played).await;
+    LocalSet::new().run_until(scenario).await;
 }
 
 /// A rank whose engine does not answer costs only its own rank as well, while the head answers.
 #[tokio::test]
-async fn a_silent_engine_costs_only_its_own_rank() {
-    let played = async {
-        let group = Group::start(40, 60).await;
+async fn an_unresponsive_engine_affects_only_its_own_rank() {
+    let scenario = async {
+        let group = ProcessGroup::start(40, 60).await;
         let control = group.branched();
         assert!(control.observe(true).await.states.iter().all(Option::is_some));
         for rank in [1, 30] {
             group.processes[rank].engine.silent.set(true);
         }
-        let reading = control.observe(true).await;
-        let missing = missing(&reading.states);
+        let observation = control.observe(true).await;
+        let missing = missing_indices(&observation.states);
         assert_eq!(missing, [1, 30]);
-        assert_eq!(reading.counts, vec![58; SETS * EXPERTS]);
+        assert_eq!(observation.counts, vec![58; SETS * EXPERTS]);
     };
-    LocalSet::new().run_until(played).await;
+    LocalSet::new().run_until(scenario).await;
 }
 
 /// Each process of a group reports the loads that the planning process distributed; the hosts are sent only once.
 #[tokio::test]
-async fn all_processes_tell_the_loads_that_were_told_to_branches() {
-    let played = async {
-        let group = Group::start(39, 30).await;
+async fn all_processes_report_the_loads_published_to_branches() {
+    let scenario = async {
+        let group = ProcessGroup::start(39, 30).await;
         let control = group.branched();
         let loads = |revision: u64| {
             let ranks =
                 (0..30).map(|rank| RankLoad { host: host(39, rank), requests: rank as u32, silent: false });
             GroupLoads { revision: LoadRevision(revision), pass: GroupPass::Broken, ranks: ranks.collect() }
         };
-        let asked = RankPeer::new((host(39, 17), group.port).into());
-        assert_eq!(asked.loads(LoadRevision(0)).await.expect("an answer"), LoadsAnswer::Redirect(None));
+        let peer = RankPeer::new((host(39, 17), group.port).into());
+        assert_eq!(peer.loads(LoadRevision(0)).await.expect("an answer"), LoadsAnswer::Redirect(None));
         for revision in [5, 6] {
             // Only one report is sent at a time.
-            while asked.loads(LoadRevision(0)).await.expect("an answer")
-                != LoadsAnswer::Loads(loads(revision))
+            while peer.loads(LoadRevision(0)).await.expect("an answer") != LoadsAnswer::Loads(loads(revision))
             {
                 control.branches().publish_loads(&loads(revision));
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         }
-        let outdated = tokio::time::timeout(Duration::from_secs(5), asked.loads(LoadRevision(6))).await;
+        let outdated = tokio::time::timeout(Duration::from_secs(5), peer.loads(LoadRevision(6))).await;
         assert!(matches!(outdated, Ok(Ok(LoadsAnswer::Redirect(_planner)))), "{outdated:?}");
     };
-    LocalSet::new().run_until(played).await;
+    LocalSet::new().run_until(scenario).await;
 }
--- a/crates/porthoist-fleet/tests/rank.rs
+++ b/crates/porthoist-fleet/tests/rank.rs
@@ -74,7 +74,7 @@
 }
 
 /// Starts a process next to [`IdleRank`] on a free port, and returns a client of it.
-async fn start(published: &watch::Sender<Option<GroupLoads>>) -> RankPeer {
+async fn start_process(published: &watch::Sender<Option<GroupLoads>>) -> RankPeer {
     start_with_rank(Rc::default(), published).await
 }
 
@@ -89,10 +89,10 @@
 }
 
 #[tokio::test]
-async fn a_process_that_does_not_plan_names_the_one_that_does() {
+async fn a_process_that_does_not_plan_redirects_to_its_last_observer() {
     let published = watch::Sender::new(None);
-    let asked = async {
-        let peer = start(&published).await;
+    let scenario = async {
+        let peer = start_process(&published).await;
         let unknown = peer.loads(LoadRevision(0)).await.expect("an answer");
         assert_eq!(unknown, LoadsAnswer::Redirect(None));
         let observed = peer.observe(false).await.expect("an answer");
@@ -100,14 +100,14 @@
         let known = peer.loads(LoadRevision(0)).await.expect("an answer");
         assert_eq!(known, LoadsAnswer::Redirect(Some(Ipv4Addr::LOCALHOST)), "who observed it plans");
     };
-    LocalSet::new().run_until(asked).await;
+    LocalSet::new().run_until(scenario).await;
 }
 
 #[tokio::test]
-async fn a_question_waits_for_a_newer_report_and_ends_with_the_planning() {
+async fn a_load_query_waits_for_newer_loads_and_is_redirected_when_planning_ends() {
     let published = watch::Sender::new(Some(loads(1)));
-    let asked = async {
-        let peer = start(&published).await;
+    let scenario = async {
+        let peer = start_process(&published).await;
         let first = peer.loads(LoadRevision(0)).await.expect("an answer");
         assert_eq!(first, LoadsAnswer::Loads(loads(1)));
         let waiting = peer.loads(LoadRevision(1));
@@ -121,19 +121,19 @@
         let ended = peer.loads(LoadRevision(2)).await.expect("an answer");
         assert_eq!(ended, LoadsAnswer::Redirect(None));
     };
-    LocalSet::new().run_until(asked).await;
+    LocalSet::new().run_until(scenario).await;
 }
 
 #[tokio::test]
-async fn an_order_is_answered_with_what_the_engine_reports() {
+async fn an_order_returns_the_answer_of_the_engine() {
     let published = watch::Sender::new(None);
-    let asked = async {
-        let peer = start(&published).await;
+    let scenario = async {
+        let peer = start_process(&published).await;
         let order = EngineOrder::Hold { epoch: GroupEpoch(1), step: StepNumber(9) };
         let answer = peer.order(order, None).await.expect("an answer");
         assert_eq!(answer, OrderAnswer { taken: true, view: Some(VIEW) });
     };
-    LocalSet::new().run_until(asked).await;
+    LocalSet::new().run_until(scenario).await;
 }
 
 /// A map of 64 ranks in 8 sets with five experts per rank, in which some lists depend on `changed`.
@@ -147,9 +147,9 @@
 }
 
 #[tokio::test]
-async fn maps_arrive_as_they_were_planned_also_as_changes() {
+async fn maps_sent_as_changes_arrive_complete() {
     let published = watch::Sender::new(None);
-    let played = async {
+    let scenario = async {
         let own_rank = Rc::new(IdleRank::default());
         let peer = start_with_rank(Rc::clone(&own_rank), &published).await;
         let maps = [large_map(0), large_map(7), large_map(7), large_map(30)];
@@ -166,5 +166,5 @@
         }
         assert_eq!(*own_rank.maps.borrow(), maps);
     };
-    LocalSet::new().run_until(played).await;
+    LocalSet::new().run_until(scenario).await;
 }
--- a/crates/porthoist-fleet/tests/zone.rs
+++ b/crates/porthoist-fleet/tests/zone.rs
@@ -84,7 +84,7 @@
     }
 }
 
-async fn start(clock: &Arc<ManualClock>) -> RankPeer {
+async fn start_process(clock: &Arc<ManualClock>) -> RankPeer {
     start_with(clock, FixedTable::default()).await
 }
 
@@ -104,8 +104,8 @@
     RankPeer::new(address)
 }
 
-async fn ask(peer: &RankPeer, entry: u64, notes: &[TargetNote], now: u64) -> ZoneTableUpdate {
-    let ask = TableQuery {
+async fn query_table(peer: &RankPeer, entry: u64, notes: &[TargetNote], now: u64) -> ZoneTableUpdate {
+    let query = TableQuery {
         table: ControlTable::Targets,
         after: TableRevision::default(),
         stamp: 0,
@@ -113,43 +113,46 @@
         wait: Duration::from_secs(1),
     };
     let notes = notes.iter().map(|note| note.aged(UnixMillis(now))).collect();
-    peer.query(ask, &EntryReport { entry: EntryId(entry), notes }, TIMEOUT).await.unwrap()
+    peer.query(query, &EntryReport { entry: EntryId(entry), notes }, TIMEOUT).await.unwrap()
 }
 
 #[tokio::test]
-async fn entries_learn_their_places_and_what_others_heard() {
+async fn entries_receive_their_positions_and_the_notes_of_others() {
     let clock = Arc::new(ManualClock(AtomicU64::new(100_000)));
-    let asked = async {
-        let peer = start(&clock).await;
-        assert_eq!(ask(&peer, 7, &[], 0).await.position, None, "others may not have asked yet");
-        assert_eq!(ask(&peer, 3, &[], 0).await.position, None);
+    let scenario = async {
+        let peer = start_process(&clock).await;
+        assert_eq!(query_table(&peer, 7, &[], 0).await.position, None, "others may not have asked yet");
+        assert_eq!(query_table(&peer, 3, &[], 0).await.position, None);
         clock.0.store(104_000, Ordering::Relaxed);
         // The clock of the entry differs from that of the process.
         let life = TargetLife { id: "t".parse().unwrap(), born: StartMillis(5) };
         let heard = TargetNote { life, limit: Some(RequestRate(1.5)), as_of: UnixMillis(9_000) };
-        let first = ask(&peer, 3, std::slice::from_ref(&heard), 9_300).await;
-        let second = ask(&peer, 7, &[], 0).await;
+        let first = query_table(&peer, 3, std::slice::from_ref(&heard), 9_300).await;
+        let second = query_table(&peer, 7, &[], 0).await;
         assert_eq!(first.position, Some(EntryPosition { index: 0, entries: 2 }));
         assert_eq!(second.position, Some(EntryPosition { index: 1, entries: 2 }));
         let received: Vec<TargetNote> =
             second.notes.into_iter().map(|note| note.to_local(UnixMillis(55_000))).collect();
         assert_eq!(received, [TargetNote { as_of: UnixMillis(54_700), ..heard }]);
     };
-    LocalSet::new().run_until(asked).await;
+    LocalSet::new().run_until(scenario).await;
 }
 
 #[tokio::test]
-async fn who_is_no_entry_is_not_counted() {
+async fn queries_without_an_entry_are_not_counted() {
     let clock = Arc::new(ManualClock(AtomicU64::new(100_000)));
-    let asked = async {
-        let peer = start(&clock).await;
-        ask(&peer, 3, &[], 0).await;
-        ask(&peer, 0, &[], 0).await;
+    let scenario = async {
+        let peer = start_process(&clock).await;
+        query_table(&peer, 3, &[], 0).await;
+        query_table(&peer, 0, &[], 0).await;
         clock.0.store(104_000, Ordering::Relaxed);
-        assert_eq!(ask(&peer, 0, &[], 0).await.position, None);
-        assert_eq!(ask(&peer, 3, &[], 0).await.position, Some(EntryPosition { index: 0, entries: 1 }));
+        assert_eq!(query_table(&peer, 0, &[], 0).await.position, None);
+        assert_eq!(
+            query_table(&peer, 3, &[], 0).await.position,
+            Some(EntryPosition { index: 0, entries: 1 })
+        );
     };
-    LocalSet::new().run_until(asked).await;
+    LocalSet::new().run_until(scenario).await;
 }
 
 /// A row whose bytes hardly compress.
@@ -167,12 +170,12 @@
 #[test_case::test_case(100_000, true; "in pieces")]
 #[test_case::test_case(200_000, false; "too much")]
 #[tokio::test]
-async fn a_large_row_is_told_in_pieces(bytes: usize, sent: bool) {
+async fn a_large_row_is_sent_in_pieces(bytes: usize, sent: bool) {
     let clock = Arc::new(ManualClock(AtomicU64::new(100_000)));
-    let asked = async {
+    let scenario = async {
         let row = noisy_row(bytes);
         let peer = start_with(&clock, FixedTable(vec![row.clone()])).await;
-        match ask(&peer, 3, &[], 0).await.update {
+        match query_table(&peer, 3, &[], 0).await.update {
             TableUpdate::Newer { rows, .. } => {
                 assert!(sent);
                 assert_eq!(rows.revision, TableRevision::new(TABLE_ERA, 1));
@@ -181,17 +184,17 @@
             other => assert_eq!((other, sent), (TableUpdate::TooMuch, false)),
         }
     };
-    LocalSet::new().run_until(asked).await;
+    LocalSet::new().run_until(scenario).await;
 }
 
 /// A dropped connection must be closed. When a rank does not answer, its connection is dropped and another is made. If the
 /// old one stays open at both ends, a process next to a rank soon holds 1,970 of its 2,048 files, with 300 hosts as with
 /// 1,047.
 #[tokio::test]
-async fn a_connection_that_is_left_is_closed() {
+async fn a_dropped_connection_is_closed() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let peer = RankPeer::new(listener.local_addr().unwrap());
-    let played = async {
+    let scenario = async {
         for _time in 0..3 {
             let mut observed = peer.observe(false);
             let (mut stream, _address) = tokio::select! {
@@ -212,5 +215,5 @@
                 .unwrap();
         }
     };
-    LocalSet::new().run_until(played).await;
+    LocalSet::new().run_until(scenario).await;
 }
