--- a/crates/porthoist-target/src/offers.rs
+++ b/crates/porthoist-target/src/offers.rs
@@ -121,7 +121,7 @@
         self.prefixes.cached_blocks(blocks) as u32 * BLOCK_TOKENS
     }
 
-    fn publish(&self) {
+    fn publish_load(&self) {
         let load = self.queue.load(self.now(), self.gate.draining());
         self.settings.load.send_replace(load);
     }
@@ -254,7 +254,7 @@
         }
     }
 
-    fn ended(&mut self, attempt: AttemptId) {
+    fn handle_run_end(&mut self, attempt: AttemptId) {
         let now = self.now();
         self.queue.finished(now, attempt);
         if let Some(record) = self.active.remove(&attempt)
@@ -296,7 +296,7 @@
 
     async fn handle(&mut self, msg: OfferRequest, _ctx: &mut Context<Self, Self::Reply>) -> Self::Reply {
         let decided = self.decide(&msg.0);
-        self.publish();
+        self.publish_load();
         decided
     }
 }
@@ -339,8 +339,8 @@
     type Reply = ();
 
     async fn handle(&mut self, msg: RunEnded, _ctx: &mut Context<Self, Self::Reply>) -> Self::Reply {
-        self.ended(msg.0);
-        self.publish();
+        self.handle_run_end(msg.0);
+        self.publish_load();
     }
 }
 
@@ -367,7 +367,7 @@
         let abandoned = self.active.get(&msg.0).is_some_and(|record| !record.log.is_followed());
         if abandoned && self.queue.is_waiting(msg.0) {
             self.cancel(msg.0, RefusalReason::DeadlinePassed, None);
-            self.publish();
+            self.publish_load();
         }
     }
 }
@@ -384,7 +384,7 @@
             self.queue.set_pace(pace.step_micros, pace.prefill_rate);
         }
         self.start_waiting();
-        self.publish();
+        self.publish_load();
     }
 }
 
@@ -397,6 +397,6 @@
 
     async fn handle(&mut self, msg: SetDraining, _ctx: &mut Context<Self, Self::Reply>) -> Self::Reply {
         self.gate.set_draining(msg.0);
-        self.publish();
+        self.publish_load();
     }
 }
--- a/crates/porthoist-target/src/runner.rs
+++ b/crates/porthoist-target/src/runner.rs
@@ -60,7 +60,7 @@
         Self { base: base.into().trim_end_matches('/').to_owned(), client: HttpClient::new() }
     }
 
-    fn request(&self, offer: &RequestOffer) -> Result<Request<Full<Bytes>>, CallError> {
+    fn build_request(&self, offer: &RequestOffer) -> Result<Request<Full<Bytes>>, CallError> {
         let mut builder =
             Request::builder().method(offer.method.as_str()).uri(format!("{}{}", self.base, offer.path));
         for (name, value) in &offer.headers {
@@ -73,8 +73,12 @@
         builder.body(Full::new(offer.body.clone())).map_err(|error| CallError::not_sent(error.to_string()))
     }
 
-    async fn answer(self, job: &RunJob, first_event: Box<dyn FnOnce() + Send>) -> Result<LogEnd, CallError> {
-        let response = self.client.send(self.request(&job.offer)?).await?;
+    async fn run_request(
+        self,
+        job: &RunJob,
+        first_event: Box<dyn FnOnce() + Send>,
+    ) -> Result<LogEnd, CallError> {
+        let response = self.client.send(self.build_request(&job.offer)?).await?;
         let streamed = job.offer.stream && response.status().is_success();
         if streamed {
             return stream_events(response, &job.log, first_event).await;
@@ -136,8 +140,10 @@
     fn run(&self, job: RunJob, first_event: Box<dyn FnOnce() + Send>) -> BoxFuture<'static, ()> {
         let runner = self.clone();
         Box::pin(async move {
-            let end = match runner.answer(&job, first_event).await {
-                Ok(LogEnd::Whole { head, .. }) if head.status >= 500 && job.offer.kind == MODEL => failed(),
+            let end = match runner.run_request(&job, first_event).await {
+                Ok(LogEnd::Whole { head, .. }) if head.status >= 500 && job.offer.kind == MODEL => {
+                    engine_failure()
+                }
                 Ok(end) => end,
                 Err(error) => {
                     let reason = match error.verdict {
@@ -164,7 +170,7 @@
 const MODEL: porthoist_core::ServiceKind = porthoist_core::ServiceKind::Model;
 
 /// The outcome for an engine's own error: the request may have run, and a safe one can be sent to another target.
-fn failed() -> LogEnd {
+fn engine_failure() -> LogEnd {
     let reason = RefusalReason::BackendFailed;
     LogEnd::Refused { reason, verdict: RunVerdict::MayHaveRun, retry_at: None }
 }
@@ -178,7 +184,7 @@
     let cancellable = job.offer.repeat == RepeatPolicy::Safe && job.offer.ticket.is_none();
     let first_actor = actor.clone();
     let first_event = Box::new(move || {
-        let _told = first_actor.tell(FirstEvent(attempt)).try_send();
+        let _sent = first_actor.tell(FirstEvent(attempt)).try_send();
     });
     let run = runner.run(job, first_event);
     if cancellable {
@@ -193,5 +199,5 @@
     let (reason, verdict) = (RefusalReason::DeadlinePassed, RunVerdict::MayHaveRun);
     log.finish(LogEnd::Refused { reason, verdict, retry_at: None });
     // Sending fails only when the process is shutting down.
-    let _told = actor.tell(RunEnded(attempt)).await;
+    let _sent = actor.tell(RunEnded(attempt)).await;
 }
