--- a/crates/porthoist-core/src/deadline.rs
+++ b/crates/porthoist-core/src/deadline.rs
@@ -79,9 +79,9 @@
 /// after seconds would treat a proof, a lease or a kept connection from before the suspension as fresh.
 #[derive(Debug)]
 pub struct AnchoredClock {
-    wall: UnixMillis,
-    start: Duration,
-    reading: fn() -> Duration,
+    started_at: UnixMillis,
+    start_reading: Duration,
+    read_clock: fn() -> Duration,
 }
 
 impl AnchoredClock {
@@ -90,10 +90,14 @@
         Self::with_reading(since_boot)
     }
 
-    /// Creates a clock that is advanced by `reading`, which must never decrease.
-    pub fn with_reading(reading: fn() -> Duration) -> Self {
+    /// Creates a clock that is advanced by `read_clock`, which must never decrease.
+    pub fn with_reading(read_clock: fn() -> Duration) -> Self {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Self { wall: UnixMillis(since_epoch.as_millis() as u64), start: reading(), reading }
+        Self {
+            started_at: UnixMillis(since_epoch.as_millis() as u64),
+            start_reading: read_clock(),
+            read_clock,
+        }
     }
 }
 
@@ -117,7 +121,7 @@
 
 impl ClockSource for AnchoredClock {
     fn now(&self) -> UnixMillis {
-        let elapsed = (self.reading)().saturating_sub(self.start);
-        self.wall.plus(elapsed.as_millis() as u64)
+        let elapsed = (self.read_clock)().saturating_sub(self.start_reading);
+        self.started_at.plus(elapsed.as_millis() as u64)
     }
 }
--- a/crates/porthoist-core/src/ids.rs
+++ b/crates/porthoist-core/src/ids.rs
@@ -22,8 +22,8 @@
 const NAME_RULE: &str = "1 to 128 bytes of letters, digits, '-', '_' and '.'";
 
 fn check_name(role: &'static str, text: &str) -> Result<(), IdError> {
-    let legal = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
-    let valid = (1..=MAX_NAME_BYTES).contains(&text.len()) && text.bytes().all(legal);
+    let allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
+    let valid = (1..=MAX_NAME_BYTES).contains(&text.len()) && text.bytes().all(allowed);
     if valid {
         return Ok(());
     }
--- a/crates/porthoist-core/src/mark.rs
+++ b/crates/porthoist-core/src/mark.rs
@@ -99,8 +99,8 @@
 
     fn from_str(text: &str) -> Result<Self, MarkError> {
         let error = || MarkError(text.chars().take(64).collect());
-        let legal = text.len() == MARK_DIGITS && text.bytes().all(|byte| byte.is_ascii_hexdigit());
-        if !legal {
+        let valid = text.len() == MARK_DIGITS && text.bytes().all(|byte| byte.is_ascii_hexdigit());
+        if !valid {
             return Err(error());
         }
         let (whole, head) = text.split_at(32);
--- a/crates/porthoist-core/src/ring.rs
+++ b/crates/porthoist-core/src/ring.rs
@@ -10,13 +10,13 @@
 /// The sending end of a ring.
 pub struct RingSender<T> {
     producer: Producer<T>,
-    wake: Arc<Notify>,
+    notify: Arc<Notify>,
 }
 
 /// The receiving end of a ring.
 pub struct RingReceiver<T> {
     consumer: Consumer<T>,
-    wake: Arc<Notify>,
+    notify: Arc<Notify>,
 }
 
 /// Error of sending to a full ring; it returns the value.
@@ -27,23 +27,23 @@
 /// Creates a ring that holds at most `capacity` values.
 pub fn bounded_ring<T>(capacity: usize) -> (RingSender<T>, RingReceiver<T>) {
     let (producer, consumer) = RingBuffer::new(capacity);
-    let wake = Arc::new(Notify::new());
-    let sender = RingSender { producer, wake: Arc::clone(&wake) };
-    (sender, RingReceiver { consumer, wake })
+    let notify = Arc::new(Notify::new());
+    let sender = RingSender { producer, notify: Arc::clone(&notify) };
+    (sender, RingReceiver { consumer, notify })
 }
 
 impl<T> RingSender<T> {
     /// Sends a value without waiting; fails if the ring is full.
     pub fn try_send(&mut self, value: T) -> Result<(), RingFull<T>> {
         let pushed = self.producer.push(value);
-        self.wake.notify_one();
+        self.notify.notify_one();
         pushed.map_err(|rtrb::PushError::Full(value)| RingFull(value))
     }
 }
 
 impl<T> Drop for RingSender<T> {
     fn drop(&mut self) {
-        self.wake.notify_one();
+        self.notify.notify_one();
     }
 }
 
@@ -56,14 +56,14 @@
     /// Waits for the next value; `None` once the sender is dropped and the ring is empty.
     pub async fn receive(&mut self) -> Option<T> {
         loop {
-            let abandoned = self.consumer.is_abandoned();
+            let sender_dropped = self.consumer.is_abandoned();
             if let Ok(value) = self.consumer.pop() {
                 return Some(value);
             }
-            if abandoned {
+            if sender_dropped {
                 return None;
             }
-            self.wake.notified().await;
+            self.notify.notified().await;
         }
     }
 }
--- a/crates/porthoist-core/tests/core.rs
+++ b/crates/porthoist-core/tests/core.rs
@@ -10,7 +10,7 @@
 #[test_case("a b" => false; "space")]
 #[test_case("" => false; "empty")]
 #[test_case("a:b" => false; "colon")]
-fn names(text: &str) -> bool {
+fn names_consist_of_allowed_characters(text: &str) -> bool {
     text.parse::<TargetName>().is_ok()
 }
 
@@ -18,7 +18,7 @@
 static SINCE_BOOT: AtomicU64 = AtomicU64::new(7_000);
 
 #[test]
-fn the_clock_counts_suspended_time_whatever_the_time_of_day() {
+fn the_clock_includes_suspended_time() {
     let clock = AnchoredClock::with_reading(|| Duration::from_millis(SINCE_BOOT.load(Ordering::Relaxed)));
     let before = clock.now();
     // The host was suspended: only the boot-time clock advances.
@@ -29,7 +29,7 @@
 
 #[cfg(target_os = "linux")]
 #[test]
-fn the_usual_clock_is_that_of_the_time_since_boot() {
+fn the_default_clock_follows_the_boot_time_clock() {
     let uptime = || {
         let text = std::fs::read_to_string("/proc/uptime").unwrap();
         text.split(' ').next().unwrap().parse::<f64>().unwrap() * 1_000.0
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn ticket_is_bound_to_team_and_key() {
+fn tickets_are_bound_to_team_and_key() {
     let key = TicketKey::new([7; 32]);
     let target: TargetName = "t1".parse().unwrap();
     let team: TeamName = "border".parse().unwrap();
@@ -61,14 +61,14 @@
     }
 
     #[test]
-    fn attempt_round_trips(entry: u64, request: u64, attempt: u32) {
+    fn attempt_ids_round_trip_through_text(entry: u64, request: u64, attempt: u32) {
         let id = AttemptId { entry: IncarnationId(entry), request: RequestId(request), attempt };
         prop_assert_eq!(id.to_string().parse::<AttemptId>().unwrap(), id);
     }
 }
 
 #[tokio::test]
-async fn ring_refuses_when_full_and_ends_when_abandoned() {
+async fn rings_reject_values_when_full_and_end_when_the_sender_is_dropped() {
     let (mut sender, mut receiver) = bounded_ring(1);
     sender.try_send(1).unwrap();
     assert_eq!(sender.try_send(2).unwrap_err().0, 2);
