--- a/crates/porthoist-http/src/body.rs
+++ b/crates/porthoist-http/src/body.rs
@@ -61,16 +61,16 @@
 
 /// Reads a body of up to `limit` bytes. A longer one is still read to its end, within bounds, before the error.
 pub async fn read_body(mut body: Incoming, limit: usize) -> Result<Bytes, BodyError> {
-    let mut kept = BytesMut::new();
+    let mut collected = BytesMut::new();
     let mut length = 0_usize;
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame?.into_data() else { continue };
         length = length.saturating_add(data.len());
         if length <= limit {
-            kept.extend_from_slice(&data);
+            collected.extend_from_slice(&data);
         } else if length > limit.saturating_add(MAX_DISCARDED_BYTES) {
             break;
         }
     }
-    if length > limit { Err(BodyError::TooLong(limit)) } else { Ok(kept.freeze()) }
+    if length > limit { Err(BodyError::TooLong(limit)) } else { Ok(collected.freeze()) }
 }
--- a/crates/porthoist-http/src/client.rs
+++ b/crates/porthoist-http/src/client.rs
@@ -78,7 +78,7 @@
     connector.set_keepalive_interval(Some(KEEPALIVE_INTERVAL));
     connector.set_keepalive_retries(Some(KEEPALIVE_PROBES));
     #[cfg(target_os = "linux")]
-    connector.set_tcp_user_timeout(Some(SocketPeer::Control.unacknowledged()));
+    connector.set_tcp_user_timeout(Some(SocketPeer::Control.unacknowledged_timeout()));
     Client::builder(TokioExecutor::new())
         .pool_timer(TokioTimer::new())
         .pool_idle_timeout(IDLE_TIMEOUT)
@@ -96,7 +96,7 @@
     pub async fn send(&self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, CallError> {
         let client = self.client.lock().clone();
         client.request(request).await.map_err(|error| {
-            let message = describe(&error);
+            let message = error_chain(&error);
             if error.is_connect() { CallError::not_sent(message) } else { CallError::unknown(message) }
         })
     }
@@ -149,7 +149,7 @@
 }
 
 /// Formats an error with all its sources.
-fn describe(error: &dyn std::error::Error) -> String {
+fn error_chain(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
     while let Some(inner) = source {
--- a/crates/porthoist-http/src/server.rs
+++ b/crates/porthoist-http/src/server.rs
@@ -21,12 +21,12 @@
     /// Largest accepted size of request line and headers in bytes; larger ones are answered with 431.
     pub header_bytes: usize,
     /// Timeout for receiving the headers of a request.
-    pub header_time: Duration,
+    pub header_timeout: Duration,
 }
 
 impl Default for ServerSettings {
     fn default() -> Self {
-        Self { header_bytes: 64 * 1024, header_time: Duration::from_secs(10) }
+        Self { header_bytes: 64 * 1024, header_timeout: Duration::from_secs(10) }
     }
 }
 
@@ -60,7 +60,7 @@
         });
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(settings.header_time)
+            .header_read_timeout(settings.header_timeout)
             .max_buf_size(settings.header_bytes)
             .serve_connection(TokioIo::new(stream), service);
         let connection = graceful.watch(connection);
--- a/crates/porthoist-http/src/socket.rs
+++ b/crates/porthoist-http/src/socket.rs
@@ -30,7 +30,7 @@
 
 impl SocketPeer {
     /// Returns the time after which a connection with unacknowledged bytes ends.
-    pub const fn unacknowledged(self) -> Duration {
+    pub const fn unacknowledged_timeout(self) -> Duration {
         match self {
             Self::Control => Duration::from_secs(2),
             // Allows for one retransmission, after 200 ms. Where connections die, this is worth 0.916 in the mean of nine
@@ -54,5 +54,5 @@
         .with_interval(KEEPALIVE_INTERVAL)
         .with_retries(KEEPALIVE_PROBES);
     socket.set_tcp_keepalive(&keepalive)?;
-    socket.set_tcp_user_timeout(Some(peer.unacknowledged()))
+    socket.set_tcp_user_timeout(Some(peer.unacknowledged_timeout()))
 }
--- a/crates/porthoist-http/tests/socket.rs
+++ b/crates/porthoist-http/tests/socket.rs
@@ -17,7 +17,7 @@
 #[test_case(SocketPeer::Target => (1_000, 1_000, 2, 300))]
 #[test_case(SocketPeer::Caller => (1_000, 1_000, 2, 10_000))]
 #[tokio::test]
-async fn the_system_probes_an_idle_connection(peer: SocketPeer) -> (u128, u128, u32, u128) {
+async fn socket_options_match_the_peer_kind(peer: SocketPeer) -> (u128, u128, u32, u128) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let stream = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
     configure_socket(&stream, peer).unwrap();
@@ -33,7 +33,7 @@
 }
 
 /// Starts a server that never answers the path `/hang`.
-async fn serve() -> SocketAddr {
+async fn start_server() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     tokio::spawn(async move {
@@ -50,7 +50,7 @@
 }
 
 /// Starts a proxy to a server that counts the connections.
-async fn count_connections(server: SocketAddr) -> (SocketAddr, Arc<AtomicUsize>) {
+async fn start_counting_proxy(server: SocketAddr) -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let count = Arc::new(AtomicUsize::new(0));
@@ -75,8 +75,8 @@
 #[test_case("/fine" => 2; "an answered call keeps them")]
 #[test_case("/hang" => 4; "a call that is given up leaves them behind")]
 #[tokio::test]
-async fn idle_connections_after_a_call(path: &str) -> usize {
-    let (address, connections) = count_connections(serve().await).await;
+async fn only_unanswered_calls_drop_idle_connections(path: &str) -> usize {
+    let (address, connections) = start_counting_proxy(start_server().await).await;
     let client = HttpClient::new();
     // Two calls at the same time, so that two connections become idle.
     let (first, second) = tokio::join!(client.fetch(get(address, "/a")), client.fetch(get(address, "/b")));
