--- a/crates/porthoist-operator/src/edit.rs
+++ b/crates/porthoist-operator/src/edit.rs
@@ -129,7 +129,7 @@
             });
         }
         match self.platform.transact(true, writes.clone()).await {
-            Ok(answer) => committed(&answer),
+            Ok(answer) => commit_answer(&answer),
             Err(error) if error.verdict == RunVerdict::NotRun => Err(platform_problem(error)),
             Err(error) => self.read_back(&writes, edit, error).await,
         }
@@ -140,26 +140,29 @@
         &self,
         writes: &[TableWrite],
         edit: &str,
-        lost: CallError,
+        error: CallError,
     ) -> Result<EditAnswer, EditProblem> {
         let Some(written) = writes.iter().find(|write| write.value.is_some()) else {
-            return Err(platform_problem(lost));
+            return Err(platform_problem(error));
         };
-        let item =
-            self.platform.item(written.key.clone()).await.map_err(|_error| platform_problem(lost.clone()))?;
+        let item = self
+            .platform
+            .item(written.key.clone())
+            .await
+            .map_err(|_error| platform_problem(error.clone()))?;
         let Some(item) = item else {
-            return Err(platform_problem(lost));
+            return Err(platform_problem(error));
         };
         let stored: Option<StoredRow> = item.value.and_then(|value| serde_json::from_value(value).ok());
         if stored.is_some_and(|stored| stored.edit == edit) {
             return Ok(EditAnswer { revision: item.version, read_back: true });
         }
         // The row was overwritten since or not written yet, which can't be distinguished here.
-        Err(platform_problem(lost))
+        Err(platform_problem(error))
     }
 }
 
-fn committed(answer: &TransactAnswer) -> Result<EditAnswer, EditProblem> {
+fn commit_answer(answer: &TransactAnswer) -> Result<EditAnswer, EditProblem> {
     if answer.committed {
         return Ok(EditAnswer { revision: answer.revision, read_back: false });
     }
--- a/crates/porthoist-operator/src/server.rs
+++ b/crates/porthoist-operator/src/server.rs
@@ -71,7 +71,7 @@
     pub async fn handle(self, request: Request<Incoming>) -> HttpResponse {
         match (request.method(), request.uri().path()) {
             (&Method::GET, "/livez") => return text_response(StatusCode::OK, "live\n"),
-            (&Method::GET, "/readyz") => return self.ready(),
+            (&Method::GET, "/readyz") => return self.readiness(),
             (&Method::GET, "/metrics") => {
                 return text_response(StatusCode::OK, self.metrics.to_prometheus_text());
             }
@@ -95,7 +95,7 @@
         self.token.matches(bearer.unwrap_or("").as_bytes())
     }
 
-    fn ready(&self) -> HttpResponse {
+    fn readiness(&self) -> HttpResponse {
         if self.port.ready() {
             return text_response(StatusCode::OK, "ready\n");
         }
@@ -115,7 +115,7 @@
             Ok(collected) => collected.to_bytes(),
             Err(error) => return text_response(StatusCode::BAD_REQUEST, error.to_string()),
         };
-        let edit: EditRequest = match parse(&bytes) {
+        let edit: EditRequest = match parse_edit(&bytes) {
             Ok(edit) => edit,
             Err(error) => return text_response(StatusCode::BAD_REQUEST, error.to_string()),
         };
@@ -150,6 +150,6 @@
     }
 }
 
-fn parse(bytes: &Bytes) -> Result<EditRequest, serde_json::Error> {
+fn parse_edit(bytes: &Bytes) -> Result<EditRequest, serde_json::Error> {
     serde_json::from_slice(bytes)
 }
