--- a/crates/porthoist-caller/src/lib.rs
+++ b/crates/porthoist-caller/src/lib.rs
@@ -6,7 +6,7 @@
 pub mod attempt;
 pub mod delivery;
 pub mod handler;
-pub mod keyed;
+pub mod keyed_request;
 pub mod ports;
 pub mod problem;
 pub mod request;
