--- a/crates/porthoist-fleet/src/client.rs
+++ b/crates/porthoist-fleet/src/client.rs
@@ -1,7 +1,7 @@
 //! The client side of a connection to a peer.
 
 use crate::convert::{
-    read_digest, read_frame, read_outcome, read_told, write_asks, write_digest, write_offer,
+    read_digest, read_frame, read_outcome, read_settle_told, write_digest, write_offer, write_settle_asks,
 };
 use crate::digest::FleetDigest;
 use crate::fleet_capnp::{frame_sink, login, node};
@@ -49,7 +49,7 @@
     }
 
     /// Creates an error for a connection that broke after the call was sent.
-    pub fn lost(message: impl fmt::Display) -> Self {
+    pub fn connection_lost(message: impl fmt::Display) -> Self {
         let message = message.to_string();
         Self { reason: RefusalReason::ConnectionLost, verdict: RunVerdict::MayHaveRun, message }
     }
@@ -143,12 +143,12 @@
         let mut request = self.node.offer_request();
         write_offer(request.get().init_offer(), offer);
         request.get().set_sink(new_client(FrameReceiver { frames }));
-        let response = request.send().promise.await.map_err(FleetError::lost)?;
+        let response = request.send().promise.await.map_err(FleetError::connection_lost)?;
         let outcome = response
             .get()
             .and_then(super::fleet_capnp::node::offer_results::Reader::get_outcome)
-            .map_err(FleetError::lost)?;
-        read_outcome(outcome).map_err(FleetError::lost)
+            .map_err(FleetError::connection_lost)?;
+        read_outcome(outcome).map_err(FleetError::connection_lost)
     }
 
     /// Requests tickets, without running a request.
@@ -182,23 +182,25 @@
     }
 
     /// Sends a leader's message to the rank next to the peer and returns the rank's reply.
-    pub async fn rank(&self, message: LeaderMessage) -> Result<Option<RankReply>, FleetError> {
+    pub async fn send_leader_message(&self, message: LeaderMessage) -> Result<Option<RankReply>, FleetError> {
         let mut request = self.node.rank_request();
         let bytes = serde_json::to_vec(&message).map_err(FleetError::unreachable)?;
         request.get().set_message(&bytes);
-        let response = request.send().promise.await.map_err(FleetError::lost)?;
-        let reply =
-            response.get().and_then(node::rank_results::Reader::get_reply).map_err(FleetError::lost)?;
-        serde_json::from_slice(reply).map_err(FleetError::lost)
+        let response = request.send().promise.await.map_err(FleetError::connection_lost)?;
+        let reply = response
+            .get()
+            .and_then(node::rank_results::Reader::get_reply)
+            .map_err(FleetError::connection_lost)?;
+        serde_json::from_slice(reply).map_err(FleetError::connection_lost)
     }
 
     /// Settles teams' limits with their coordinator.
     pub async fn settle(&self, asks: &[SettleAsk]) -> Result<Vec<SettleTold>, FleetError> {
         let mut request = self.node.settle_request();
-        write_asks(request.get().init_asks(asks.len() as u32), asks);
+        write_settle_asks(request.get().init_asks(asks.len() as u32), asks);
         let response = request.send().promise.await.map_err(FleetError::unreachable)?;
         let results = response.get().map_err(FleetError::unreachable)?;
-        Ok(read_told(results.get_told().map_err(FleetError::unreachable)?))
+        Ok(read_settle_told(results.get_told().map_err(FleetError::unreachable)?))
     }
 
     /// Exchanges digests with the peer.
--- a/crates/porthoist-fleet/src/rank/server.rs
+++ b/crates/porthoist-fleet/src/rank/server.rs
@@ -8,7 +8,7 @@
 use super::peer::{MemberOrder, PeerPool};
 use super::publisher::LoadsPublisher;
 use super::table_update::{
-    EntryReport, PackedRows, read_piece_query, read_query, read_report, write_update, write_zone,
+    EntryReport, PackedRows, read_piece_query, read_query, read_report, write_update, write_zone_info,
 };
 use super::traffic::ControlTraffic;
 use crate::rank_capnp::rank_process;
@@ -39,7 +39,7 @@
 #[derive(Debug, bon::Builder)]
 pub struct RankService {
     /// The rank next to this process.
-    link: Rc<dyn RankControl>,
+    own_rank: Rc<dyn RankControl>,
     /// Reports the loads of the group.
     publisher: LoadsPublisher,
     /// The processes that it calls as the head of a branch.
@@ -87,9 +87,9 @@
 
     /// Returns the members of a branch whose head is this process, its own rank first.
     fn branch_members(&self, others: &[Ipv4Addr]) -> Vec<Rc<dyn RankControl>> {
-        let own: Rc<dyn RankControl> = Rc::clone(&self.link);
+        let own_rank: Rc<dyn RankControl> = Rc::clone(&self.own_rank);
         let others = others.iter().map(|host| -> Rc<dyn RankControl> { self.peers.get(*host) });
-        std::iter::once(own).chain(others).collect()
+        std::iter::once(own_rank).chain(others).collect()
     }
 }
 
@@ -116,7 +116,7 @@
 
 /// Waits for a member's answer; drops the connection to a member that does not answer in time.
 async fn with_timeout<T>(
-    link: &Rc<dyn RankControl>,
+    member: &Rc<dyn RankControl>,
     timeout: Duration,
     call: RankFuture<'_, T>,
 ) -> Option<T> {
@@ -124,7 +124,7 @@
     match tokio::time::timeout(timeout, call).await {
         Ok(answer) => answer.ok(),
         Err(_elapsed) => {
-            link.reset();
+            member.reset();
             None
         }
     }
@@ -137,7 +137,7 @@
         mut results: rank_process::ObserveResults,
     ) -> Result<(), Error> {
         self.record_observer();
-        let observed = self.service.link.observe(params.get()?.get_counts()).await.map_err(failed)?;
+        let observed = self.service.own_rank.observe(params.get()?.get_counts()).await.map_err(failed)?;
         let mut builder = results.get();
         write_state(builder.reborrow().init_state(), &observed.state);
         let (counts, unit) = pack_counts(&observed.counts);
@@ -151,7 +151,7 @@
         _params: rank_process::ListsParams,
         mut results: rank_process::ListsResults,
     ) -> Result<(), Error> {
-        let lists = self.service.link.lists().await.map_err(failed)?;
+        let lists = self.service.own_rank.expert_lists().await.map_err(failed)?;
         let mut builder = results.get();
         builder.set_version(lists.version.0);
         let mut sets = builder.init_experts(lists.experts.len() as u32);
@@ -180,7 +180,7 @@
             }
             None => None,
         };
-        let answer = self.service.link.order(order, map.as_ref()).await.map_err(failed)?;
+        let answer = self.service.own_rank.order(order, map.as_ref()).await.map_err(failed)?;
         let mut results = results.get();
         results.set_taken(answer.taken);
         if let Some(view) = &answer.view {
@@ -234,7 +234,7 @@
         let params = params.get()?;
         let timeout = Duration::from_millis(params.get_millis().into());
         let members = self.service.branch_members(&read_hosts(params.get_others()?));
-        let asked = members.iter().map(|member| with_timeout(member, timeout, member.lists()));
+        let asked = members.iter().map(|member| with_timeout(member, timeout, member.expert_lists()));
         let answers = join_all(asked).await.into_iter().enumerate();
         let lists: Vec<_> = answers.filter_map(|(member, lists)| Some((member, lists?))).collect();
         results.get().set_lists(&pack(&lists));
@@ -287,7 +287,7 @@
         let loads = decode_loads(params.get_revision(), hosts, params.get_requests()?, params.get_pass());
         for host in read_hosts(params.get_others()?) {
             let (peer, loads) = (self.service.peers.get(host), loads.clone());
-            tokio::task::spawn_local(async move { peer.tell(&loads, &[]).await });
+            tokio::task::spawn_local(async move { peer.publish_loads(&loads, &[]).await });
         }
         self.service.publisher.receive(loads);
         Ok(())
@@ -298,15 +298,15 @@
         params: rank_process::NewsParams,
         mut results: rank_process::NewsResults,
     ) -> Result<(), Error> {
-        let asked = params.get()?.get_ask()?;
-        let (ask, report) = (read_query(asked)?, read_report(asked)?);
+        let message = params.get()?.get_ask()?;
+        let (query, report) = (read_query(message)?, read_report(message)?);
         let reader = self.service.reader.as_ref();
         let reader = reader.ok_or_else(|| Error::failed("this process follows no tables".to_owned()))?;
         let position = report.and_then(|report| self.service.handle_report(report));
-        let update = reader.query(ask).await;
+        let update = reader.query(query).await;
         let mut builder = results.get().init_news();
-        write_zone(builder.reborrow(), position, &self.service.recent_notes());
-        write_update(builder, &update, read_piece_query(asked), &mut self.service.packed.borrow_mut());
+        write_zone_info(builder.reborrow(), position, &self.service.recent_notes());
+        write_update(builder, &update, read_piece_query(message), &mut self.service.packed.borrow_mut());
         Ok(())
     }
 }
@@ -314,15 +314,15 @@
 /// Sends an order to a member; `None` if there is no such member or it does not answer.
 async fn send_order(
     members: &[Rc<dyn RankControl>],
-    member: u16,
+    index: u16,
     order: EngineOrder,
     map: Option<&EqualShareMap>,
     timeout: Duration,
 ) -> Option<porthoist_group::OrderAnswer> {
-    let link = members.get(usize::from(member))?;
+    let member = members.get(usize::from(index))?;
     let map = matches!(order, EngineOrder::Prepare { .. }).then_some(map).flatten();
     // An order without an answer may still be carried out, so the connection is kept.
-    tokio::time::timeout(timeout, link.order(order, map)).await.ok()?.ok()
+    tokio::time::timeout(timeout, member.order(order, map)).await.ok()?.ok()
 }
 
 /// Serves the processes of other ranks on the current `LocalSet` until the future is dropped.
--- a/crates/porthoist-group/src/engine.rs
+++ b/crates/porthoist-group/src/engine.rs
@@ -21,7 +21,7 @@
 /// The engine of one rank.
 pub trait GroupEngine: fmt::Debug + Send + Sync {
     /// Returns the engine's saved state and the last step that it started.
-    fn kept(&self) -> BoxFuture<'_, Result<SavedRank, CallError>>;
+    fn saved_state(&self) -> BoxFuture<'_, Result<SavedRank, CallError>>;
     /// Returns what the engine counted since the last window.
     fn window(&self) -> BoxFuture<'_, Result<ExpertWindow, CallError>>;
     /// Loads a rank's experts of a map without blocking steps; returns true once they are loaded.
@@ -56,10 +56,10 @@
 }
 
 impl GroupEngine for HttpGroupEngine {
-    fn kept(&self) -> BoxFuture<'_, Result<SavedRank, CallError>> {
+    fn saved_state(&self) -> BoxFuture<'_, Result<SavedRank, CallError>> {
         Box::pin(async move {
-            let (_status, kept) = self.client.json(Method::GET, &self.url, None::<&()>).await?;
-            Ok(kept)
+            let (_status, saved) = self.client.json(Method::GET, &self.url, None::<&()>).await?;
+            Ok(saved)
         })
     }
 
@@ -82,7 +82,7 @@
 
     fn order(&self, order: RankOrder) -> BoxFuture<'_, Result<bool, CallError>> {
         Box::pin(async move {
-            let (status, _kept): (StatusCode, serde_json::Value) =
+            let (status, _saved): (StatusCode, serde_json::Value) =
                 self.client.json(Method::POST, &self.url, Some(&order)).await?;
             Ok(status.is_success())
         })
--- a/crates/porthoist-scenario/src/world/ports.rs
+++ b/crates/porthoist-scenario/src/world/ports.rs
@@ -20,7 +20,7 @@
 use porthoist_policy::router::{RouteQuery, Router};
 use porthoist_policy::table::{RowKey, RowKind, ServiceRow, TableRow, TeamRow};
 use porthoist_table::{CLAIM_PREFIX, CONFIG_PREFIX, PlatformClient, TableWrite, WriteResult};
-use porthoist_target::log::LogUpdate;
+use porthoist_target::answer_log::LogUpdate;
 use porthoist_target::offers::{MintTickets, OfferAbandoned, OfferRequest};
 use porthoist_target::{LogEnd, LogFollower};
 use std::collections::BTreeMap;
@@ -221,12 +221,12 @@
 
     fn release(&self, _team: TeamName) {}
 
-    fn first_frame(&self, target: TargetName, attempt: AttemptId) {
+    fn report_first_frame(&self, target: TargetName, attempt: AttemptId) {
         let now = self.0.clock.now();
         self.0.router.lock().expect("no task panics").first_token(now, &target, attempt);
     }
 
-    fn first_token(&self, _millis: u64) {}
+    fn report_first_token(&self, _millis: u64) {}
 }
 
 impl OfferPort for EntryPort {
--- a/porthoistd/src/component/target_fleet.rs
+++ b/porthoistd/src/component/target_fleet.rs
@@ -14,7 +14,7 @@
 use porthoist_metrics::MetricsHub;
 use porthoist_policy::limits::coordinator::{SettleAsk, SettleTold};
 use porthoist_policy::switch::{LeaderMessage, RankReply};
-use porthoist_target::log::LogUpdate;
+use porthoist_target::answer_log::LogUpdate;
 use porthoist_target::offers::{MintTickets, OfferAbandoned, OfferRefusal, OfferRequest};
 use porthoist_target::{LogEnd, LogFollower, OffersActor};
 use std::rc::Rc;
@@ -82,7 +82,7 @@
             }
         };
         if let OfferOutcome::Refused { reason, verdict, .. } = outcome {
-            self.metrics.refusal(reason, verdict);
+            self.metrics.record_refusal(reason, verdict);
         }
         outcome
     }
@@ -152,7 +152,7 @@
 }
 
 impl FleetHandler for TargetHandler {
-    fn rank(&self, message: LeaderMessage) -> HandlerFuture<Option<Option<RankReply>>> {
+    fn handle_leader_message(&self, message: LeaderMessage) -> HandlerFuture<Option<Option<RankReply>>> {
         let driver = Arc::clone(&self.rank);
         Box::pin(async move { driver.handle(message).await.ok() })
     }
--- a/porthoistd/src/role/rank.rs
+++ b/porthoistd/src/role/rank.rs
@@ -48,7 +48,7 @@
             Rc::new(StoreClient::new(settings.table, Arc::clone(&metrics), logger.clone()));
         let reader = TableReader::new(Rc::clone(&store), Arc::clone(&clock), logger.clone());
         let serving = RankService::builder()
-            .link(rank_control)
+            .own_rank(rank_control)
             .publisher(publisher)
             .peers(Rc::clone(&peers))
             .traffic(traffic.clone())
@@ -91,7 +91,7 @@
     loop {
         tokio::time::sleep(Duration::from_millis(TRAFFIC_INTERVAL_MILLIS)).await;
         let all = traffic.sent() + traffic.received();
-        metrics.control_bytes(all - counted);
+        metrics.record_control_bytes(all - counted);
         counted = all;
     }
 }
--- a/porthoistd/tests/loads.rs
+++ b/porthoistd/tests/loads.rs
@@ -36,7 +36,7 @@
         Box::pin(futures::future::pending())
     }
 
-    fn lists(&self) -> RankFuture<'_, ExpertLists> {
+    fn expert_lists(&self) -> RankFuture<'_, ExpertLists> {
         Box::pin(futures::future::pending())
     }
 
@@ -122,7 +122,7 @@
             let loads_publisher = LoadsPublisher::new(loads.subscribe());
             let peers = Rc::new(PeerPool::new(rank_port, ControlTraffic::default()));
             let serving = RankService::builder()
-                .link(Rc::new(LoadsOnly))
+                .own_rank(Rc::new(LoadsOnly))
                 .publisher(loads_publisher)
                 .peers(peers)
                 .build();
@@ -176,7 +176,7 @@
             let loads_publisher = LoadsPublisher::new(loads.subscribe());
             let peers = Rc::new(PeerPool::new(rank_port, ControlTraffic::default()));
             let serving = RankService::builder()
-                .link(Rc::new(LoadsOnly))
+                .own_rank(Rc::new(LoadsOnly))
                 .publisher(loads_publisher)
                 .peers(peers)
                 .build();
--- a/porthoistd/tests/rank.rs
+++ b/porthoistd/tests/rank.rs
@@ -51,7 +51,7 @@
         no_answer()
     }
 
-    fn lists(&self) -> RankFuture<'_, ExpertLists> {
+    fn expert_lists(&self) -> RankFuture<'_, ExpertLists> {
         no_answer()
     }
 
@@ -84,7 +84,7 @@
         let started = tokio::time::Instant::now();
         let read = async {
             match reading {
-                "lists" => rank.lists().await.map(|_lists| ()),
+                "lists" => rank.expert_lists().await.map(|_lists| ()),
                 _ => rank.observe(reading != "state").await.map(|_observed| ()),
             }
         };
@@ -141,7 +141,7 @@
         async { Ok(ExpertCounts { counts: vec![0; EXPERTS], ..ExpertCounts::default() }) }.boxed_local()
     }
 
-    fn lists(&self) -> RankFuture<'_, ExpertLists> {
+    fn expert_lists(&self) -> RankFuture<'_, ExpertLists> {
         no_answer()
     }
 
@@ -174,8 +174,8 @@
     let to = inner.local_addr().expect("a bound address");
     let loads_publisher = LoadsPublisher::new(watch::Sender::new(None).subscribe());
     let peers = Rc::new(PeerPool::new(address.port(), ControlTraffic::default()));
-    let link = Rc::new(OwnRank::new(engine));
-    let serving = RankService::builder().link(link).publisher(loads_publisher).peers(peers).build();
+    let own_rank = Rc::new(OwnRank::new(engine));
+    let serving = RankService::builder().own_rank(own_rank).publisher(loads_publisher).peers(peers).build();
     tokio::task::spawn_local(serve_ranks(inner, Rc::new(serving)));
     let count = Rc::new(Cell::new(0));
     tokio::task::spawn_local(count_connections(outer, to, Rc::clone(&count)));
