--- a/porthoistd/src/component/platform.rs
+++ b/porthoistd/src/component/platform.rs
@@ -38,7 +38,7 @@
     /// Receives the host list.
     pub hosts: watch::Sender<Vec<HostEntry>>,
     /// Whether the platform answered the last call.
-    pub heard: Arc<AtomicBool>,
+    pub platform_heard: Arc<AtomicBool>,
     /// This process's entry on the host list.
     pub own: HostEntry,
     /// Last known revision of the host list.
@@ -99,7 +99,7 @@
                 error.verdict != RunVerdict::NotRun && error.message.starts_with("status")
             }
         };
-        self.heard.store(heard, Ordering::Relaxed);
+        self.platform_heard.store(heard, Ordering::Relaxed);
         let known = self.hosts_revision.load(Ordering::Relaxed);
         let Ok(feed) = self.client.hosts(known).await else { return };
         self.hosts_revision.store(feed.revision, Ordering::Relaxed);
--- a/porthoistd/src/role/entry.rs
+++ b/porthoistd/src/role/entry.rs
@@ -121,14 +121,14 @@
         let hosts = watch::Sender::new(Vec::new());
         let hosts_sender = hosts.clone();
         let config = Arc::clone(&self.config);
-        let heard = Arc::clone(&self.platform_heard);
+        let platform_heard = Arc::clone(&self.platform_heard);
         let logger = self.logger.clone();
         let url = self.settings.platform.clone();
         spawn_thread("platform", move || async move {
             let client: Arc<HttpPlatform> = Arc::new(HttpPlatform::new(url));
             tokio::task::spawn_local(serve_claims(claim_calls, Arc::<HttpPlatform>::clone(&client)));
             let hosts_revision = AtomicU64::new(0);
-            PlatformWatch { client, config, hosts, heard, own, hosts_revision, logger }.run().await;
+            PlatformWatch { client, config, hosts, platform_heard, own, hosts_revision, logger }.run().await;
         })?;
         Ok(hosts_sender)
     }
--- a/porthoistd/src/role/target.rs
+++ b/porthoistd/src/role/target.rs
@@ -101,14 +101,14 @@
 
     fn start_platform(&self, own: HostEntry) -> io::Result<()> {
         let config = Arc::clone(&self.config);
-        let heard = Arc::clone(&self.platform_heard);
+        let platform_heard = Arc::clone(&self.platform_heard);
         let logger = self.logger.clone();
         let url = self.settings.platform.clone();
         spawn_thread("platform", move || async move {
             let client = Arc::new(HttpPlatform::new(url));
             let hosts = watch::Sender::new(Vec::new());
             let hosts_revision = AtomicU64::new(0);
-            PlatformWatch { client, config, hosts, heard, own, hosts_revision, logger }.run().await;
+            PlatformWatch { client, config, hosts, platform_heard, own, hosts_revision, logger }.run().await;
         })?;
         Ok(())
     }
