--- a/crates/porthoist-fleet/src/lib.rs
+++ b/crates/porthoist-fleet/src/lib.rs
@@ -1,6 +1,6 @@
 //! Communication between porthoist's own processes over capnp-rpc: connections, offers, tickets and gossip.
 //!
-//! capnp-rpc is bound to one thread, and so is everything here; the daemon's fleet duty owns it.
+//! capnp-rpc is bound to one thread, and so is everything here; the daemon's fleet thread owns it.
 
 #[expect(
     warnings,
--- a/crates/porthoist-scenario/src/world/ports.rs
+++ b/crates/porthoist-scenario/src/world/ports.rs
@@ -195,22 +195,22 @@
 pub(super) struct EntryPort(pub(super) Arc<EntryShared>);
 
 impl RoutingPort for EntryPort {
-    fn route(&self, ask: RouteRequest) -> BoxFuture<'_, Result<RouteReply, CallerRefusal>> {
+    fn route(&self, request: RouteRequest) -> BoxFuture<'_, Result<RouteReply, CallerRefusal>> {
         Box::pin(async move {
             self.0.wait_until_resumed().await;
             let query = RouteQuery {
-                service: &ask.service,
+                service: &request.service,
                 now: self.0.clock.now(),
-                deadline: ask.deadline,
-                prompt_tokens: ask.prompt_tokens,
-                prefix_blocks: &ask.prefix_blocks,
-                exclude: &ask.exclude,
+                deadline: request.deadline,
+                prompt_tokens: request.prompt_tokens,
+                prefix_blocks: &request.prefix_blocks,
+                exclude: &request.exclude,
             };
             let mut router = self.0.router.lock().expect("no task panics");
             match router.choose(&query) {
                 Ok(choice) => {
-                    if !ask.peek {
-                        router.sent(query.now, &choice.target, ask.attempt, &query);
+                    if !request.peek {
+                        router.sent(query.now, &choice.target, request.attempt, &query);
                     }
                     Ok(RouteReply { choice, hedge_at: None })
                 }
--- a/porthoistd/src/component/routing.rs
+++ b/porthoistd/src/component/routing.rs
@@ -319,9 +319,9 @@
 pub struct RoutingHandle(pub ActorRef<RoutingActor>);
 
 impl RoutingPort for RoutingHandle {
-    fn route(&self, ask: RouteRequest) -> BoxFuture<'_, Result<RouteReply, CallerRefusal>> {
+    fn route(&self, request: RouteRequest) -> BoxFuture<'_, Result<RouteReply, CallerRefusal>> {
         Box::pin(async move {
-            match self.0.ask(RouteMessage(ask)).try_send().await {
+            match self.0.ask(RouteMessage(request)).try_send().await {
                 Ok(route) => Ok(route),
                 Err(SendError::HandlerError(refusal)) => Err(refusal),
                 Err(_full) => {
