--- a/crates/porthoist-proxy/src/control.rs
+++ b/crates/porthoist-proxy/src/control.rs
@@ -3,10 +3,10 @@
 //! One task watches routes, another targets. Each lists all rows once and then long-polls for changes. It
 //! lists again if the source no longer has the history, does not answer, or returns an error.
 
-use crate::reader::GapAges;
 use crate::revision::TableEra;
 use crate::rows::{ANSWER_MILLIS, answer_within};
 use crate::source::{AnswerOrigin, ControlSource, OperatorUpdate, SourceAnswer, SourceError};
+use crate::table_reader::GapAges;
 use porthoist_core::{ClockSource, UnixDeadline, UnixMillis};
 use porthoist_metrics::MetricsHub;
 use porthoist_policy::proxy::freshness::{FreshnessProof, StampedAnswer};
--- a/crates/porthoist-proxy/src/handler.rs
+++ b/crates/porthoist-proxy/src/handler.rs
@@ -1,12 +1,12 @@
 //! Handles one request: admission, target selection, sending and retries, up to the response or a refusal
 //! that states whether the request may have run.
 
+use crate::connection_pool::{ConnectionPool, OpenAnswer, SendFailure};
 use crate::control::ControlState;
 use crate::dispatcher::{RequestDispatcher, TargetSlot};
-use crate::exchange::{ConnectionPool, OpenAnswer, SendFailure};
+use crate::headers::WireCodec;
 use crate::quarantine::RequestQuarantine;
 use crate::reply::{Reply, complete_reply, refusal_reply, relayed_headers, streamed_reply};
-use crate::wire::WireCodec;
 use hyper::Request;
 use hyper::body::Incoming;
 use hyper::header::{HOST, HeaderMap, HeaderName, HeaderValue};
@@ -35,9 +35,9 @@
 mod admission;
 mod backpressure;
 mod moving;
-mod permit;
 mod relay;
 mod retries;
+mod send_checks;
 mod sending;
 mod slots;
 mod types;
--- a/crates/porthoist-proxy/src/handler/admission.rs
+++ b/crates/porthoist-proxy/src/handler/admission.rs
@@ -2,7 +2,7 @@
 
 use super::types::{AdmittedRequest, ProxyRefusal};
 use super::{ProxyHandler, UNREADY_RETRY_MILLIS, host_of, key_error};
-use crate::wire::RequestFacts;
+use crate::headers::RequestFacts;
 use bytes::Bytes;
 use hyper::StatusCode;
 use hyper::body::Incoming;
--- a/crates/porthoist-proxy/src/handler/moving.rs
+++ b/crates/porthoist-proxy/src/handler/moving.rs
@@ -2,8 +2,8 @@
 
 use super::ProxyHandler;
 use super::types::{AdmittedRequest, SendRecord};
+use crate::connection_pool::SendFailure;
 use crate::dispatcher::TargetSlot;
-use crate::exchange::SendFailure;
 use porthoist_core::{UnixDeadline, UnixMillis};
 use porthoist_policy::proxy::balancer::SendOutcome;
 use porthoist_policy::proxy::moving::{MAX_MOVE_JITTER_MILLIS, MoveCause, PendingSend};
--- a/crates/porthoist-proxy/src/handler/relay.rs
+++ b/crates/porthoist-proxy/src/handler/relay.rs
@@ -3,10 +3,10 @@
 
 use super::types::{AdmittedRequest, SendRecord, TargetAnswer};
 use super::{ProxyHandler, RequestGuard};
+use crate::connection_pool::{OpenAnswer, SendFailure};
 use crate::dispatcher::TargetSlot;
-use crate::events::{EventSplitter, WholeEvent};
-use crate::exchange::{OpenAnswer, SendFailure};
 use crate::reply::BodyStream;
+use crate::sse::{EventSplitter, WholeEvent};
 use bytes::Bytes;
 use futures::StreamExt as _;
 use http_body_util::BodyExt as _;
--- a/crates/porthoist-proxy/src/handler/retries.rs
+++ b/crates/porthoist-proxy/src/handler/retries.rs
@@ -2,7 +2,7 @@
 
 use super::ProxyHandler;
 use super::types::{AdmittedRequest, ProxyRefusal, SendRecord};
-use crate::exchange::SendFailure;
+use crate::connection_pool::SendFailure;
 use hyper::StatusCode;
 use porthoist_core::{RefusalReason, RetryReason, ServiceName};
 use porthoist_policy::proxy::retry_share::RetryShare;
--- a/crates/porthoist-proxy/src/handler/permit.rs
+++ b/crates/porthoist-proxy/src/handler/send_checks.rs
@@ -2,8 +2,8 @@
 
 use super::ProxyHandler;
 use super::types::{AdmittedRequest, ProxyRefusal, SendRecord};
+use crate::connection_pool::{SendFailure, TargetLiveness};
 use crate::dispatcher::TargetSlot;
-use crate::exchange::{SendFailure, TargetLiveness};
 use hyper::StatusCode;
 use porthoist_core::{RefusalReason, TargetName};
 use porthoist_policy::proxy::targets::{TargetRecord, TargetState};
--- a/crates/porthoist-proxy/src/handler/sending.rs
+++ b/crates/porthoist-proxy/src/handler/sending.rs
@@ -2,10 +2,10 @@
 
 use super::types::{AdmittedRequest, SendRecord, TargetAnswer, WholeAnswer};
 use super::{LAST_EVENT_ID, MAX_WHOLE_ANSWER_BYTES, ProxyHandler};
+use crate::connection_pool::{OpenAnswer, SendFailure};
 use crate::dispatcher::TargetSlot;
-use crate::exchange::{OpenAnswer, SendFailure};
+use crate::headers::SendFacts;
 use crate::reply::strip_hop_headers;
-use crate::wire::SendFacts;
 use bytes::Bytes;
 use http_body_util::{BodyExt as _, Full, Limited};
 use hyper::header::{CONTENT_LENGTH, HeaderValue};
--- a/crates/porthoist-proxy/src/handler/types.rs
+++ b/crates/porthoist-proxy/src/handler/types.rs
@@ -1,9 +1,9 @@
 //! Types shared by the stages of request handling.
 
 use super::host_of;
-use crate::exchange::{OpenAnswer, SendFailure};
+use crate::connection_pool::{OpenAnswer, SendFailure};
+use crate::headers::RequestFacts;
 use crate::quarantine::{MarkedRequest, SuspectRun};
-use crate::wire::RequestFacts;
 use bytes::Bytes;
 use hyper::StatusCode;
 use hyper::header::HeaderMap;
--- a/crates/porthoist-proxy/src/lib.rs
+++ b/crates/porthoist-proxy/src/lib.rs
@@ -1,36 +1,36 @@
 //! Reverse proxy for requests of any method, path and body, routed by host and path prefix.
 //!
 //! It accepts callers, selects a target for each request, and relays the target's response or event stream.
-//! Header formats are defined by a [`wire::WireCodec`], and routes and targets come from a
+//! Header formats are defined by a [`headers::WireCodec`], and routes and targets come from a
 //! [`source::ControlSource`].
 
+pub mod connection_pool;
 pub mod control;
 pub mod crashes;
 pub mod dispatcher;
 mod earlier_values;
-pub mod events;
-pub mod exchange;
 pub mod handler;
+pub mod headers;
 pub mod patch;
 pub mod peer_rows;
 pub mod quarantine;
-pub mod reader;
 pub mod reply;
 pub mod revision;
 pub mod rows;
 pub mod server;
 pub mod source;
-pub mod wire;
+pub mod sse;
+pub mod table_reader;
 
 pub use control::{ControlState, ControlWatch};
 pub use crashes::{CrashChange, CrashSnapshot, CrashWatch, CrashWriter};
 pub use dispatcher::{DispatcherSettings, RequestDispatcher};
 pub use handler::{ProxyHandler, ProxyHandlerSettings};
+pub use headers::{AnswerFacts, FactsError, RequestFacts, SendFacts, WireCodec};
 pub use peer_rows::{PeerRowSource, ServiceCallReason, TablePeers};
 pub use quarantine::RequestQuarantine;
-pub use reader::{GapAges, RowUpdate, TableQuery, TableReader, TableUpdate, ValueUpdate};
 pub use revision::{ParseRevisionError, TableEra, TableRevision};
 pub use rows::{ControlTable, RowChange, RowSource, RowValue, RowWriter, TableRow};
 pub use server::{ProxyServer, serve_proxy};
 pub use source::{AnswerOrigin, ControlSource, OperatorUpdate, SourceAnswer, SourceError, SourceFuture};
-pub use wire::{AnswerFacts, FactsError, RequestFacts, SendFacts, WireCodec};
+pub use table_reader::{GapAges, RowUpdate, TableQuery, TableReader, TableUpdate, ValueUpdate};
--- a/crates/porthoist-proxy/src/peer_rows.rs
+++ b/crates/porthoist-proxy/src/peer_rows.rs
@@ -4,10 +4,10 @@
 //! A process calls the table service itself at its start, if no peer answers, and before its known state
 //! becomes too old. The number of calls thus grows with zones and not with entries.
 
-use crate::reader::{RowUpdate, TableQuery, TableUpdate};
 use crate::revision::{TableEra, TableRevision};
 use crate::rows::{ControlTable, RowSource, RowValue, TableRow, answer_within};
 use crate::source::{AnswerOrigin, SourceAnswer, SourceError, SourceFuture};
+use crate::table_reader::{RowUpdate, TableQuery, TableUpdate};
 use futures::future::LocalBoxFuture;
 use porthoist_core::{ClockSource, UnixDeadline, UnixMillis};
 use porthoist_metrics::MetricsHub;
--- a/crates/porthoist-proxy/src/quarantine.rs
+++ b/crates/porthoist-proxy/src/quarantine.rs
@@ -1,8 +1,8 @@
 //! Quarantines requests that crash targets, and exchanges crashes with the other entries through the crash
 //! table.
 
+use crate::connection_pool::TargetLiveness;
 use crate::crashes::{CrashChange, CrashSnapshot};
-use crate::exchange::TargetLiveness;
 use crate::revision::TableEra;
 use porthoist_core::{ClockSource, HostName, RequestMark, TargetName};
 use porthoist_metrics::MetricsHub;
--- a/crates/porthoist-proxy/src/source.rs
+++ b/crates/porthoist-proxy/src/source.rs
@@ -1,8 +1,8 @@
 //! Interface of the service that provides routes and targets.
 
-use crate::reader::GapAges;
 use crate::revision::TableRevision;
 use crate::rows::ANSWER_MILLIS;
+use crate::table_reader::GapAges;
 use futures::future::LocalBoxFuture;
 use porthoist_policy::proxy::routes::RouteTable;
 use porthoist_policy::proxy::targets::TargetChange;
