--- a/crates/porthoist-proxy/src/connection_pool.rs
+++ b/crates/porthoist-proxy/src/connection_pool.rs
@@ -104,7 +104,7 @@
     sender: SendRequest<Full<Bytes>>,
     task: AbortHandle,
     idle_since: UnixMillis,
-    usable: UnixDeadline,
+    usable_until: UnixDeadline,
 }
 
 /// Pool of idle connections to targets.
@@ -158,7 +158,7 @@
             sender,
             task: self.task.clone(),
             idle_since: now,
-            usable: UnixDeadline::after(now, idle_millis),
+            usable_until: UnixDeadline::after(now, idle_millis),
         };
         let mut idle = self.pool.idle.borrow_mut();
         let connections = idle.entry(self.target.clone()).or_default();
@@ -211,22 +211,22 @@
         &self,
         target: &TargetRecord,
         request: Request<Full<Bytes>>,
-        once: bool,
+        runs_once: bool,
         deadline: UnixDeadline,
     ) -> Result<OpenAnswer, SendFailure> {
         let mut request = request;
         let life = target.life();
         // If the target has closed an idle connection, the request is returned unsent.
-        while let Some(mut lease) = self.idle_lease(&life, once) {
+        while let Some(mut lease) = self.idle_lease(&life, runs_once) {
             match self.exchange(&mut lease, request, deadline).await {
-                Ok(answer) => return Ok(open(answer, lease)),
+                Ok(answer) => return Ok(open_answer(answer, lease)),
                 Err(ExchangeFailure::Unsent(unsent)) => request = *unsent,
                 Err(ExchangeFailure::Failed(failure)) => return Err(failure),
             }
         }
         let mut lease = self.connect(target, deadline).await?;
         match self.exchange(&mut lease, request, deadline).await {
-            Ok(answer) => Ok(open(answer, lease)),
+            Ok(answer) => Ok(open_answer(answer, lease)),
             Err(ExchangeFailure::Unsent(_request)) => {
                 Err(SendFailure::not_sent("connection closed before the request was sent"))
             }
@@ -241,7 +241,7 @@
         for (target, connections) in idle.iter_mut() {
             let known = keep(target);
             connections.retain(|connection| {
-                let usable = known && !connection.sender.is_closed() && !connection.usable.passed(now);
+                let usable = known && !connection.sender.is_closed() && !connection.usable_until.passed(now);
                 if !usable {
                     connection.task.abort();
                 }
@@ -251,13 +251,13 @@
         idle.retain(|_target, connections| !connections.is_empty());
     }
 
-    fn idle_lease(&self, target: &TargetLife, once: bool) -> Option<ConnectionLease> {
+    fn idle_lease(&self, target: &TargetLife, runs_once: bool) -> Option<ConnectionLease> {
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(target)?;
         while let Some(connection) = connections.pop() {
-            let recent = !once || now.since(connection.idle_since) <= ONCE_IDLE_MILLIS;
-            if connection.sender.is_ready() && recent && !connection.usable.passed(now) {
+            let recent = !runs_once || now.since(connection.idle_since) <= ONCE_IDLE_MILLIS;
+            if connection.sender.is_ready() && recent && !connection.usable_until.passed(now) {
                 return Some(ConnectionLease {
                     sender: Some(connection.sender),
                     task: connection.task,
@@ -288,12 +288,12 @@
     /// new one, which is kept for the next request.
     pub async fn probe(&self, target: &TargetRecord) -> TargetLiveness {
         let life = target.life();
-        let liveness = Rc::clone(self.probes.borrow_mut().entry(life.clone()).or_default());
-        let found = *liveness.get_or_init(|| self.connect_probe(target)).await;
+        let probe = Rc::clone(self.probes.borrow_mut().entry(life.clone()).or_default());
+        let liveness = *probe.get_or_init(|| self.connect_probe(target)).await;
         // The next failure probes again: where targets announce no start time, another process may run
         // under the same identity by then.
         self.probes.borrow_mut().remove(&life);
-        found
+        liveness
     }
 
     async fn connect_probe(&self, target: &TargetRecord) -> TargetLiveness {
@@ -350,7 +350,7 @@
             Ok(Ok(answer)) => Ok(answer),
             Ok(Err(mut failure)) => match failure.take_message() {
                 Some(unsent) => Err(ExchangeFailure::Unsent(Box::new(unsent))),
-                None => Err(ExchangeFailure::Failed(read_failure(&failure.into_error()))),
+                None => Err(ExchangeFailure::Failed(classify_error(&failure.into_error()))),
             },
             Err(_elapsed) => Err(ExchangeFailure::Failed(SendFailure::lost("no response in time"))),
         }
@@ -358,7 +358,7 @@
 }
 
 /// A response that can't be parsed comes from a running target.
-fn read_failure(error: &hyper::Error) -> SendFailure {
+fn classify_error(error: &hyper::Error) -> SendFailure {
     if error.is_parse() { SendFailure::lost(error) } else { SendFailure::closed(error) }
 }
 
@@ -367,7 +367,7 @@
     Failed(SendFailure),
 }
 
-fn open(answer: Response<Incoming>, lease: ConnectionLease) -> OpenAnswer {
+fn open_answer(answer: Response<Incoming>, lease: ConnectionLease) -> OpenAnswer {
     let (head, body) = answer.into_parts();
     OpenAnswer { head, body, lease }
 }
--- a/crates/porthoist-proxy/src/control.rs
+++ b/crates/porthoist-proxy/src/control.rs
@@ -4,7 +4,7 @@
 //! lists again if the source no longer has the history, does not answer, or returns an error.
 
 use crate::revision::TableEra;
-use crate::rows::{ANSWER_MILLIS, answer_within};
+use crate::rows::{ANSWER_TIMEOUT_MILLIS, answer_within};
 use crate::source::{AnswerOrigin, ControlSource, OperatorUpdate, SourceAnswer, SourceError};
 use crate::table_reader::GapAges;
 use porthoist_core::{ClockSource, UnixDeadline, UnixMillis};
@@ -22,7 +22,7 @@
 
 /// Long-poll timeout for routes, in milliseconds.
 ///
-/// Together with [`ANSWER_MILLIS`], it leaves 0.4 s for another poll before a freshness proof of 4.6 s
+/// Together with [`ANSWER_TIMEOUT_MILLIS`], it leaves 0.4 s for another poll before a freshness proof of 4.6 s
 /// expires.
 const ROUTES_WAIT_MILLIS: u64 = 3_300;
 /// Minimum long-poll timeout for targets, in milliseconds. Each call has a cost.
@@ -31,11 +31,11 @@
 const MAX_TARGETS_WAIT_MILLIS: u64 = 25_000;
 /// Time reserved within the staleness bound for listing targets again, in milliseconds.
 const LIST_MARGIN_MILLIS: u64 = 100;
-/// Pause after a change of routes, in milliseconds. Versions can come every 80, and each must be in force
-/// within 2,000.
+/// Pause after a change of routes, in milliseconds. Versions can come every 80 ms, and each must be in force
+/// within 2,000 ms.
 const ROUTES_PAUSE_MILLIS: u64 = 100;
 /// Pause after a change of targets, in milliseconds, so that many changes cost one poll. A draining target
-/// must receive nothing new after 2,000.
+/// must receive nothing new after 2,000 ms.
 const TARGETS_PAUSE_MILLIS: u64 = 800;
 /// Initial backoff after a failed call, in milliseconds. It doubles up to [`MAX_BACKOFF_MILLIS`].
 const MIN_BACKOFF_MILLIS: u64 = 60;
@@ -54,7 +54,7 @@
     /// Routes in force.
     pub routes: Option<Arc<RouteTable>>,
     /// Zones whose targets receive no new requests.
-    pub emptied: EmptiedZones,
+    pub emptied_zones: EmptiedZones,
     /// Known targets.
     pub targets: TargetRegistry,
     /// Whether the targets have been listed at least once.
@@ -208,7 +208,7 @@
     /// that the source accepts, requests would reach targets that have left. The connection may have failed
     /// during the pause before the poll, so the pause is subtracted.
     fn targets_wait(&self, paused: Duration) -> Duration {
-        let wait = self.staleness_bound.millis.saturating_sub(ANSWER_MILLIS + LIST_MARGIN_MILLIS);
+        let wait = self.staleness_bound.millis.saturating_sub(ANSWER_TIMEOUT_MILLIS + LIST_MARGIN_MILLIS);
         let wait = Duration::from_millis(wait.min(MAX_TARGETS_WAIT_MILLIS)).saturating_sub(paused);
         wait.max(Duration::from_millis(MIN_TARGETS_WAIT_MILLIS))
     }
@@ -222,14 +222,14 @@
             self.record_ages(now);
             let due = {
                 let state = self.state.borrow();
-                let deadlines = [state.targets.next_expiry(), state.emptied.next_expiry()];
+                let deadlines = [state.targets.next_expiry(), state.emptied_zones.next_expiry()];
                 deadlines.into_iter().flatten().any(|deadline| deadline.passed(now))
             };
             if !due {
                 continue;
             }
             self.state.send_modify(|state| {
-                self.report_zone_changes(&state.emptied.expire(now));
+                self.report_zone_changes(&state.emptied_zones.expire(now));
                 for id in state.targets.expire(now) {
                     info!(self.logger, "target expired"; "event" => "target_expired", "target" => id.to_string());
                 }
@@ -260,7 +260,7 @@
         let restored = record_era(&self.routes_era, answer.revision.era);
         self.state.send_modify(|state| {
             if restored {
-                state.emptied.restored(self.clock.now());
+                state.emptied_zones.restored(self.clock.now());
             }
             self.apply_zones(state, zones);
             let in_force = state.routes.as_ref().map(|routes| routes.version);
@@ -296,7 +296,7 @@
     }
 
     fn apply_zones(&self, state: &mut ControlState, update: ZoneUpdate) {
-        let changes = state.emptied.take(update, self.clock.now());
+        let changes = state.emptied_zones.take(update, self.clock.now());
         self.report_zone_changes(&changes);
     }
 
@@ -316,12 +316,12 @@
         let received = self.clock.now();
         let stamped = StampedAnswer { sent, received, stamp: answer.stamp };
         let restored = record_era(&self.targets_era, answer.revision.era);
-        if restored && self.grace().is_none() {
+        if restored && self.grace_deadline().is_none() {
             // Starts the grace period for missing rows: a restore can lose rows of active targets without a
             // noticed outage.
             self.gap.set(Some(AnswerGap { asked: received, returned: received }));
         }
-        let grace = self.grace();
+        let grace_deadline = self.grace_deadline();
         self.state.send_modify(|state| {
             if restored {
                 state.targets.restored(received);
@@ -329,13 +329,13 @@
             match answer.value {
                 TargetUpdate::Listed(rows) => {
                     info!(self.logger, "targets listed"; "event" => "targets_listed", "count" => rows.len(),
-                        "after_outage" => grace.is_some(), "age_ms" => state.targets_proof.age(received));
-                    state.targets.apply_listing(rows, grace);
+                        "after_outage" => grace_deadline.is_some(), "age_ms" => state.targets_proof.age(received));
+                    state.targets.apply_listing(rows, grace_deadline);
                     state.targets_listed = true;
                 }
                 TargetUpdate::Changed(changes) => {
-                    self.log_changes(&changes, grace);
-                    state.targets.apply_changes(changes, grace);
+                    self.log_changes(&changes, grace_deadline);
+                    state.targets.apply_changes(changes, grace_deadline);
                 }
             }
             match answer.origin {
@@ -349,17 +349,17 @@
     }
 
     /// Logs each changed target, or only totals if there are many.
-    fn log_changes(&self, changes: &[TargetChange], grace: Option<UnixDeadline>) {
+    fn log_changes(&self, changes: &[TargetChange], grace_deadline: Option<UnixDeadline>) {
         if changes.len() <= MAX_LOGGED_CHANGES {
-            return changes.iter().for_each(|change| self.log_change(change, grace));
+            return changes.iter().for_each(|change| self.log_change(change, grace_deadline));
         }
         let gone = changes.iter().filter(|change| matches!(change, TargetChange::Gone(_))).count();
         let unusable = changes.iter().filter(|change| matches!(change, TargetChange::Unusable(_))).count();
         info!(self.logger, "targets changed"; "event" => "targets_changed", "put" => changes.len() - gone - unusable,
-            "gone" => gone, "unusable" => unusable, "grace" => grace.is_some());
+            "gone" => gone, "unusable" => unusable, "grace" => grace_deadline.is_some());
     }
 
-    fn log_change(&self, change: &TargetChange, grace: Option<UnixDeadline>) {
+    fn log_change(&self, change: &TargetChange, grace_deadline: Option<UnixDeadline>) {
         match change {
             TargetChange::Put(record) => {
                 info!(self.logger, "target changed"; "event" => "target_put", "target" => record.id.to_string(),
@@ -367,7 +367,7 @@
             }
             TargetChange::Gone(id) => {
                 info!(self.logger, "target removed"; "event" => "target_gone", "target" => id.to_string(),
-                    "grace" => grace.is_some());
+                    "grace" => grace_deadline.is_some());
             }
             TargetChange::Unusable(id) => {
                 info!(self.logger, "target row is unusable"; "event" => "target_unusable",
@@ -378,7 +378,7 @@
 
     /// Returns the end of the grace period for rows that disappear now, if the source has recently
     /// recovered.
-    fn grace(&self) -> Option<UnixDeadline> {
+    fn grace_deadline(&self) -> Option<UnixDeadline> {
         self.gap.get()?.grace(self.staleness_bound, self.clock.now())
     }
 
--- a/crates/porthoist-proxy/src/crashes.rs
+++ b/crates/porthoist-proxy/src/crashes.rs
@@ -19,7 +19,7 @@
 use tokio::sync::{mpsc, watch};
 
 /// Long-poll timeout. A silent connection is indistinguishable from "no change" until
-/// [`ANSWER_MILLIS`](crate::rows::ANSWER_MILLIS) later. Operators allow 3 s from such a loss, and 3 s more
+/// [`ANSWER_TIMEOUT_MILLIS`](crate::rows::ANSWER_TIMEOUT_MILLIS) later. Operators allow 3 s from such a loss, and 3 s more
 /// to learn of a crash.
 const POLL_TIMEOUT: Duration = Duration::from_millis(3_300);
 /// Pause after a change: each entry with a request at a crashed target records the crash within
@@ -43,7 +43,7 @@
 /// writes the same rows again.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(900);
 /// Maximum number of changes per write.
-const WRITE_ROWS: usize = 100;
+const MAX_WRITE_ROWS: usize = 100;
 /// Maximum number of pending changes, of some 200 bytes each. Enough for crashes in ten zones at once.
 const MAX_PENDING: usize = 2_000;
 /// Maximum number of unreadable rows that are remembered in order to log each only once.
@@ -187,18 +187,18 @@
         RowValue::Removed => Ok((key, None)),
         RowValue::Unreadable(problem) => Err(problem.clone()),
         RowValue::Bytes(bytes) => {
-            let wire: StoredReport = serde_json::from_slice(bytes).map_err(|error| error.to_string())?;
-            if wire.layout != LAYOUT {
-                return Err(format!("layout {} is not known", wire.layout));
+            let stored: StoredReport = serde_json::from_slice(bytes).map_err(|error| error.to_string())?;
+            if stored.layout != LAYOUT {
+                return Err(format!("layout {} is not known", stored.layout));
             }
-            Ok((key, Some(wire.report)))
+            Ok((key, Some(stored.report)))
         }
     }
 }
 
 fn row_change(key: &CrashKey, report: Option<&CrashReport>) -> RowChange {
-    let wire = report.map(|report| StoredReport { layout: LAYOUT, report: report.clone() });
-    let value = wire.map(|wire| serde_json::to_vec(&wire).expect("numbers and texts can be written"));
+    let stored = report.map(|report| StoredReport { layout: LAYOUT, report: report.clone() });
+    let value = stored.map(|stored| serde_json::to_vec(&stored).expect("numbers and texts can be written"));
     RowChange { key: key.to_string(), value }
 }
 
@@ -225,7 +225,7 @@
     /// Runs until all senders of changes are dropped.
     pub async fn run(mut self) {
         let mut backoff = MIN_BACKOFF;
-        while self.gather().await {
+        while self.collect_changes().await {
             match self.write().await {
                 Ok(rows) => {
                     backoff = MIN_BACKOFF;
@@ -243,7 +243,7 @@
     }
 
     /// Waits until changes are pending. Returns `false` once all senders are dropped.
-    async fn gather(&mut self) -> bool {
+    async fn collect_changes(&mut self) -> bool {
         if self.pending.is_empty() {
             let Some(change) = self.changes.recv().await else { return false };
             self.add(change);
@@ -269,7 +269,7 @@
 
     /// Writes the first pending rows. Returns their number.
     async fn write(&mut self) -> Result<usize, SourceError> {
-        let first = self.pending.iter().take(WRITE_ROWS);
+        let first = self.pending.iter().take(MAX_WRITE_ROWS);
         let changes: Vec<RowChange> = first.map(|(key, report)| row_change(key, report.as_ref())).collect();
         let rows = changes.len();
         let writing = tokio::time::timeout(WRITE_TIMEOUT, self.writer.write(changes)).await;
--- a/crates/porthoist-proxy/src/dispatcher.rs
+++ b/crates/porthoist-proxy/src/dispatcher.rs
@@ -45,7 +45,7 @@
 /// A slot at a target for one request, released on drop.
 pub struct TargetSlot {
     /// The target.
-    pub record: Arc<TargetRecord>,
+    pub target: Arc<TargetRecord>,
     /// Requests of this process that were in flight at the target before this one.
     pub in_flight: u32,
     /// Load that engines had reported for the target when it was chosen.
@@ -63,7 +63,7 @@
 
 impl fmt::Debug for TargetSlot {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("TargetSlot").field("target", &self.record.id).finish_non_exhaustive()
+        f.debug_struct("TargetSlot").field("target", &self.target.id).finish_non_exhaustive()
     }
 }
 
@@ -130,8 +130,8 @@
     /// Returns a slot at once, or after a wait if one can be expected in time.
     pub async fn acquire_slot(&self, request: SlotRequest) -> Result<TargetSlot, SlotError> {
         let service = request.service.clone();
-        let answer = self.scheduler.borrow_mut().decide(&request, self.clock.now());
-        let (until, receiver) = match answer {
+        let decision = self.scheduler.borrow_mut().decide(&request, self.clock.now());
+        let (until, receiver) = match decision {
             SlotDecision::Assign(chosen) => return Ok(self.new_slot(chosen, request.work)),
             SlotDecision::Refuse(error) => {
                 self.refuse_unservable(&service);
@@ -179,7 +179,7 @@
 
     /// Whether a request may still be sent to the target of its slot.
     pub fn is_still_valid(&self, slot: &TargetSlot) -> bool {
-        self.scheduler.borrow().is_still_valid(&slot.record.life(), slot.rate, self.clock.now())
+        self.scheduler.borrow().is_still_valid(&slot.target.life(), slot.rate, self.clock.now())
     }
 
     /// Whether a target has announced that it is draining.
@@ -206,7 +206,7 @@
     ) -> Vec<ObservedChange> {
         let changes =
             self.scheduler.borrow_mut().apply_signals(&target.life(), signals, sent, self.clock.now());
-        if changes.iter().any(|noted| matches!(noted.change, BackpressureChange::Resting(_))) {
+        if changes.iter().any(|observed| matches!(observed.change, BackpressureChange::Resting(_))) {
             self.refuse_unservable(&target.service);
         }
         changes
@@ -256,7 +256,7 @@
     fn new_slot(&self, chosen: ChosenTarget, work: RequestWork) -> TargetSlot {
         let ChosenTarget { record, in_flight, report, group, rate } = chosen;
         TargetSlot {
-            record,
+            target: record,
             in_flight,
             report,
             group,
@@ -269,11 +269,11 @@
     }
 
     fn release(&self, slot: &TargetSlot) {
-        let TargetSlot { record, work, assigned, outcome, .. } = slot;
+        let TargetSlot { target, work, assigned, outcome, .. } = slot;
         let now = self.clock.now();
         let held = now.since(*assigned);
-        self.scheduler.borrow_mut().ended(&record.service, &record.life(), *work, outcome.get(), held, now);
-        self.serve_queue(&record.service);
+        self.scheduler.borrow_mut().ended(&target.service, &target.life(), *work, outcome.get(), held, now);
+        self.serve_queue(&target.service);
     }
 
     /// Why queued requests of a service are refused before their deadline.
@@ -305,7 +305,7 @@
     }
 
     fn next_ready(&self, service: &ServiceName) -> Option<(SlotSender, ChosenTarget, RequestWork)> {
-        let waits = |reply: &SlotSender| !reply.is_closed();
-        self.scheduler.borrow_mut().next_ready(service, waits, self.clock.now())
+        let is_waiting = |reply: &SlotSender| !reply.is_closed();
+        self.scheduler.borrow_mut().next_ready(service, is_waiting, self.clock.now())
     }
 }
--- a/crates/porthoist-proxy/src/earlier_values.rs
+++ b/crates/porthoist-proxy/src/earlier_values.rs
@@ -40,9 +40,9 @@
         self.patches.borrow_mut().clear();
         let values = self.values.entry(row.key).or_default();
         values.push_back(EarlierValue { version: row.version, bytes: Rc::new(bytes) });
-        let held =
+        let total_bytes =
             |values: &VecDeque<EarlierValue>| values.iter().map(|value| value.bytes.len()).sum::<usize>();
-        while values.len() > 1 && (values.len() > MAX_VALUES || held(values) > MAX_VALUE_BYTES) {
+        while values.len() > 1 && (values.len() > MAX_VALUES || total_bytes(values) > MAX_VALUE_BYTES) {
             values.pop_front();
         }
     }
@@ -54,8 +54,8 @@
         let known = self.values.get(&row.key)?.iter().rev().find(|value| value.version <= revision)?;
         let key = (row.key.clone(), row.version, known.version);
         let mut patches = self.patches.borrow_mut();
-        let made = || Rc::new(ValuePatch::new(known.version.number, &known.bytes, bytes));
-        let patch = Rc::clone(patches.entry(key).or_insert_with(made));
+        let compute = || Rc::new(ValuePatch::new(known.version.number, &known.bytes, bytes));
+        let patch = Rc::clone(patches.entry(key).or_insert_with(compute));
         (patch.bytes() < bytes.len() / 2).then_some(patch)
     }
 }
--- a/crates/porthoist-proxy/src/handler.rs
+++ b/crates/porthoist-proxy/src/handler.rs
@@ -4,9 +4,9 @@
 use crate::connection_pool::{ConnectionPool, OpenAnswer, SendFailure};
 use crate::control::ControlState;
 use crate::dispatcher::{RequestDispatcher, TargetSlot};
-use crate::headers::WireCodec;
+use crate::headers::HeaderCodec;
 use crate::quarantine::RequestQuarantine;
-use crate::reply::{Reply, complete_reply, refusal_reply, relayed_headers, streamed_reply};
+use crate::reply::{CallerReply, complete_reply, refusal_reply, relayed_headers, streamed_reply};
 use hyper::Request;
 use hyper::body::Incoming;
 use hyper::header::{HOST, HeaderMap, HeaderName, HeaderValue};
@@ -44,12 +44,12 @@
 
 use backpressure::NotePublisher;
 use relay::EventRelay;
-use types::{AdmittedRequest, ProxyRefusal, SendRecord, TargetAnswer, WholeAnswer};
+use types::{AdmittedRequest, CompleteAnswer, ProxyRefusal, SendHistory, TargetAnswer};
 
 /// Event after which a stream resumes; callers send it too.
 const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
 /// Maximum size of a response that is buffered before it is forwarded, in bytes.
-const MAX_WHOLE_ANSWER_BYTES: usize = 8 * 1024 * 1024;
+const MAX_BUFFERED_ANSWER_BYTES: usize = 8 * 1024 * 1024;
 /// Retry delay for callers of a process without a configuration or a current freshness proof, in
 /// milliseconds. The balancer needs two health checks, one second apart, to remove the process.
 const UNREADY_RETRY_MILLIS: u64 = 1_000;
@@ -70,7 +70,7 @@
 /// Handles the requests of a process and holds the state that they share.
 pub struct ProxyHandler {
     settings: ProxyHandlerSettings,
-    codec: Rc<dyn WireCodec>,
+    codec: Rc<dyn HeaderCodec>,
     state: watch::Receiver<ControlState>,
     dispatcher: RequestDispatcher,
     quarantine: Rc<RequestQuarantine>,
@@ -84,7 +84,7 @@
     targets_applied: Cell<bool>,
     stopping: Cell<bool>,
     /// Number of cold targets at the last check.
-    cold: Cell<usize>,
+    cold_targets: Cell<usize>,
     /// When stalled groups are checked again.
     next_stall_check: Cell<UnixDeadline>,
     clock: Arc<dyn ClockSource>,
@@ -102,14 +102,14 @@
 struct RequestGuard {
     handler: Rc<ProxyHandler>,
     attempt: Arc<str>,
-    ended: Cell<bool>,
+    completed: Cell<bool>,
 }
 
 impl Drop for RequestGuard {
     fn drop(&mut self) {
         let handler = &self.handler;
         handler.in_flight.set(handler.in_flight.get().saturating_sub(1));
-        if !self.ended.get() {
+        if !self.completed.get() {
             info!(handler.logger, "caller left"; "event" => "caller_left", "request" => &*self.attempt);
         }
     }
@@ -121,7 +121,7 @@
     #[builder]
     pub fn new(
         settings: ProxyHandlerSettings,
-        codec: Rc<dyn WireCodec>,
+        codec: Rc<dyn HeaderCodec>,
         state: watch::Receiver<ControlState>,
         dispatcher: RequestDispatcher,
         quarantine: Rc<RequestQuarantine>,
@@ -144,7 +144,7 @@
             in_flight: Cell::new(0),
             targets_applied: Cell::new(false),
             stopping: Cell::new(false),
-            cold: Cell::new(0),
+            cold_targets: Cell::new(0),
             next_stall_check: Cell::default(),
             clock,
             metrics,
@@ -175,7 +175,7 @@
         self.targets_applied.set(state.targets_listed);
         let services = state.routes.iter().flat_map(|routes| routes.services.values());
         let rules = services.filter_map(|spec| Some((spec.name.clone(), spec.cold?))).collect();
-        self.dispatcher.sync(&state.targets, rules, &state.emptied);
+        self.dispatcher.sync(&state.targets, rules, &state.emptied_zones);
         let known: HashSet<TargetLife> = state.targets.records().map(|record| record.life()).collect();
         self.pool.prune(|life| known.contains(life));
         self.log_cold_targets();
@@ -183,10 +183,10 @@
 
     /// Logs the number of cold targets if it has changed.
     fn log_cold_targets(&self) {
-        let cold = self.dispatcher.cold_targets();
-        if self.cold.replace(cold) != cold {
-            self.metrics.cold_targets(cold as u64);
-            info!(self.logger, "number of cold targets changed"; "event" => "targets_cold", "count" => cold);
+        let cold_targets = self.dispatcher.cold_targets();
+        if self.cold_targets.replace(cold_targets) != cold_targets {
+            self.metrics.cold_targets(cold_targets as u64);
+            info!(self.logger, "number of cold targets changed"; "event" => "targets_cold", "count" => cold_targets);
         }
     }
 
@@ -219,14 +219,14 @@
         self.next_stall_check.set(UnixDeadline::after(now, STALL_CHECK_MILLIS));
         self.log_cold_targets();
         for GroupSnapshot { index, status } in self.dispatcher.group_changes() {
-            let (group, standing, pass) = (index.place(), status.stalled, status.millis);
+            let (group, stalled, pass_millis) = (index.place(), status.stalled, status.millis);
             info!(self.logger, "group stalled or resumed"; "event" => "group_pace", "group" => group,
-                "standing" => standing, "pass_ms" => pass);
+                "standing" => stalled, "pass_ms" => pass_millis);
         }
     }
 
     /// Serves one request.
-    pub async fn serve(self: Rc<Self>, request: Request<Incoming>) -> Reply {
+    pub async fn serve(self: Rc<Self>, request: Request<Incoming>) -> CallerReply {
         let arrival = self.clock.now();
         // The process can report ready before this thread has applied the first list of targets; its first
         // callers would be refused without a target.
@@ -236,15 +236,16 @@
         self.metrics.request();
         self.in_flight.set(self.in_flight.get() + 1);
         let (head, body) = request.into_parts();
-        let facts = self.codec.request_facts(&head.headers);
-        let attempt = facts.as_ref().map_or_else(|_error| Arc::from("-"), |facts| Arc::clone(&facts.attempt));
+        let metadata = self.codec.parse_request(&head.headers);
+        let attempt =
+            metadata.as_ref().map_or_else(|_error| Arc::from("-"), |metadata| Arc::clone(&metadata.attempt));
         let guard = RequestGuard {
             handler: Rc::clone(&self),
             attempt: Arc::clone(&attempt),
-            ended: Cell::new(false),
+            completed: Cell::new(false),
         };
-        let admitted = match facts {
-            Ok(facts) => self.admit(facts, head, body, arrival).await,
+        let admitted = match metadata {
+            Ok(metadata) => self.admit(metadata, head, body, arrival).await,
             Err(error) => {
                 info!(self.logger, "unreadable headers"; "event" => "malformed", "error" => error.to_string());
                 Err(ProxyRefusal::denied(RefusalReason::Malformed))
@@ -257,7 +258,7 @@
         let mut reply = match outcome {
             Ok(reply) => reply,
             Err((refusal, guard)) => {
-                guard.ended.set(true);
+                guard.completed.set(true);
                 self.refuse(refusal, &attempt, arrival)
             }
         };
@@ -267,14 +268,14 @@
         reply
     }
 
-    fn refuse(&self, refusal: ProxyRefusal, attempt: &str, arrival: UnixMillis) -> Reply {
+    fn refuse(&self, refusal: ProxyRefusal, attempt: &str, arrival: UnixMillis) -> CallerReply {
         let ProxyRefusal { reason, status, verdict, retry_millis } = refusal;
         info!(self.logger, "request refused"; "event" => "refused", "request" => attempt, "reason" => reason.as_str(),
             "status" => status.as_u16(), "verdict" => verdict.as_str(), "retry_ms" => retry_millis,
             "held_ms" => self.clock.now().since(arrival));
         self.metrics.refusal(reason, verdict);
         let mut reply = refusal_reply(status, reason, retry_millis);
-        self.codec.write_own_answer(attempt, reply.headers_mut());
+        self.codec.write_attempt(attempt, reply.headers_mut());
         reply
     }
 
@@ -283,24 +284,24 @@
         self: &Rc<Self>,
         admitted: Rc<AdmittedRequest>,
         guard: RequestGuard,
-    ) -> Result<Reply, (ProxyRefusal, RequestGuard)> {
-        let mut record = SendRecord::default();
+    ) -> Result<CallerReply, (ProxyRefusal, RequestGuard)> {
+        let mut history = SendHistory::default();
         loop {
-            let slot = match self.acquire_permitted_slot(&admitted, &mut record).await {
+            let slot = match self.acquire_permitted_slot(&admitted, &mut history).await {
                 Ok(slot) => slot,
                 Err(refusal) => return Err((refusal, guard)),
             };
-            let outcome = self.send(&admitted, &slot, None, &mut record).await;
+            let outcome = self.send(&admitted, &slot, None, &mut history).await;
             let failure = match outcome {
-                Ok(TargetAnswer::Events(answer)) => {
-                    return Ok(self.relay_events(admitted, slot, answer, record, guard));
+                Ok(TargetAnswer::Stream(answer)) => {
+                    return Ok(self.relay_stream(admitted, slot, answer, history, guard));
                 }
-                Ok(TargetAnswer::Whole(answer)) => {
+                Ok(TargetAnswer::Complete(answer)) => {
                     let server_error = answer.status.is_server_error();
-                    let retry = server_error && !admitted.runs_once() && self.take_retry(&admitted, &record);
+                    let retry = server_error && !admitted.runs_once() && self.take_retry(&admitted, &history);
                     if !retry {
-                        guard.ended.set(true);
-                        return Ok(self.relay_whole(&admitted, &slot, answer));
+                        guard.completed.set(true);
+                        return Ok(self.relay_complete(&admitted, &slot, answer));
                     }
                     let detail = format!("status {}", answer.status.as_u16());
                     SendFailure {
@@ -312,39 +313,44 @@
                 }
                 Err(failure) => failure,
             };
-            let target = Arc::clone(&slot.record);
+            let target = Arc::clone(&slot.target);
             drop(slot);
-            self.check_lost_target(&admitted, &target, &failure, &mut record).await;
-            record.failed(&failure);
+            self.check_lost_target(&admitted, &target, &failure, &mut history).await;
+            history.record_failure(&failure);
             if failure.reason == RetryReason::BackendFailed {
                 self.record_retry(&admitted, &failure);
                 continue;
             }
-            if let Err(refusal) = self.allow_retry(&admitted, &record, &failure) {
+            if let Err(refusal) = self.allow_retry(&admitted, &history, &failure) {
                 return Err((refusal, guard));
             }
         }
     }
 
-    fn relay_whole(&self, admitted: &AdmittedRequest, slot: &TargetSlot, answer: WholeAnswer) -> Reply {
+    fn relay_complete(
+        &self,
+        admitted: &AdmittedRequest,
+        slot: &TargetSlot,
+        answer: CompleteAnswer,
+    ) -> CallerReply {
         let millis = self.clock.now().since(admitted.arrival);
         self.metrics.answer(millis as f64);
-        info!(self.logger, "answered"; "event" => "answered", "request" => &*admitted.facts.attempt,
-            "target" => slot.record.id.to_string(), "status" => answer.status.as_u16(), "took_ms" => millis);
+        info!(self.logger, "answered"; "event" => "answered", "request" => &*admitted.metadata.attempt,
+            "target" => slot.target.id.to_string(), "status" => answer.status.as_u16(), "took_ms" => millis);
         complete_reply(answer.status, relayed_headers(answer.headers), answer.body)
     }
 
-    fn relay_events(
+    fn relay_stream(
         self: &Rc<Self>,
         admitted: Rc<AdmittedRequest>,
         slot: TargetSlot,
         answer: OpenAnswer,
-        record: SendRecord,
+        history: SendHistory,
         guard: RequestGuard,
-    ) -> Reply {
+    ) -> CallerReply {
         let status = answer.head.status;
         let headers = relayed_headers(answer.head.headers.clone());
-        let relay = EventRelay::new(Rc::clone(self), admitted, slot, answer, record, guard);
+        let relay = EventRelay::new(Rc::clone(self), admitted, slot, answer, history, guard);
         streamed_reply(status, headers, relay.into_body())
     }
 
@@ -362,7 +368,7 @@
     head.uri.host().or_else(|| header_text(&head.headers, HOST)).unwrap_or_default()
 }
 
-fn key_error(error: RouteError) -> RefusalReason {
+fn route_refusal_reason(error: RouteError) -> RefusalReason {
     match error {
         RouteError::NoRoute => RefusalReason::UnknownService,
         RouteError::UnknownKey => RefusalReason::Unauthorized,
--- a/crates/porthoist-proxy/src/handler/admission.rs
+++ b/crates/porthoist-proxy/src/handler/admission.rs
@@ -1,8 +1,8 @@
 //! Admission of requests: route, key, freshness proof and body size.
 
 use super::types::{AdmittedRequest, ProxyRefusal};
-use super::{ProxyHandler, UNREADY_RETRY_MILLIS, host_of, key_error};
-use crate::headers::RequestFacts;
+use super::{ProxyHandler, UNREADY_RETRY_MILLIS, host_of, route_refusal_reason};
+use crate::headers::RequestMetadata;
 use bytes::Bytes;
 use hyper::StatusCode;
 use hyper::body::Incoming;
@@ -26,20 +26,20 @@
 impl ProxyHandler {
     pub(super) async fn admit(
         &self,
-        facts: RequestFacts,
+        metadata: RequestMetadata,
         head: Parts,
         body: Incoming,
         arrival: UnixMillis,
     ) -> Result<AdmittedRequest, ProxyRefusal> {
-        let routed = self.route(&facts, &head, arrival)?;
+        let routed = self.route(&metadata, &head, arrival)?;
         let RoutedRequest { rule, grant, service, ranked, body_bytes } = routed;
-        let is_caller_retry = self.log_admitted(&facts, &rule, &service);
-        let wait = facts.remaining_millis.unwrap_or(rule.timeout_millis).min(rule.timeout_millis);
+        let is_caller_retry = self.log_admitted(&metadata, &rule, &service);
+        let wait = metadata.remaining_millis.unwrap_or(rule.timeout_millis).min(rule.timeout_millis);
         let deadline = UnixDeadline::after(arrival, wait);
         let body = self.read_body(body, body_bytes, deadline).await?;
-        let marked = OnceCell::new();
+        let cached_mark = OnceCell::new();
         Ok(AdmittedRequest {
-            facts,
+            metadata,
             head,
             body,
             rule,
@@ -49,19 +49,20 @@
             arrival,
             deadline,
             is_caller_retry,
-            marked,
+            cached_mark,
         })
     }
 
     /// Logs an admitted request. Returns whether its caller was refused before.
-    fn log_admitted(&self, facts: &RequestFacts, rule: &RouteRule, service: &ServiceName) -> bool {
-        let is_caller_retry = self.retry_detector.borrow_mut().is_retry(&rule.name, facts.remaining_millis);
+    fn log_admitted(&self, metadata: &RequestMetadata, rule: &RouteRule, service: &ServiceName) -> bool {
+        let is_caller_retry =
+            self.retry_detector.borrow_mut().is_retry(&rule.name, metadata.remaining_millis);
         let (version, age) = {
             let state = self.state.borrow();
             let version = state.routes.as_ref().map(|routes| routes.version.0);
             (version, state.routes_proof.age(self.clock.now()))
         };
-        info!(self.logger, "admitted"; "event" => "admitted", "request" => &*facts.attempt,
+        info!(self.logger, "admitted"; "event" => "admitted", "request" => &*metadata.attempt,
             "route" => &*rule.name, "service" => service.as_str(), "version" => version, "proof_age_ms" => age,
             "aim_ms" => rule.target_latency_millis, "pause_aim_ms" => rule.target_pause_millis,
             "returned" => is_caller_retry);
@@ -70,7 +71,7 @@
 
     fn route(
         &self,
-        facts: &RequestFacts,
+        metadata: &RequestMetadata,
         head: &Parts,
         arrival: UnixMillis,
     ) -> Result<RoutedRequest, ProxyRefusal> {
@@ -83,29 +84,31 @@
         };
         let age = proof.age(arrival);
         let rule = self.settings.freshness;
-        let decided = Self::decide(&routes, facts, head);
-        match &decided {
+        let outcome = Self::match_route(&routes, metadata, head);
+        match &outcome {
             // A newer configuration may allow what this one denies.
-            Err(_denial) if !rule.proven(&proof, arrival) => return Err(self.unproven(facts, &routes, age)),
+            Err(_denial) if !rule.proven(&proof, arrival) => {
+                return Err(self.refuse_unproven(metadata, &routes, age));
+            }
             Ok(allowed)
                 if routes.requires_keys() && !allowed.rule.public && !rule.may_run(&proof, arrival) =>
             {
-                return Err(self.unproven(facts, &routes, age));
+                return Err(self.refuse_unproven(metadata, &routes, age));
             }
             _ => {}
         }
-        decided
+        outcome
     }
 
-    fn decide(
+    fn match_route(
         routes: &RouteTable,
-        facts: &RequestFacts,
+        metadata: &RequestMetadata,
         head: &Parts,
     ) -> Result<RoutedRequest, ProxyRefusal> {
-        let denied = |error| ProxyRefusal::denied(key_error(error));
+        let denied = |error| ProxyRefusal::denied(route_refusal_reason(error));
         let rule = routes.route(host_of(head), head.uri.path()).map_err(denied)?;
-        let grant = routes.team(&rule, facts.key.as_deref()).map_err(denied)?;
-        let hash = xxhash_rust::xxh3::xxh3_64(facts.attempt.as_bytes());
+        let grant = routes.team(&rule, metadata.key.as_deref()).map_err(denied)?;
+        let hash = xxhash_rust::xxh3::xxh3_64(metadata.attempt.as_bytes());
         let service = rule.service(hash).cloned();
         let service = service.ok_or(ProxyRefusal::denied(RefusalReason::UnknownService))?;
         let spec = routes.services.get(&service);
@@ -114,9 +117,14 @@
         Ok(RoutedRequest { rule, grant, service, ranked, body_bytes })
     }
 
-    fn unproven(&self, facts: &RequestFacts, routes: &RouteTable, age: Option<u64>) -> ProxyRefusal {
+    fn refuse_unproven(
+        &self,
+        metadata: &RequestMetadata,
+        routes: &RouteTable,
+        age: Option<u64>,
+    ) -> ProxyRefusal {
         info!(self.logger, "the configuration may be out of date"; "event" => "unproven",
-            "request" => &*facts.attempt, "version" => routes.version.0, "proof_age_ms" => age);
+            "request" => &*metadata.attempt, "version" => routes.version.0, "proof_age_ms" => age);
         ProxyRefusal::retryable(RefusalReason::NotReady, UNREADY_RETRY_MILLIS)
     }
 
--- a/crates/porthoist-proxy/src/handler/backpressure.rs
+++ b/crates/porthoist-proxy/src/handler/backpressure.rs
@@ -19,18 +19,18 @@
 pub(super) struct NotePublisher {
     store: NoteStore,
     published: watch::Sender<Vec<TargetNote>>,
-    next: UnixDeadline,
+    next_publication: UnixDeadline,
 }
 
 impl NotePublisher {
     pub(super) fn new(published: watch::Sender<Vec<TargetNote>>) -> Self {
-        Self { store: NoteStore::default(), published, next: UnixDeadline::default() }
+        Self { store: NoteStore::default(), published, next_publication: UnixDeadline::default() }
     }
 
     fn publish(&mut self, note: TargetNote, changed: bool, now: UnixMillis) {
         self.store.take(note);
-        if changed || self.next.passed(now) {
-            self.next = UnixDeadline::after(now, NOTE_MILLIS);
+        if changed || self.next_publication.passed(now) {
+            self.next_publication = UnixDeadline::after(now, NOTE_MILLIS);
             self.published.send_replace(self.store.current(now));
         }
     }
@@ -70,7 +70,7 @@
         }
     }
 
-    fn log_signal_change(&self, target: &TargetLife, observed: ObservedChange, told_by: &'static str) {
+    fn log_signal_change(&self, target: &TargetLife, observed: ObservedChange, source: &'static str) {
         let ObservedChange { change, logged } = observed;
         self.metrics.need_change(change.as_str());
         if !logged {
@@ -78,10 +78,10 @@
         }
         let limit =
             if let BackpressureChange::Limited(rate) = change { Some(rate.to_string()) } else { None };
-        let rest = if let BackpressureChange::Resting(millis) = change { Some(millis) } else { None };
-        let lasted = if let BackpressureChange::Lifted(millis) = change { Some(millis) } else { None };
+        let rest_millis = if let BackpressureChange::Resting(millis) = change { Some(millis) } else { None };
+        let lasted_millis = if let BackpressureChange::Lifted(millis) = change { Some(millis) } else { None };
         info!(self.logger, "backpressure signals of a target changed"; "event" => "target_need",
-            "target" => target.id.to_string(), "change" => change.as_str(), "told_by" => told_by,
-            "limit" => limit, "rest_ms" => rest, "lasted_ms" => lasted);
+            "target" => target.id.to_string(), "change" => change.as_str(), "told_by" => source,
+            "limit" => limit, "rest_ms" => rest_millis, "lasted_ms" => lasted_millis);
     }
 }
--- a/crates/porthoist-proxy/src/handler/moving.rs
+++ b/crates/porthoist-proxy/src/handler/moving.rs
@@ -1,7 +1,7 @@
 //! Moves requests away from a target that stalls or is too slow while it has them.
 
 use super::ProxyHandler;
-use super::types::{AdmittedRequest, SendRecord};
+use super::types::{AdmittedRequest, SendHistory};
 use crate::connection_pool::SendFailure;
 use crate::dispatcher::TargetSlot;
 use porthoist_core::{UnixDeadline, UnixMillis};
@@ -22,25 +22,25 @@
         &self,
         admitted: &AdmittedRequest,
         slot: &TargetSlot,
-        record: &SendRecord,
+        history: &SendHistory,
         since: UnixMillis,
         events: u64,
     ) -> MoveCause {
-        let attempts_left = record.attempts() < admitted.rule.max_attempts;
-        if !attempts_left || admitted.runs_once() || !admitted.ranked || record.suspect.is_some() {
+        let attempts_left = history.attempts() < admitted.rule.max_attempts;
+        if !attempts_left || admitted.runs_once() || !admitted.ranked || history.suspect.is_some() {
             return future::pending().await;
         }
         let send = PendingSend {
             since,
             events,
-            jitter_millis: xxhash_rust::xxh3::xxh3_64(admitted.facts.attempt.as_bytes())
+            jitter_millis: xxhash_rust::xxh3::xxh3_64(admitted.metadata.attempt.as_bytes())
                 % MAX_MOVE_JITTER_MILLIS,
             on_time_until: UnixDeadline::after(admitted.arrival, admitted.rule.target_latency_millis),
             deadline: admitted.deadline,
         };
         loop {
             tokio::time::sleep(CHECK_INTERVAL).await;
-            let Some(cause) = self.dispatcher.move_cause(&slot.record, &send) else { continue };
+            let Some(cause) = self.dispatcher.move_cause(&slot.target, &send) else { continue };
             let now = self.clock.now();
             let allowed = self.with_retry_share(&admitted.service, |share| match cause {
                 // A stalled host would run the requests that it holds after their callers have left.
@@ -64,10 +64,10 @@
     ) -> SendFailure {
         if cause == MoveCause::TargetSilent {
             slot.set_outcome(SendOutcome::Lost);
-            self.dispatcher.died(&slot.record.life());
+            self.dispatcher.died(&slot.target.life());
         }
-        info!(self.logger, "request moved away from a target"; "event" => "moved", "request" => &*admitted.facts.attempt,
-            "target" => slot.record.id.to_string(), "cause" => cause.as_str(),
+        info!(self.logger, "request moved away from a target"; "event" => "moved", "request" => &*admitted.metadata.attempt,
+            "target" => slot.target.id.to_string(), "cause" => cause.as_str(),
             "waited_ms" => self.clock.now().since(since));
         SendFailure::moved(cause.as_str())
     }
--- a/crates/porthoist-proxy/src/handler/relay.rs
+++ b/crates/porthoist-proxy/src/handler/relay.rs
@@ -1,12 +1,12 @@
 //! Relays a stream event by event, and resumes it at another target after the last event where the route
 //! allows it.
 
-use super::types::{AdmittedRequest, SendRecord, TargetAnswer};
+use super::types::{AdmittedRequest, SendHistory, TargetAnswer};
 use super::{ProxyHandler, RequestGuard};
 use crate::connection_pool::{OpenAnswer, SendFailure};
 use crate::dispatcher::TargetSlot;
 use crate::reply::BodyStream;
-use crate::sse::{EventSplitter, WholeEvent};
+use crate::sse::{CompleteEvent, EventSplitter};
 use bytes::Bytes;
 use futures::StreamExt as _;
 use http_body_util::BodyExt as _;
@@ -21,26 +21,26 @@
 pub(super) struct EventRelay {
     handler: Rc<ProxyHandler>,
     admitted: Rc<AdmittedRequest>,
-    source: Option<EventSource>,
+    source: Option<StreamSource>,
     splitter: EventSplitter,
     last_id: Option<u64>,
     forwarded: u64,
     first_at: Option<UnixMillis>,
     last_at: UnixMillis,
     longest_pause: u64,
-    record: SendRecord,
+    history: SendHistory,
     guard: RequestGuard,
 }
 
 /// The target that a stream comes from.
-struct EventSource {
+struct StreamSource {
     slot: TargetSlot,
     answer: OpenAnswer,
 }
 
 /// The next step of a stream.
 enum RelayStep {
-    Event(WholeEvent),
+    Event(CompleteEvent),
     End,
     Broken(SendFailure),
 }
@@ -51,7 +51,7 @@
         admitted: Rc<AdmittedRequest>,
         slot: TargetSlot,
         answer: OpenAnswer,
-        record: SendRecord,
+        history: SendHistory,
         guard: RequestGuard,
     ) -> Self {
         let after = super::header_text(&admitted.head.headers, super::LAST_EVENT_ID);
@@ -60,14 +60,14 @@
         Self {
             handler,
             admitted,
-            source: Some(EventSource { slot, answer }),
+            source: Some(StreamSource { slot, answer }),
             splitter: EventSplitter::default(),
             last_id,
             forwarded: 0,
             first_at: None,
             last_at,
             longest_pause: 0,
-            record,
+            history,
             guard,
         }
     }
@@ -90,7 +90,7 @@
     async fn next_chunk(&mut self) -> Option<io::Result<Bytes>> {
         loop {
             let step = match self.next_step().await {
-                RelayStep::Event(event) => match self.check(&event) {
+                RelayStep::Event(event) => match self.check_event_order(&event) {
                     Ok(()) => return Some(Ok(self.forward(event))),
                     Err(detail) => RelayStep::Broken(SendFailure::lost(detail)),
                 },
@@ -123,10 +123,10 @@
             };
             let remaining = self.handler.remaining_time(self.admitted.deadline);
             let since = if self.forwarded == 0 { source.slot.assigned } else { self.last_at };
-            let (handler, admitted, record) = (&self.handler, &self.admitted, &self.record);
+            let (handler, admitted, history) = (&self.handler, &self.admitted, &self.history);
             let frame = tokio::select! {
                 frame = tokio::time::timeout(remaining, source.answer.body.frame()) => frame,
-                cause = handler.wait_for_move(admitted, &source.slot, record, since, self.forwarded) => {
+                cause = handler.wait_for_move(admitted, &source.slot, history, since, self.forwarded) => {
                     return RelayStep::Broken(handler.record_move(admitted, &source.slot, cause, since));
                 }
             };
@@ -138,7 +138,7 @@
                     }
                 }
                 Ok(Some(Err(error))) => return RelayStep::Broken(SendFailure::closed(error)),
-                Ok(None) if self.splitter.has_rest() => {
+                Ok(None) if self.splitter.has_partial_event() => {
                     return RelayStep::Broken(SendFailure::closed("connection ended within an event"));
                 }
                 Ok(None) => return RelayStep::End,
@@ -147,21 +147,21 @@
     }
 
     /// Checks that event identifiers increase by one.
-    fn check(&self, event: &WholeEvent) -> Result<(), String> {
+    fn check_event_order(&self, event: &CompleteEvent) -> Result<(), String> {
         match (self.last_id, event.id) {
             (Some(last), Some(id)) if id != last + 1 => Err(format!("event {id} came after {last}")),
             _ => Ok(()),
         }
     }
 
-    fn forward(&mut self, event: WholeEvent) -> Bytes {
+    fn forward(&mut self, event: CompleteEvent) -> Bytes {
         let now = self.handler.clock.now();
         if self.first_at.is_none() {
             self.first_at = Some(now);
             if let Some(source) = &self.source {
                 self.handler
                     .dispatcher
-                    .first_event_received(&source.slot.record, now.since(source.slot.assigned) as f64);
+                    .first_event_received(&source.slot.target, now.since(source.slot.assigned) as f64);
             }
             let first = now.since(self.admitted.arrival) as f64;
             self.handler.metrics.answer(first);
@@ -170,7 +170,7 @@
             self.longest_pause = self.longest_pause.max(pause);
             self.handler.metrics.event_pause(pause as f64);
             if let Some(source) = &self.source {
-                self.handler.dispatcher.event_received(&source.slot.record);
+                self.handler.dispatcher.event_received(&source.slot.target);
             }
         }
         self.last_at = now;
@@ -180,13 +180,13 @@
     }
 
     fn finish(&mut self) {
-        self.guard.ended.set(true);
+        self.guard.completed.set(true);
         self.handler.quarantine.record_answer(&*self.admitted);
         self.handler.dispatcher.stream_ended(&self.admitted.service, self.forwarded);
-        let Some(EventSource { slot, answer }) = self.source.take() else { return };
+        let Some(StreamSource { slot, answer }) = self.source.take() else { return };
         let first = self.first_at.map(|first| first.since(self.admitted.arrival));
         info!(self.handler.logger, "streamed"; "event" => "answered",
-            "request" => &*self.admitted.facts.attempt, "target" => slot.record.id.to_string(),
+            "request" => &*self.admitted.metadata.attempt, "target" => slot.target.id.to_string(),
             "events" => self.forwarded, "first_ms" => first, "longest_pause_ms" => self.longest_pause,
             "took_ms" => self.handler.clock.now().since(self.admitted.arrival));
         slot.set_outcome(SendOutcome::Answered(first.unwrap_or_default() as f64));
@@ -202,48 +202,48 @@
                 source.slot.set_outcome(SendOutcome::Lost);
             }
             info!(self.handler.logger, "stream broken"; "event" => "stream_broken",
-                "request" => &*self.admitted.facts.attempt, "target" => source.slot.record.id.to_string(),
+                "request" => &*self.admitted.metadata.attempt, "target" => source.slot.target.id.to_string(),
                 "events" => self.forwarded, "last_id" => self.last_id, "detail" => &failure.detail);
-            target = Some(source.slot.record.clone());
+            target = Some(source.slot.target.clone());
         }
         self.splitter.clear();
         loop {
             if let Some(target) = target.take() {
-                self.handler.check_lost_target(&self.admitted, &target, &failure, &mut self.record).await;
+                self.handler.check_lost_target(&self.admitted, &target, &failure, &mut self.history).await;
             }
             if failure.reason != RetryReason::Moved {
                 failure.reason = RetryReason::StreamResumed;
             }
-            self.record.failed(&failure);
-            if self.handler.allow_retry(&self.admitted, &self.record, &failure).is_err() {
+            self.history.record_failure(&failure);
+            if self.handler.allow_retry(&self.admitted, &self.history, &failure).is_err() {
                 return Err(self.end_incomplete(&failure.detail));
             }
-            let assigned = self.handler.acquire_permitted_slot(&self.admitted, &mut self.record).await;
+            let assigned = self.handler.acquire_permitted_slot(&self.admitted, &mut self.history).await;
             let Ok(slot) = assigned else {
                 return Err(self.end_incomplete("no slot to resume at"));
             };
-            let sent = self.handler.send(&self.admitted, &slot, self.last_id, &mut self.record).await;
+            let sent = self.handler.send(&self.admitted, &slot, self.last_id, &mut self.history).await;
             match sent {
-                Ok(TargetAnswer::Events(answer)) => {
-                    self.source = Some(EventSource { slot, answer });
+                Ok(TargetAnswer::Stream(answer)) => {
+                    self.source = Some(StreamSource { slot, answer });
                     return Ok(());
                 }
-                Ok(TargetAnswer::Whole(whole)) => {
-                    failure = SendFailure::lost(format!("status {}", whole.status.as_u16()));
+                Ok(TargetAnswer::Complete(answer)) => {
+                    failure = SendFailure::lost(format!("status {}", answer.status.as_u16()));
                 }
                 Err(next) => {
                     failure = next;
-                    target = Some(slot.record.clone());
+                    target = Some(slot.target.clone());
                 }
             }
         }
     }
 
     fn end_incomplete(&self, detail: &str) -> io::Error {
-        self.guard.ended.set(true);
+        self.guard.completed.set(true);
         self.handler.metrics.broken_stream();
         info!(self.handler.logger, "stream ended incomplete"; "event" => "stream_unfinished",
-            "request" => &*self.admitted.facts.attempt, "events" => self.forwarded, "last_id" => self.last_id,
+            "request" => &*self.admitted.metadata.attempt, "events" => self.forwarded, "last_id" => self.last_id,
             "detail" => detail, "took_ms" => self.handler.clock.now().since(self.admitted.arrival));
         io::Error::other("the stream can't be resumed")
     }
--- a/crates/porthoist-proxy/src/handler/retries.rs
+++ b/crates/porthoist-proxy/src/handler/retries.rs
@@ -1,7 +1,7 @@
 //! Retries: the route's attempt limit, the deadline and this process's retry budget.
 
 use super::ProxyHandler;
-use super::types::{AdmittedRequest, ProxyRefusal, SendRecord};
+use super::types::{AdmittedRequest, ProxyRefusal, SendHistory};
 use crate::connection_pool::SendFailure;
 use hyper::StatusCode;
 use porthoist_core::{RefusalReason, RetryReason, ServiceName};
@@ -11,8 +11,8 @@
 impl ProxyHandler {
     /// Whether another attempt is within the route's limit, the deadline and the retry budget. Takes it
     /// from the budget.
-    pub(super) fn take_retry(&self, admitted: &AdmittedRequest, record: &SendRecord) -> bool {
-        let attempts = record.attempts();
+    pub(super) fn take_retry(&self, admitted: &AdmittedRequest, history: &SendHistory) -> bool {
+        let attempts = history.attempts();
         let in_time = !admitted.deadline.passed(self.clock.now());
         let now = self.clock.now();
         attempts < admitted.rule.max_attempts
@@ -22,7 +22,7 @@
 
     pub(super) fn record_retry(&self, admitted: &AdmittedRequest, failure: &SendFailure) {
         self.metrics.retry(failure.reason);
-        info!(self.logger, "request sent again"; "event" => "sent_again", "request" => &*admitted.facts.attempt,
+        info!(self.logger, "request sent again"; "event" => "sent_again", "request" => &*admitted.metadata.attempt,
             "reason" => failure.reason.as_str());
     }
 
@@ -30,18 +30,18 @@
     pub(super) fn allow_retry(
         &self,
         admitted: &AdmittedRequest,
-        record: &SendRecord,
+        history: &SendHistory,
         failure: &SendFailure,
     ) -> Result<(), ProxyRefusal> {
-        let repeatable = !record.may_have_run || !admitted.runs_once();
+        let repeatable = !history.may_have_run || !admitted.runs_once();
         // A move has already taken its retry from the budget.
         let moved = failure.reason == RetryReason::Moved;
-        if moved || repeatable && self.take_retry(admitted, record) {
+        if moved || repeatable && self.take_retry(admitted, history) {
             self.record_retry(admitted, failure);
             return Ok(());
         }
         let timed_out = admitted.deadline.passed(self.clock.now());
-        Err(match (record.may_have_run, timed_out) {
+        Err(match (history.may_have_run, timed_out) {
             (true, true) => ProxyRefusal::unknown(RefusalReason::DeadlinePassed, StatusCode::GATEWAY_TIMEOUT),
             (true, false) => ProxyRefusal::unknown(RefusalReason::ConnectionLost, StatusCode::BAD_GATEWAY),
             (false, _) => {
--- a/crates/porthoist-proxy/src/handler/send_checks.rs
+++ b/crates/porthoist-proxy/src/handler/send_checks.rs
@@ -1,7 +1,7 @@
 //! Checks before each send: the deadline and the crash quarantine.
 
 use super::ProxyHandler;
-use super::types::{AdmittedRequest, ProxyRefusal, SendRecord};
+use super::types::{AdmittedRequest, ProxyRefusal, SendHistory};
 use crate::connection_pool::{SendFailure, TargetLiveness};
 use crate::dispatcher::TargetSlot;
 use hyper::StatusCode;
@@ -14,31 +14,31 @@
     pub(super) async fn acquire_permitted_slot(
         &self,
         admitted: &AdmittedRequest,
-        record: &mut SendRecord,
+        history: &mut SendHistory,
     ) -> Result<TargetSlot, ProxyRefusal> {
-        self.check_quarantine(admitted, record)?;
+        self.check_quarantine(admitted, history)?;
         let slot = loop {
-            let slot = self.request_slot(admitted, record).await?;
-            self.check_quarantine(admitted, record)?;
-            self.check_deadline(admitted, record)?;
+            let slot = self.request_slot(admitted, history).await?;
+            self.check_quarantine(admitted, history)?;
+            self.check_deadline(admitted, history)?;
             // The target may have sent backpressure signals since the slot was assigned.
             if self.dispatcher.is_still_valid(&slot) {
                 break slot;
             }
         };
-        if let Some(suspect) = &mut record.suspect {
-            suspect.at(&slot.record.id);
+        if let Some(suspect) = &mut history.suspect {
+            suspect.set_target(&slot.target.id);
         }
         Ok(slot)
     }
 
     /// Returns an error if the deadline has passed. The end of a wait for a slot is not sufficient: the
     /// runtime's timers stop while the host is suspended.
-    fn check_deadline(&self, admitted: &AdmittedRequest, record: &SendRecord) -> Result<(), ProxyRefusal> {
+    fn check_deadline(&self, admitted: &AdmittedRequest, history: &SendHistory) -> Result<(), ProxyRefusal> {
         if !admitted.deadline.passed(self.clock.now()) {
             return Ok(());
         }
-        if record.may_have_run {
+        if history.may_have_run {
             return Err(ProxyRefusal::unknown(RefusalReason::DeadlinePassed, StatusCode::GATEWAY_TIMEOUT));
         }
         let retry_millis = self.dispatcher.retry_after_millis(&admitted.service, admitted.deadline);
@@ -48,21 +48,21 @@
     fn check_quarantine(
         &self,
         admitted: &AdmittedRequest,
-        record: &mut SendRecord,
+        history: &mut SendHistory,
     ) -> Result<(), ProxyRefusal> {
         // A permit from before a wait ends here, so that crashes reported since then are taken into
         // account.
-        record.suspect = None;
+        history.suspect = None;
         match self.quarantine.begin(admitted) {
             Ok(run) => {
-                record.suspect = run;
+                history.suspect = run;
                 Ok(())
             }
-            Err(_kept) if record.may_have_run => {
+            Err(_block) if history.may_have_run => {
                 Err(ProxyRefusal::unknown(RefusalReason::Quarantined, StatusCode::BAD_GATEWAY))
             }
-            Err(kept) => {
-                let retry_millis = kept.until.0.since(self.clock.now());
+            Err(block) => {
+                let retry_millis = block.until.0.since(self.clock.now());
                 Err(ProxyRefusal::retryable(RefusalReason::Quarantined, retry_millis))
             }
         }
@@ -75,9 +75,9 @@
         admitted: &AdmittedRequest,
         target: &TargetRecord,
         failure: &SendFailure,
-        record: &mut SendRecord,
+        history: &mut SendHistory,
     ) {
-        record.suspect = None;
+        history.suspect = None;
         if !failure.closed || self.is_leaving(target) {
             return;
         }
@@ -104,10 +104,10 @@
     pub(super) fn targets_to_avoid(
         &self,
         admitted: &AdmittedRequest,
-        record: &SendRecord,
+        history: &SendHistory,
     ) -> Vec<TargetName> {
-        let tried = record.tried.clone();
-        if record.suspect.is_none() {
+        let tried = history.tried.clone();
+        if history.suspect.is_none() {
             return tried;
         }
         let avoided = [tried.clone(), self.quarantine.occupied()].concat();
--- a/crates/porthoist-proxy/src/handler/sending.rs
+++ b/crates/porthoist-proxy/src/handler/sending.rs
@@ -1,10 +1,10 @@
 //! Sends a request to a target once and classifies the response.
 
-use super::types::{AdmittedRequest, SendRecord, TargetAnswer, WholeAnswer};
-use super::{LAST_EVENT_ID, MAX_WHOLE_ANSWER_BYTES, ProxyHandler};
+use super::types::{AdmittedRequest, CompleteAnswer, SendHistory, TargetAnswer};
+use super::{LAST_EVENT_ID, MAX_BUFFERED_ANSWER_BYTES, ProxyHandler};
 use crate::connection_pool::{OpenAnswer, SendFailure};
 use crate::dispatcher::TargetSlot;
-use crate::headers::SendFacts;
+use crate::headers::SendMetadata;
 use crate::reply::strip_hop_headers;
 use bytes::Bytes;
 use http_body_util::{BodyExt as _, Full, Limited};
@@ -22,37 +22,37 @@
         admitted: &AdmittedRequest,
         slot: &TargetSlot,
         after_event: Option<u64>,
-        record: &mut SendRecord,
+        history: &mut SendHistory,
     ) -> Result<TargetAnswer, SendFailure> {
-        let began = self.clock.now();
-        let request = self.build_request(admitted, slot, after_event, began);
-        if record.tried.is_empty() {
-            self.with_retry_share(&admitted.service, |share| share.first(began));
+        let sent_at = self.clock.now();
+        let request = self.build_request(admitted, slot, after_event, sent_at);
+        if history.tried.is_empty() {
+            self.with_retry_share(&admitted.service, |share| share.first(sent_at));
         }
-        record.tried.push(slot.record.id.clone());
+        history.tried.push(slot.target.id.clone());
         let sent = async {
-            let open = self.pool.send(&slot.record, request, admitted.runs_once(), admitted.deadline).await?;
-            self.read_answer(admitted, slot, open, began).await
+            let open = self.pool.send(&slot.target, request, admitted.runs_once(), admitted.deadline).await?;
+            self.read_answer(admitted, slot, open, sent_at).await
         };
         let answer = tokio::select! {
             answer = sent => answer,
-            cause = self.wait_for_move(admitted, slot, record, began, 0) => {
-                return Err(self.record_move(admitted, slot, cause, began));
+            cause = self.wait_for_move(admitted, slot, history, sent_at, 0) => {
+                return Err(self.record_move(admitted, slot, cause, sent_at));
             }
         };
-        let millis = self.clock.now().since(began) as f64;
-        if matches!(answer, Ok(TargetAnswer::Whole(_))) {
+        let millis = self.clock.now().since(sent_at) as f64;
+        if matches!(answer, Ok(TargetAnswer::Complete(_))) {
             self.quarantine.record_answer(admitted);
         }
         match &answer {
-            Ok(TargetAnswer::Whole(whole)) if whole.status.is_server_error() => {
+            Ok(TargetAnswer::Complete(answer)) if answer.status.is_server_error() => {
                 slot.set_outcome(SendOutcome::Failed);
             }
-            Ok(TargetAnswer::Whole(_whole)) => {
-                self.dispatcher.first_event_received(&slot.record, millis);
+            Ok(TargetAnswer::Complete(_answer)) => {
+                self.dispatcher.first_event_received(&slot.target, millis);
                 slot.set_outcome(SendOutcome::Answered(millis));
             }
-            Ok(TargetAnswer::Events(_answer)) => slot.set_outcome(SendOutcome::Answered(millis)),
+            Ok(TargetAnswer::Stream(_answer)) => slot.set_outcome(SendOutcome::Answered(millis)),
             Err(failure) => {
                 // A service whose targets back off is not down.
                 if !matches!(failure.reason, RetryReason::Misdirected | RetryReason::Resting) {
@@ -64,7 +64,7 @@
                     _ => SendOutcome::Lost,
                 });
                 info!(self.logger, "send failed"; "event" => "send_failed",
-                    "request" => &*admitted.facts.attempt, "target" => slot.record.id.to_string(),
+                    "request" => &*admitted.metadata.attempt, "target" => slot.target.id.to_string(),
                     "reason" => failure.reason.as_str(), "verdict" => failure.verdict.as_str(),
                     "detail" => &failure.detail, "took_ms" => millis);
             }
@@ -91,13 +91,13 @@
         if let Some(id) = after_event {
             headers.insert(LAST_EVENT_ID, HeaderValue::from(id));
         }
-        let facts = SendFacts {
-            target: &slot.record.id,
+        let metadata = SendMetadata {
+            target: &slot.target.id,
             team: admitted.grant.as_ref().map(|grant| &grant.team),
             remaining_millis: admitted.deadline.0.since(now),
             priority: admitted.priority().min(9),
         };
-        self.codec.write_send(&mut headers, &facts);
+        self.codec.write_send_headers(&mut headers, &metadata);
         *request.headers_mut() = headers;
         request
     }
@@ -110,56 +110,56 @@
         sent: UnixMillis,
     ) -> Result<TargetAnswer, SendFailure> {
         let status = answer.head.status;
-        let facts = self.codec.answer_facts(&admitted.facts.attempt, status, &answer.head.headers);
-        if facts.own == Some(false) {
+        let metadata = self.codec.parse_answer(&admitted.metadata.attempt, status, &answer.head.headers);
+        if metadata.matches_attempt == Some(false) {
             return Err(SendFailure::lost("response names another request"));
         }
-        if !facts.misdirected {
-            self.apply_signals(&slot.record, &facts.signals, sent);
+        if !metadata.misdirected {
+            self.apply_signals(&slot.target, &metadata.signals, sent);
         }
-        if facts.not_executed {
-            let whole = self.read_whole(admitted, answer).await;
+        if metadata.not_executed {
+            let rejection = self.read_complete(admitted, answer).await;
             let detail =
-                whole.map_or_else(|failure| failure.detail, |whole| format!("status {}", whole.status));
-            let reason = match (facts.misdirected, facts.signals.rest_millis) {
+                rejection.map_or_else(|failure| failure.detail, |answer| format!("status {}", answer.status));
+            let reason = match (metadata.misdirected, metadata.signals.rest_millis) {
                 (true, _) => RetryReason::Misdirected,
                 (false, SignalValue::Present(_millis)) => RetryReason::Resting,
                 (false, SignalValue::Absent | SignalValue::Unreadable) => RetryReason::Refused,
             };
             return Err(SendFailure { verdict: RunVerdict::NotRun, reason, detail, closed: false });
         }
-        if status.is_success() && !(facts.signed && facts.own == Some(true)) {
+        if status.is_success() && !(metadata.signed && metadata.matches_attempt == Some(true)) {
             return Err(SendFailure::lost("success without a signature or the request's identifier"));
         }
         if status.is_success() && admitted.rule.kind.streams() {
-            return Ok(TargetAnswer::Events(answer));
+            return Ok(TargetAnswer::Stream(answer));
         }
-        let promise = matches!(
+        let claims_not_run = matches!(
             status,
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS | StatusCode::REQUEST_TIMEOUT
         );
-        if promise {
+        if claims_not_run {
             // Callers treat these statuses as a statement that the request did not run, which the target
             // has not made.
             return Err(SendFailure::lost(format!("status {} without proof", status.as_u16())));
         }
-        self.read_whole(admitted, answer).await.map(TargetAnswer::Whole)
+        self.read_complete(admitted, answer).await.map(TargetAnswer::Complete)
     }
 
-    async fn read_whole(
+    async fn read_complete(
         &self,
         admitted: &AdmittedRequest,
         answer: OpenAnswer,
-    ) -> Result<WholeAnswer, SendFailure> {
+    ) -> Result<CompleteAnswer, SendFailure> {
         let OpenAnswer { head, body, lease } = answer;
         let remaining = admitted.deadline.remaining(self.clock.now());
-        let reading = Limited::new(body, MAX_WHOLE_ANSWER_BYTES).collect();
+        let reading = Limited::new(body, MAX_BUFFERED_ANSWER_BYTES).collect();
         let collected = tokio::time::timeout(remaining, reading).await;
         let body = collected
             .map_err(|_elapsed| SendFailure::lost("response not complete in time"))?
             .map_err(SendFailure::closed)?
             .to_bytes();
         lease.release(&head.headers);
-        Ok(WholeAnswer { status: head.status, headers: head.headers, body })
+        Ok(CompleteAnswer { status: head.status, headers: head.headers, body })
     }
 }
--- a/crates/porthoist-proxy/src/handler/slots.rs
+++ b/crates/porthoist-proxy/src/handler/slots.rs
@@ -1,7 +1,7 @@
 //! Requests a slot from the dispatcher and turns a refusal into a response.
 
 use super::ProxyHandler;
-use super::types::{AdmittedRequest, ProxyRefusal, SendRecord};
+use super::types::{AdmittedRequest, ProxyRefusal, SendHistory};
 use crate::dispatcher::{SlotError, SlotRequest, TargetSlot};
 use hyper::StatusCode;
 use porthoist_core::RefusalReason;
@@ -12,33 +12,33 @@
     pub(super) async fn request_slot(
         &self,
         admitted: &AdmittedRequest,
-        record: &SendRecord,
+        history: &SendHistory,
     ) -> Result<TargetSlot, ProxyRefusal> {
         let now = self.clock.now();
-        let again = !record.tried.is_empty();
-        let class = match (again, admitted.is_caller_retry) {
+        let is_resend = !history.tried.is_empty();
+        let class = match (is_resend, admitted.is_caller_retry) {
             (true, _) => QueueClass::Resent,
             (false, true) => QueueClass::CallerRetry,
             (false, false) => QueueClass::First,
         };
-        let demand = SlotRequest {
+        let slot_request = SlotRequest {
             service: admitted.service.clone(),
             ranked: admitted.ranked,
             work: admitted.work(),
             priority: admitted.priority(),
-            tried: self.targets_to_avoid(admitted, record),
-            arrival: if again { now } else { admitted.arrival },
+            tried: self.targets_to_avoid(admitted, history),
+            arrival: if is_resend { now } else { admitted.arrival },
             latency_millis: admitted.rule.target_latency_millis,
             deadline: admitted.deadline,
             class,
         };
-        let assigned = self.dispatcher.acquire_slot(demand).await;
+        let assigned = self.dispatcher.acquire_slot(slot_request).await;
         let waited = self.clock.now().since(now);
         self.metrics.queue_wait(waited as f64);
         match assigned {
             Ok(slot) => {
-                info!(self.logger, "placed"; "event" => "placed", "request" => &*admitted.facts.attempt,
-                    "target" => slot.record.id.to_string(), "zone" => slot.record.zone.to_string(),
+                info!(self.logger, "placed"; "event" => "placed", "request" => &*admitted.metadata.attempt,
+                    "target" => slot.target.id.to_string(), "zone" => slot.target.zone.to_string(),
                     "group" => slot.group.map(|group| group.index.place()),
                     "pass_ms" => slot.group.map(|group| group.status.millis), "in_flight" => slot.in_flight,
                     "reported" => slot.report.map(|report| report.requests),
@@ -46,14 +46,14 @@
                     "rate" => slot.rate.map(|rate| rate.to_string()));
                 Ok(slot)
             }
-            Err(error) => Err(self.slot_refusal(admitted, record, error)),
+            Err(error) => Err(self.slot_refusal(admitted, history, error)),
         }
     }
 
     fn slot_refusal(
         &self,
         admitted: &AdmittedRequest,
-        record: &SendRecord,
+        history: &SendHistory,
         error: SlotError,
     ) -> ProxyRefusal {
         let reason = match error {
@@ -64,7 +64,7 @@
             SlotError::Emptied => RefusalReason::ZonesEmptied,
             SlotError::NoTarget => RefusalReason::NoTarget,
         };
-        if record.may_have_run {
+        if history.may_have_run {
             return ProxyRefusal::unknown(reason, StatusCode::BAD_GATEWAY);
         }
         ProxyRefusal::retryable(
--- a/crates/porthoist-proxy/src/handler/types.rs
+++ b/crates/porthoist-proxy/src/handler/types.rs
@@ -2,7 +2,7 @@
 
 use super::host_of;
 use crate::connection_pool::{OpenAnswer, SendFailure};
-use crate::headers::RequestFacts;
+use crate::headers::RequestMetadata;
 use crate::quarantine::{MarkedRequest, SuspectRun};
 use bytes::Bytes;
 use hyper::StatusCode;
@@ -24,7 +24,7 @@
 
 /// An admitted request with its body.
 pub(super) struct AdmittedRequest {
-    pub(super) facts: RequestFacts,
+    pub(super) metadata: RequestMetadata,
     pub(super) head: Parts,
     pub(super) body: Bytes,
     pub(super) rule: Arc<RouteRule>,
@@ -36,7 +36,7 @@
     /// Whether the caller was refused before and is retrying.
     pub(super) is_caller_retry: bool,
     /// Digest of the request, computed on demand.
-    pub(super) marked: OnceCell<RequestMark>,
+    pub(super) cached_mark: OnceCell<RequestMark>,
 }
 
 impl AdmittedRequest {
@@ -45,7 +45,7 @@
     }
 
     pub(super) fn work(&self) -> RequestWork {
-        RequestWork { prompt_tokens: self.facts.prompt_tokens }
+        RequestWork { prompt_tokens: self.metadata.prompt_tokens }
     }
 
     pub(super) fn runs_once(&self) -> bool {
@@ -66,11 +66,11 @@
 
 impl MarkedRequest for AdmittedRequest {
     fn head_digest(&self) -> u64 {
-        self.marked.get().map_or_else(|| self.marked_head().digest(), |mark| mark.head)
+        self.cached_mark.get().map_or_else(|| self.marked_head().digest(), |mark| mark.head)
     }
 
     fn mark(&self) -> RequestMark {
-        *self.marked.get_or_init(|| self.marked_head().mark(&self.body))
+        *self.cached_mark.get_or_init(|| self.marked_head().mark(&self.body))
     }
 
     fn body_bytes(&self) -> usize {
@@ -78,7 +78,7 @@
     }
 
     fn attempt(&self) -> &str {
-        &self.facts.attempt
+        &self.metadata.attempt
     }
 
     fn ranked(&self) -> bool {
@@ -119,7 +119,7 @@
 }
 
 /// A complete response of a target.
-pub(super) struct WholeAnswer {
+pub(super) struct CompleteAnswer {
     pub(super) status: StatusCode,
     pub(super) headers: HeaderMap,
     pub(super) body: Bytes,
@@ -127,13 +127,14 @@
 
 /// A target's response to one attempt.
 pub(super) enum TargetAnswer {
-    Whole(WholeAnswer),
-    Events(OpenAnswer),
+    Complete(CompleteAnswer),
+    /// The head of an event stream.
+    Stream(OpenAnswer),
 }
 
 /// Attempts of one request so far.
 #[derive(Debug, Default)]
-pub(super) struct SendRecord {
+pub(super) struct SendHistory {
     pub(super) tried: Vec<TargetName>,
     pub(super) may_have_run: bool,
     /// Attempts rejected by targets that asked for backoff.
@@ -143,8 +144,8 @@
     pub(super) suspect: Option<SuspectRun>,
 }
 
-impl SendRecord {
-    pub(super) fn failed(&mut self, failure: &SendFailure) {
+impl SendHistory {
+    pub(super) fn record_failure(&mut self, failure: &SendFailure) {
         self.may_have_run |= failure.verdict != RunVerdict::NotRun;
         self.last_reason = Some(failure.reason);
         self.backoff_rejections += u32::from(failure.reason == RetryReason::Resting);
--- a/crates/porthoist-proxy/src/headers.rs
+++ b/crates/porthoist-proxy/src/headers.rs
@@ -9,7 +9,7 @@
 
 /// Content of a caller's headers.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RequestFacts {
+pub struct RequestMetadata {
     /// Identifier of this attempt, unique per attempt. Responses repeat it.
     pub attempt: Arc<str>,
     /// Milliseconds for which the caller still waits.
@@ -27,7 +27,7 @@
 /// Error returned when a header is unreadable.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("header {header}: {problem}")]
-pub struct FactsError {
+pub struct HeaderError {
     /// Name of the header.
     pub header: &'static str,
     /// What is wrong with it.
@@ -36,7 +36,7 @@
 
 /// Headers that the proxy sends to a target in addition to the caller's.
 #[derive(Debug, Clone, Copy)]
-pub struct SendFacts<'a> {
+pub struct SendMetadata<'a> {
     /// The only target that may run the request.
     pub target: &'a TargetName,
     /// The caller's team.
@@ -49,9 +49,9 @@
 
 /// Content of a target's headers and status.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct AnswerFacts {
+pub struct AnswerMetadata {
     /// Whether the response names the attempt that was sent; `None` if it names no attempt.
-    pub own: Option<bool>,
+    pub matches_attempt: Option<bool>,
     /// Whether the response has the target's signature.
     pub signed: bool,
     /// Whether the response states that the request did not run.
@@ -63,14 +63,14 @@
 }
 
 /// Parses and writes headers of one format.
-pub trait WireCodec: fmt::Debug {
+pub trait HeaderCodec: fmt::Debug {
     /// Parses a caller's headers.
-    fn request_facts(&self, headers: &HeaderMap) -> Result<RequestFacts, FactsError>;
+    fn parse_request(&self, headers: &HeaderMap) -> Result<RequestMetadata, HeaderError>;
     /// Turns the caller's headers into those for a target: removes the key and adds the proxy's own
     /// headers.
-    fn write_send(&self, headers: &mut HeaderMap, facts: &SendFacts<'_>);
+    fn write_send_headers(&self, headers: &mut HeaderMap, metadata: &SendMetadata<'_>);
     /// Parses a target's response to the given attempt.
-    fn answer_facts(&self, attempt: &str, status: StatusCode, headers: &HeaderMap) -> AnswerFacts;
+    fn parse_answer(&self, attempt: &str, status: StatusCode, headers: &HeaderMap) -> AnswerMetadata;
     /// Writes the attempt into a response of the proxy itself.
-    fn write_own_answer(&self, attempt: &str, headers: &mut HeaderMap);
+    fn write_attempt(&self, attempt: &str, headers: &mut HeaderMap);
 }
--- a/crates/porthoist-proxy/src/lib.rs
+++ b/crates/porthoist-proxy/src/lib.rs
@@ -1,7 +1,7 @@
 //! Reverse proxy for requests of any method, path and body, routed by host and path prefix.
 //!
 //! It accepts callers, selects a target for each request, and relays the target's response or event stream.
-//! Header formats are defined by a [`headers::WireCodec`], and routes and targets come from a
+//! Header formats are defined by a [`headers::HeaderCodec`], and routes and targets come from a
 //! [`source::ControlSource`].
 
 pub mod connection_pool;
@@ -26,7 +26,7 @@
 pub use crashes::{CrashChange, CrashSnapshot, CrashWatch, CrashWriter};
 pub use dispatcher::{DispatcherSettings, RequestDispatcher};
 pub use handler::{ProxyHandler, ProxyHandlerSettings};
-pub use headers::{AnswerFacts, FactsError, RequestFacts, SendFacts, WireCodec};
+pub use headers::{AnswerMetadata, HeaderCodec, HeaderError, RequestMetadata, SendMetadata};
 pub use peer_rows::{PeerRowSource, ServiceCallReason, TablePeers};
 pub use quarantine::RequestQuarantine;
 pub use revision::{ParseRevisionError, TableEra, TableRevision};
--- a/crates/porthoist-proxy/src/patch.rs
+++ b/crates/porthoist-proxy/src/patch.rs
@@ -75,8 +75,8 @@
 }
 
 fn chunks(value: &[u8]) -> impl Iterator<Item = Range<usize>> + '_ {
-    let [least, mean, most] = CHUNK_BYTES;
-    FastCDC::new(value, least, mean, most).map(|chunk| chunk.offset..chunk.offset + chunk.length)
+    let [min, average, max] = CHUNK_BYTES;
+    FastCDC::new(value, min, average, max).map(|chunk| chunk.offset..chunk.offset + chunk.length)
 }
 
 fn push_kept(parts: &mut Vec<ValuePart>, offset: usize, length: usize) {
--- a/crates/porthoist-proxy/src/peer_rows.rs
+++ b/crates/porthoist-proxy/src/peer_rows.rs
@@ -24,7 +24,7 @@
 
 /// How long a peer may hold back its response. A peer that is silent for longer is suspended or
 /// unreachable.
-const HOLD: Duration = Duration::from_secs(1);
+const MAX_HOLD: Duration = Duration::from_secs(1);
 /// Time beyond the hold within which a peer must respond: network latency within a zone, and scheduling
 /// delay on a host with 0.15 of a core.
 const PEER_TIMEOUT: Duration = Duration::from_millis(300);
@@ -36,11 +36,11 @@
 
 /// How long a starting process waits for peers to send the tables that it does not need before there are
 /// targets.
-const START_TIME: Duration = Duration::from_secs(6);
+const START_WAIT: Duration = Duration::from_secs(6);
 /// Interval at which a starting process looks for peers.
 const START_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// How long a process waits for peers if it starts while others serve. Callers may already come to it.
-const LATE_START_TIME: Duration = Duration::from_millis(300);
+const LATE_START_WAIT: Duration = Duration::from_millis(300);
 /// Minimum interval between this process's calls for targets at a start while there is no peer: when a
 /// fleet starts, rows come one by one, and each would wake all processes.
 const START_PAUSE: Duration = Duration::from_secs(4);
@@ -129,7 +129,7 @@
     }
 
     /// Returns removals of all known rows whose keys are not in `keys`.
-    fn removed(&self, keys: &[String], revision: TableRevision) -> Vec<TableRow> {
+    fn removals_except(&self, keys: &[String], revision: TableRevision) -> Vec<TableRow> {
         let keys: HashSet<&String> = keys.iter().collect();
         let rows = self.rows.borrow();
         let gone = rows.keys().filter(|key| !keys.contains(key));
@@ -176,9 +176,9 @@
     /// Notifies that the targets have been listed for the first time.
     targets_listed: Notify,
     /// When targets may be requested again at a start.
-    targets_due: Cell<UnixDeadline>,
+    next_targets_call: Cell<UnixDeadline>,
     /// Until when a fleet that starts together may still be without peers.
-    start_over: Cell<UnixDeadline>,
+    fleet_start_end: Cell<UnixDeadline>,
     /// Whether there were targets when they were first listed.
     joined_late: Cell<bool>,
     /// When the table service may be called again after a failure.
@@ -211,8 +211,8 @@
             targets: TableCopy::default(),
             crashes: TableCopy::default(),
             targets_listed: Notify::new(),
-            targets_due: Cell::default(),
-            start_over: Cell::default(),
+            next_targets_call: Cell::default(),
+            fleet_start_end: Cell::default(),
             joined_late: Cell::new(false),
             probe_at: Cell::new(None),
             backoff: Cell::new(MIN_BACKOFF),
@@ -267,7 +267,7 @@
                 return Err(reason);
             }
             let Some(host) = self.first_peer() else { return Err(ServiceCallReason::NoPeer) };
-            let query = TableQuery { table, after, stamp: copy.stamp.get(), hold: HOLD.min(left), wait };
+            let query = TableQuery { table, after, stamp: copy.stamp.get(), hold: MAX_HOLD.min(left), wait };
             // A long response arrives in pieces. The known state must not become too old meanwhile.
             let response = self.peers.query(host, query, PEER_TIMEOUT);
             match tokio::time::timeout(left + PEER_TIMEOUT, response).await {
@@ -283,7 +283,7 @@
                     let Some(rows) = copy.apply_patches(rows) else { return Err(ServiceCallReason::History) };
                     let mut rows = SourceAnswer { origin: AnswerOrigin::Peer { gap }, ..rows };
                     if let Some(keys) = keys {
-                        rows.value.extend(copy.removed(&keys, rows.revision));
+                        rows.value.extend(copy.removals_except(&keys, rows.revision));
                     }
                     return Ok(rows);
                 }
@@ -313,7 +313,7 @@
     ) -> Result<SourceAnswer<Vec<TableRow>>, SourceError> {
         let sent = self.clock.now();
         if table == ControlTable::Targets {
-            self.targets_due.set(self.deadline_in(START_PAUSE));
+            self.next_targets_call.set(self.deadline_in(START_PAUSE));
         }
         self.metrics.table_asked(reason.as_str());
         info!(self.logger, "calling the table service"; "event" => "table_asked",
@@ -382,7 +382,7 @@
         copy.revision.set(Some(answer.revision));
     }
 
-    fn whole_copy(
+    fn listing_of_copy(
         &self,
         table: ControlTable,
         answer: SourceAnswer<Vec<TableRow>>,
@@ -391,7 +391,7 @@
         answer.map(|_changes| rows.values().cloned().collect())
     }
 
-    async fn list_shared(&self, table: ControlTable) -> Result<SourceAnswer<Vec<TableRow>>, SourceError> {
+    async fn list_via_peers(&self, table: ControlTable) -> Result<SourceAnswer<Vec<TableRow>>, SourceError> {
         let probe_at = self.probe_at.get();
         let Some(revision) = self.copy(table).revision.get() else {
             self.sleep_until(probe_at).await;
@@ -404,7 +404,7 @@
         let from_peers =
             self.query_peers(table, revision, PROBE_INTERVAL, self.deadline_in(PROBE_INTERVAL * 2));
         let listed = async {
-            self.sleep_until(probe_at.or_else(|| Some(self.deadline_in(Self::peer_time_limit(table))))).await;
+            self.sleep_until(probe_at.or_else(|| Some(self.deadline_in(Self::peer_timeout(table))))).await;
             self.list_from_service(table, ServiceCallReason::Probe).await
         };
         tokio::pin!(from_peers, listed);
@@ -413,7 +413,7 @@
                 Ok(answer) => {
                     self.probe_at.set(None);
                     self.apply(table, &answer, false);
-                    return Ok(self.whole_copy(table, answer));
+                    return Ok(self.listing_of_copy(table, answer));
                 }
                 Err(reason) => reason,
             },
@@ -431,16 +431,16 @@
     /// which peers there are, and the response shows the table service's clock, which is needed to judge
     /// the peers' updates.
     async fn query_peers_at_start(&self, table: ControlTable) -> Option<SourceAnswer<Vec<TableRow>>> {
-        let mut until = self.deadline_in(START_TIME * 2);
-        let mut known = false;
-        while !self.lists_itself_at_start(table) && !until.passed(self.clock.now()) {
-            if !known && !self.targets.rows.borrow().is_empty() {
-                known = true;
+        let mut until = self.deadline_in(START_WAIT * 2);
+        let mut has_targets = false;
+        while !self.lists_from_service_at_start(table) && !until.passed(self.clock.now()) {
+            if !has_targets && !self.targets.rows.borrow().is_empty() {
+                has_targets = true;
                 // The first targets may all be without a peer.
-                until = self.deadline_in(if self.joined_late.get() { LATE_START_TIME } else { START_TIME });
+                until = self.deadline_in(if self.joined_late.get() { LATE_START_WAIT } else { START_WAIT });
             }
-            if known && self.first_peer().is_some() {
-                let deadline = if self.joined_late.get() { until } else { self.deadline_in(START_TIME) };
+            if has_targets && self.first_peer().is_some() {
+                let deadline = if self.joined_late.get() { until } else { self.deadline_in(START_WAIT) };
                 let answer =
                     self.query_peers(table, TableRevision::default(), PROBE_INTERVAL, deadline).await;
                 if let Ok(answer) = answer {
@@ -457,7 +457,7 @@
     /// Whether this process lists a table itself at its start. If targets are known, callers may be
     /// waiting: a hundred processes that restart together get their routes sooner from the table service
     /// than over the link of one host.
-    fn lists_itself_at_start(&self, table: ControlTable) -> bool {
+    fn lists_from_service_at_start(&self, table: ControlTable) -> bool {
         match table {
             ControlTable::Targets => true,
             ControlTable::Routes => self.joined_late.get(),
@@ -467,7 +467,7 @@
 
     /// How long peers are given to provide a table before it is listed. Crashes are rare, and the peers
     /// need them as much: with the time for routes, each entry would list them in every outage.
-    fn peer_time_limit(table: ControlTable) -> Duration {
+    fn peer_timeout(table: ControlTable) -> Duration {
         match table {
             ControlTable::Routes | ControlTable::Targets => PEER_TIMEOUT,
             ControlTable::Crashes => PROBE_INTERVAL,
@@ -483,7 +483,7 @@
         if table == ControlTable::Targets && self.targets.revision.get().is_none() {
             self.joined_late.set(!answer.value.is_empty());
             if answer.value.is_empty() {
-                self.start_over.set(self.deadline_in(START_TIME * 2));
+                self.fleet_start_end.set(self.deadline_in(START_WAIT * 2));
             }
             self.targets_listed.notify_waiters();
         }
@@ -501,7 +501,7 @@
         UnixDeadline::after(self.clock.now(), time.as_millis() as u64)
     }
 
-    async fn changes_shared(
+    async fn changes_via_peers(
         &self,
         table: ControlTable,
         revision: TableRevision,
@@ -517,8 +517,8 @@
         let answer = match self.query_peers(table, revision, wait, end).await {
             Ok(answer) => answer,
             Err(reason) => {
-                if reason == ServiceCallReason::NoPeer && !self.start_over.get().passed(now) {
-                    let delay = self.targets_due.get().remaining(self.clock.now());
+                if reason == ServiceCallReason::NoPeer && !self.fleet_start_end.get().passed(now) {
+                    let delay = self.next_targets_call.get().remaining(self.clock.now());
                     tokio::time::sleep(delay.min(end.remaining(self.clock.now()))).await;
                 }
                 // If there was no peer at all, the call waits as long as it may.
@@ -533,7 +533,7 @@
 
 impl RowSource for PeerRowSource {
     fn list(&self, table: ControlTable) -> SourceFuture<'_, Vec<TableRow>> {
-        Box::pin(self.list_shared(table))
+        Box::pin(self.list_via_peers(table))
     }
 
     fn changes_after(
@@ -542,7 +542,7 @@
         revision: TableRevision,
         wait: Duration,
     ) -> SourceFuture<'_, Vec<TableRow>> {
-        Box::pin(self.changes_shared(table, revision, wait))
+        Box::pin(self.changes_via_peers(table, revision, wait))
     }
 
     fn handles_backoff(&self) -> bool {
@@ -551,6 +551,6 @@
 
     /// Each call to the table service has a timeout of its own; queries to peers come before it.
     fn answer_timeout(&self, wait: Duration) -> Duration {
-        self.table_service.answer_timeout(wait) + PROBE_INTERVAL * 2 + HOLD + PEER_TIMEOUT
+        self.table_service.answer_timeout(wait) + PROBE_INTERVAL * 2 + MAX_HOLD + PEER_TIMEOUT
     }
 }
--- a/crates/porthoist-proxy/src/quarantine.rs
+++ b/crates/porthoist-proxy/src/quarantine.rs
@@ -21,7 +21,7 @@
 /// Maximum body size in bytes for which a complete response is remembered although the request is not
 /// suspected. Computing its digest takes 13 microseconds of a core; requests that come many times a second
 /// have small bodies.
-const TRUSTED_BODY_BYTES: usize = 16 * 1024;
+const MAX_TRUSTED_BODY_BYTES: usize = 16 * 1024;
 
 /// A request that can be identified by a digest.
 pub trait MarkedRequest {
@@ -73,7 +73,7 @@
 
 impl SuspectRun {
     /// Records the target of the run.
-    pub fn at(&mut self, target: &TargetName) {
+    pub fn set_target(&mut self, target: &TargetName) {
         if self.target.replace(target.clone()).is_none() {
             self.quarantine.occupied.borrow_mut().push(target.clone());
         }
@@ -145,12 +145,12 @@
                     "request" => request.attempt(), "mark" => mark.short());
                 Ok(Some(SuspectRun { quarantine: Rc::clone(self), mark, target: None }))
             }
-            Err(kept) => {
+            Err(block) => {
                 info!(self.logger, "suspected request refused"; "event" => "kept_back",
-                    "request" => request.attempt(), "mark" => mark.short(), "level" => kept.level.as_str(),
-                    "deaths" => kept.deaths);
+                    "request" => request.attempt(), "mark" => mark.short(), "level" => block.level.as_str(),
+                    "deaths" => block.deaths);
                 self.metrics.crash_event("refused");
-                Err(kept)
+                Err(block)
             }
         }
     }
@@ -198,7 +198,7 @@
             let tracker = self.tracker.borrow();
             !tracker.is_empty() && tracker.knows_head(request.head_digest())
         };
-        if !known && request.body_bytes() > TRUSTED_BODY_BYTES {
+        if !known && request.body_bytes() > MAX_TRUSTED_BODY_BYTES {
             return;
         }
         let mark = request.mark();
--- a/crates/porthoist-proxy/src/reply.rs
+++ b/crates/porthoist-proxy/src/reply.rs
@@ -17,7 +17,7 @@
 /// Body of a response to a caller.
 pub type ReplyBody = Either<Full<Bytes>, StreamBody<BodyStream>>;
 /// A response to a caller.
-pub type Reply = Response<ReplyBody>;
+pub type CallerReply = Response<ReplyBody>;
 
 /// Hop-by-hop headers (RFC 9110, section 7.6.1, and older ones).
 const HOP_HEADERS: [HeaderName; 8] = [
@@ -53,7 +53,7 @@
 }
 
 /// Creates a response with a complete body.
-pub fn complete_reply(status: StatusCode, headers: HeaderMap, body: Bytes) -> Reply {
+pub fn complete_reply(status: StatusCode, headers: HeaderMap, body: Bytes) -> CallerReply {
     let mut reply = Response::new(Either::Left(Full::new(body)));
     *reply.status_mut() = status;
     *reply.headers_mut() = headers;
@@ -61,7 +61,7 @@
 }
 
 /// Creates a response with a streamed body.
-pub fn streamed_reply(status: StatusCode, headers: HeaderMap, stream: BodyStream) -> Reply {
+pub fn streamed_reply(status: StatusCode, headers: HeaderMap, stream: BodyStream) -> CallerReply {
     let mut reply = Response::new(Either::Right(StreamBody::new(stream)));
     *reply.status_mut() = status;
     *reply.headers_mut() = headers;
@@ -70,7 +70,7 @@
 
 /// Creates a refusal or error of the proxy itself. `retry_millis` is the time after which the caller should
 /// retry.
-pub fn refusal_reply(status: StatusCode, reason: RefusalReason, retry_millis: Option<u64>) -> Reply {
+pub fn refusal_reply(status: StatusCode, reason: RefusalReason, retry_millis: Option<u64>) -> CallerReply {
     let text = format!("{reason}\n");
     let mut headers = HeaderMap::new();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain; charset=utf-8"));
--- a/crates/porthoist-proxy/src/revision.rs
+++ b/crates/porthoist-proxy/src/revision.rs
@@ -4,7 +4,8 @@
 use std::num::ParseIntError;
 use std::str::FromStr;
 
-/// Number of the table service's current history. It increases by one each time the service is restored from a backup.
+/// Number of the table service's current history. It increases by one each time the service is restored
+/// from a backup.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TableEra(pub u64);
 
@@ -24,8 +25,8 @@
 
 /// Position in the history of the table service.
 ///
-/// A restored service continues from the number in the backup and reuses later numbers, so revisions are ordered by era
-/// first.
+/// A restored service continues from the number in the backup and reuses later numbers, so revisions are
+/// ordered by era first.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TableRevision {
     /// Era of the number.
--- a/crates/porthoist-proxy/src/rows.rs
+++ b/crates/porthoist-proxy/src/rows.rs
@@ -72,7 +72,7 @@
     }
     /// Maximum time for a response to a call that waits for the given time.
     fn answer_timeout(&self, wait: Duration) -> Duration {
-        wait + Duration::from_millis(ANSWER_MILLIS)
+        wait + Duration::from_millis(ANSWER_TIMEOUT_MILLIS)
     }
 }
 
@@ -93,7 +93,7 @@
 }
 
 /// Time in milliseconds beyond a call's wait within which the table service must respond.
-pub const ANSWER_MILLIS: u64 = 900;
+pub const ANSWER_TIMEOUT_MILLIS: u64 = 900;
 
 /// Awaits a response with a timeout.
 pub async fn answer_within<T>(
--- a/crates/porthoist-proxy/src/server.rs
+++ b/crates/porthoist-proxy/src/server.rs
@@ -1,7 +1,7 @@
 //! The callers' listener: accepts connections, serves requests and shuts down gracefully.
 
 use crate::handler::ProxyHandler;
-use crate::reply::Reply;
+use crate::reply::CallerReply;
 use hyper::Request;
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
@@ -46,12 +46,12 @@
 pub async fn serve_proxy(listener: TcpListener, server: ProxyServer) {
     let graceful = GracefulShutdown::new();
     let mut stopping = server.stopping.clone();
-    let mut stop_at: Option<UnixDeadline> = None;
+    let mut close_at: Option<UnixDeadline> = None;
     let clock = porthoist_core::AnchoredClock::new();
     let now = || porthoist_core::ClockSource::now(&clock);
     let mut grace_end = None;
     loop {
-        let lag = stop_at.map(|deadline| deadline.remaining(now()));
+        let until_close = close_at.map(|deadline| deadline.remaining(now()));
         tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, _address)) => accept(stream, &server, &graceful),
@@ -61,13 +61,13 @@
                     tokio::time::sleep(Duration::from_millis(10)).await;
                 }
             },
-            _ = stopping.wait_for(|stopping| *stopping), if stop_at.is_none() => {
+            _ = stopping.wait_for(|stopping| *stopping), if close_at.is_none() => {
                 server.handler.stop();
-                stop_at = Some(UnixDeadline::after(now(), server.stop_lag_millis));
+                close_at = Some(UnixDeadline::after(now(), server.stop_lag_millis));
                 grace_end = Some(UnixDeadline::after(now(), server.grace_millis));
                 info!(server.logger, "stopping"; "event" => "stop", "in_flight" => server.handler.in_flight());
             }
-            () = sleep_or_never(lag) => break,
+            () = sleep_or_never(until_close) => break,
         }
     }
     drop(listener);
@@ -93,7 +93,7 @@
     let handler = Rc::clone(&server.handler);
     let service = service_fn(move |request: Request<Incoming>| {
         let answer = Rc::clone(&handler).serve(request);
-        async move { Ok::<Reply, Infallible>(answer.await) }
+        async move { Ok::<CallerReply, Infallible>(answer.await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
--- a/crates/porthoist-proxy/src/source.rs
+++ b/crates/porthoist-proxy/src/source.rs
@@ -1,7 +1,7 @@
 //! Interface of the service that provides routes and targets.
 
 use crate::revision::TableRevision;
-use crate::rows::ANSWER_MILLIS;
+use crate::rows::ANSWER_TIMEOUT_MILLIS;
 use crate::table_reader::GapAges;
 use futures::future::LocalBoxFuture;
 use porthoist_policy::proxy::routes::RouteTable;
@@ -30,9 +30,9 @@
     }
 
     /// Converts the content of the response.
-    pub fn map<U>(self, read: impl FnOnce(T) -> U) -> SourceAnswer<U> {
+    pub fn map<U>(self, convert: impl FnOnce(T) -> U) -> SourceAnswer<U> {
         let Self { value, revision, stamp, origin } = self;
-        SourceAnswer { value: read(value), revision, stamp, origin }
+        SourceAnswer { value: convert(value), revision, stamp, origin }
     }
 }
 
@@ -103,6 +103,6 @@
     }
     /// Maximum time for a response to a call that waits for the given time.
     fn answer_timeout(&self, wait: Duration) -> Duration {
-        wait + Duration::from_millis(ANSWER_MILLIS)
+        wait + Duration::from_millis(ANSWER_TIMEOUT_MILLIS)
     }
 }
--- a/crates/porthoist-proxy/src/sse.rs
+++ b/crates/porthoist-proxy/src/sse.rs
@@ -9,7 +9,7 @@
 
 /// A complete event, including its terminating empty line.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct WholeEvent {
+pub struct CompleteEvent {
     /// The event's bytes, unchanged.
     pub bytes: Bytes,
     /// The event's identifier if it is numeric.
@@ -35,8 +35,8 @@
     }
 
     /// Returns the next complete event, if there is one.
-    pub fn next_event(&mut self) -> Result<Option<WholeEvent>, EventError> {
-        let Some(end) = self.boundary() else {
+    pub fn next_event(&mut self) -> Result<Option<CompleteEvent>, EventError> {
+        let Some(end) = self.event_end() else {
             // A boundary of up to four bytes may start at the end of the buffer.
             self.searched = self.buffer.len().saturating_sub(3);
             return if self.buffer.len() > MAX_EVENT_BYTES { Err(EventError) } else { Ok(None) };
@@ -44,11 +44,11 @@
         self.searched = 0;
         let bytes = self.buffer.split_to(end).freeze();
         let id = event_id(&bytes);
-        Ok(Some(WholeEvent { bytes, id }))
+        Ok(Some(CompleteEvent { bytes, id }))
     }
 
     /// Whether the buffer holds part of an event.
-    pub fn has_rest(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 
@@ -59,13 +59,13 @@
     }
 
     /// Returns the end of the first event, after its empty line.
-    fn boundary(&self) -> Option<usize> {
+    fn event_end(&self) -> Option<usize> {
         let tail = &self.buffer[self.searched..];
-        let bare = find(tail, b"\n\n").map(|at| at + 2);
-        let full = find(tail, b"\r\n\r\n").map(|at| at + 4);
-        let end = match (bare, full) {
-            (Some(bare), Some(full)) => bare.min(full),
-            (bare, full) => bare.or(full)?,
+        let lf_end = find(tail, b"\n\n").map(|at| at + 2);
+        let crlf_end = find(tail, b"\r\n\r\n").map(|at| at + 4);
+        let end = match (lf_end, crlf_end) {
+            (Some(lf_end), Some(crlf_end)) => lf_end.min(crlf_end),
+            (lf_end, crlf_end) => lf_end.or(crlf_end)?,
         };
         Some(self.searched + end)
     }
--- a/crates/porthoist-proxy/src/table_reader.rs
+++ b/crates/porthoist-proxy/src/table_reader.rs
@@ -27,7 +27,7 @@
 const FOLLOW_MILLIS: u64 = 10_000;
 /// How much shorter its long polls are than those of the querying processes, in milliseconds. Its next
 /// update must reach them before they would poll the service themselves.
-const AHEAD_MILLIS: u64 = 500;
+const POLL_LEAD_MILLIS: u64 = 500;
 /// Minimum long-poll timeout, in milliseconds. Each call has a cost.
 const MIN_WAIT_MILLIS: u64 = 400;
 /// Pause after a change of routes. Versions can come every 80 ms.
@@ -399,10 +399,10 @@
             }
             return self.list(table.table).await;
         };
-        let least = Duration::from_millis(MIN_WAIT_MILLIS);
+        let min_wait = Duration::from_millis(MIN_WAIT_MILLIS);
         // The querying processes wait from the last response on, not from this poll.
-        let ahead = Duration::from_millis(AHEAD_MILLIS) + paused;
-        let wait = table.wait.get().saturating_sub(ahead).max(least);
+        let lead = Duration::from_millis(POLL_LEAD_MILLIS) + paused;
+        let wait = table.wait.get().saturating_sub(lead).max(min_wait);
         answer_within(
             self.source.answer_timeout(wait),
             self.source.changes_after(table.table, revision, wait),
--- a/crates/porthoist-proxy/tests/shared/restored.rs
+++ b/crates/porthoist-proxy/tests/shared/restored.rs
@@ -206,7 +206,7 @@
         let zone = Deployment::start(6, readers).await;
         let backup = zone.service.backup();
         zone.service.put("emptied-z", b"");
-        let emptied = |entry: &Entry| entry.state.borrow().emptied.contains(&"z".parse().unwrap());
+        let emptied = |entry: &Entry| entry.state.borrow().emptied_zones.contains(&"z".parse().unwrap());
         zone.until_all(emptied).await;
         sleep(Duration::from_secs(1)).await;
         zone.service.refuse_all();
