--- a/crates/porthoist-proxy/tests/shared.rs
+++ b/crates/porthoist-proxy/tests/zone_tables.rs
@@ -1,11 +1,11 @@
 //! Tests on virtual time of entries that get the tables from a reader in their zone.
 
-#[path = "shared/harness.rs"]
+#[path = "zone_tables/harness.rs"]
 mod harness;
-#[path = "shared/random_restores.rs"]
+#[path = "zone_tables/random_restores.rs"]
 mod random_restores;
-#[path = "shared/restored.rs"]
-mod restored;
+#[path = "zone_tables/restores.rs"]
+mod restores;
 
 use harness::*;
 use porthoist_policy::proxy::routes::ConfigVersion;
