--- a/crates/porthoist-proxy/tests/control_watch.rs
+++ b/crates/porthoist-proxy/tests/control_watch.rs
@@ -213,7 +213,7 @@
     }
 
     /// Whether requests may be sent to a target.
-    fn takes(&self, id: &str) -> bool {
+    fn is_usable(&self, id: &str) -> bool {
         let id: TargetName = id.parse().unwrap();
         let state = self.state.borrow();
         let mut records = state.targets.records();
@@ -227,7 +227,7 @@
             Leaving::Removed => self.source.remove(id),
         }
         let left = Instant::now();
-        while self.takes(id) {
+        while self.is_usable(id) {
             sleep(Duration::from_millis(10)).await;
         }
         left.elapsed().as_millis() as u64
@@ -273,7 +273,7 @@
 #[test_case(Lost::Both, Leaving::Said)]
 #[test_case(Lost::Both, Leaving::Removed)]
 #[tokio::test(start_paused = true)]
-async fn a_leaving_target_is_known_although_a_connection_fell_silent(lost: Lost, how: Leaving) {
+async fn leaving_target_is_detected_when_a_connection_is_silent(lost: Lost, how: Leaving) {
     let test = async {
         for phase in (0..4_000).step_by(250) {
             let watched = WatchedTable::start(&["t1", "t2"]).await;
@@ -282,7 +282,7 @@
             sleep(Duration::from_millis(NOTICE_MILLIS)).await;
             let known = watched.leave("t1", how).await;
             assert!(known + SEND_MILLIS <= LEAVING_MILLIS, "{known} ms at phase {phase}");
-            assert!(watched.takes("t2"));
+            assert!(watched.is_usable("t2"));
         }
     };
     LocalSet::new().run_until(test).await;
@@ -291,7 +291,7 @@
 /// Guards against the same fault if the idle connection falls silent during the pause after a change, and
 /// the next poll uses it.
 #[tokio::test(start_paused = true)]
-async fn a_leaving_target_is_known_although_an_idle_connection_fell_silent() {
+async fn leaving_target_is_detected_when_an_idle_connection_is_silent() {
     let test = async {
         for phase in (0..800).step_by(100) {
             let watched = WatchedTable::start(&["t1", "t2"]).await;
@@ -309,7 +309,7 @@
 /// Guards against treating a silent connection as an outage: a row that disappears later has not expired,
 /// so there is no grace period.
 #[tokio::test(start_paused = true)]
-async fn a_silent_connection_is_no_outage_for_rows_that_vanish_later() {
+async fn rows_removed_after_a_silent_connection_get_no_grace_period() {
     let test = async {
         for pause in [3_000, 4_000, 5_000, 6_000, 7_000] {
             let watched = WatchedTable::start(&["t1", "t2"]).await;
@@ -327,7 +327,7 @@
 #[test_case(SourceFault::Refusing)]
 #[test_case(SourceFault::Silent)]
 #[tokio::test(start_paused = true)]
-async fn rows_that_lapsed_in_an_outage_are_kept_until_they_can_be_back(fault: SourceFault) {
+async fn rows_expired_in_an_outage_are_kept_for_the_grace_period(fault: SourceFault) {
     let test = async {
         let watched = WatchedTable::start(&["t1", "t2"]).await;
         watched.source.fault.set(fault);
@@ -336,11 +336,11 @@
         watched.source.fault.set(SourceFault::None);
         for _step in 0..15 {
             sleep(Duration::from_millis(100)).await;
-            assert!(watched.takes("t1"), "t1 lives; its row lapsed");
+            assert!(watched.is_usable("t1"), "t1 lives; its row lapsed");
         }
         watched.source.put("t1", TargetState::Ready);
         sleep(Duration::from_secs(3)).await;
-        assert!(watched.takes("t1"));
+        assert!(watched.is_usable("t1"));
     };
     LocalSet::new().run_until(test).await;
 }
@@ -350,7 +350,7 @@
 #[test_case(4; "usual answers")]
 #[test_case(300; "slow answers")]
 #[tokio::test(start_paused = true)]
-async fn a_leaving_within_the_pause_after_a_change_is_known_in_time(answer_millis: u64) {
+async fn leaving_target_is_detected_within_the_pause_after_a_change(answer_millis: u64) {
     let test = async {
         for pause in (0..1_200).step_by(100) {
             let watched = WatchedTable::start(&["t1", "t2"]).await;
--- a/crates/porthoist-proxy/tests/quarantine.rs
+++ b/crates/porthoist-proxy/tests/quarantine.rs
@@ -21,15 +21,15 @@
 }
 
 /// A request that differs from others only by its body.
-struct Request(&'static str);
+struct TestRequest(&'static str);
 
-impl Request {
+impl TestRequest {
     fn head(&self) -> MarkedHead<'_> {
         MarkedHead { host: "h", path: "/p", team: None, body_bytes: self.0.len() }
     }
 }
 
-impl MarkedRequest for Request {
+impl MarkedRequest for TestRequest {
     fn head_digest(&self) -> u64 {
         self.head().digest()
     }
@@ -54,7 +54,7 @@
 fn quarantine(
     crashes: &watch::Sender<CrashSnapshot>,
 ) -> (Rc<RequestQuarantine>, mpsc::Receiver<CrashChange>) {
-    let (changes, noted) = mpsc::channel(16);
+    let (changes, written_changes) = mpsc::channel(16);
     let quarantine = RequestQuarantine::builder()
         .host("h".parse().unwrap())
         .crashes(crashes.subscribe())
@@ -63,65 +63,65 @@
         .metrics(Arc::new(MetricsHub::new().unwrap()))
         .logger(Logger::root(Discard, o!()))
         .build();
-    (quarantine, noted)
+    (quarantine, written_changes)
 }
 
-fn tell(crashes: &watch::Sender<CrashSnapshot>, deaths: usize) {
-    tell_in_era(crashes, "other", deaths, TableEra::default());
+fn publish_crashes(crashes: &watch::Sender<CrashSnapshot>, deaths: usize) {
+    publish_crashes_in_era(crashes, "other", deaths, TableEra::default());
 }
 
-fn tell_in_era(crashes: &watch::Sender<CrashSnapshot>, by: &str, deaths: usize, era: TableEra) {
+fn publish_crashes_in_era(crashes: &watch::Sender<CrashSnapshot>, by: &str, deaths: usize, era: TableEra) {
     let report = CrashReport { died: UnixMillis(1_000_000), ranked: false, by: by.into() };
     let row = |index: usize| {
-        (CrashKey { mark: Request("x").mark(), target: format!("t{index}").into() }, report.clone())
+        (CrashKey { mark: TestRequest("x").mark(), target: format!("t{index}").into() }, report.clone())
     };
     let rows: CrashRows = (0..deaths).map(row).collect();
     crashes.send_replace(CrashSnapshot { rows: Arc::new(rows), listed: true, era });
 }
 
 #[test]
-fn a_permit_that_is_asked_for_anew_after_a_wait_knows_what_was_heard_since() {
+fn permit_requested_after_a_wait_considers_new_crashes() {
     let crashes = watch::Sender::new(CrashSnapshot::default());
-    let (quarantine, _noted) = quarantine(&crashes);
-    tell(&crashes, 1);
-    let run = quarantine.begin(&Request("x")).unwrap();
+    let (quarantine, _written_changes) = quarantine(&crashes);
+    publish_crashes(&crashes, 1);
+    let run = quarantine.begin(&TestRequest("x")).unwrap();
     assert!(run.is_some(), "one death of a plain target: it may run, alone");
-    assert_eq!(quarantine.begin(&Request("x")).unwrap_err().level, SuspicionLevel::Watched);
-    tell(&crashes, 3);
+    assert_eq!(quarantine.begin(&TestRequest("x")).unwrap_err().level, SuspicionLevel::Watched);
+    publish_crashes(&crashes, 3);
     drop(run);
-    assert_eq!(quarantine.begin(&Request("x")).unwrap_err().level, SuspicionLevel::Quarantined);
-    assert!(quarantine.begin(&Request("y")).unwrap().is_none());
+    assert_eq!(quarantine.begin(&TestRequest("x")).unwrap_err().level, SuspicionLevel::Quarantined);
+    assert!(quarantine.begin(&TestRequest("y")).unwrap().is_none());
 }
 
 #[test]
-fn a_whole_answer_removes_the_rows_of_a_request() {
+fn complete_answer_removes_the_crash_rows_of_a_request() {
     let crashes = watch::Sender::new(CrashSnapshot::default());
-    let (quarantine, mut noted) = quarantine(&crashes);
-    tell(&crashes, 2);
+    let (quarantine, mut written_changes) = quarantine(&crashes);
+    publish_crashes(&crashes, 2);
     quarantine.apply_update();
-    quarantine.record_answer(&Request("x"));
-    let removed: Vec<CrashChange> = std::iter::from_fn(|| noted.try_recv().ok()).collect();
+    quarantine.record_answer(&TestRequest("x"));
+    let removed: Vec<CrashChange> = std::iter::from_fn(|| written_changes.try_recv().ok()).collect();
     assert_eq!(removed.len(), 2);
     assert!(removed.iter().all(|change| matches!(change, CrashChange::Remove(_))), "{removed:?}");
-    assert!(quarantine.begin(&Request("x")).unwrap().is_none());
+    assert!(quarantine.begin(&TestRequest("x")).unwrap().is_none());
 }
 
 /// Guards against lifting a quarantine because a restore of the table lost its rows.
 #[test_case("h", 3; "noted by this process")]
 #[test_case("other", 0; "noted by another process")]
-fn a_quarantine_survives_a_restore_of_the_table(by: &str, rewritten: usize) {
+fn quarantine_survives_a_restore_of_the_table(by: &str, rewritten: usize) {
     let crashes = watch::Sender::new(CrashSnapshot::default());
-    let (quarantine, mut noted) = quarantine(&crashes);
-    tell_in_era(&crashes, by, 3, TableEra(1));
+    let (quarantine, mut written_changes) = quarantine(&crashes);
+    publish_crashes_in_era(&crashes, by, 3, TableEra(1));
     quarantine.apply_update();
-    tell_in_era(&crashes, by, 0, TableEra(2));
-    assert_eq!(quarantine.begin(&Request("x")).unwrap_err().level, SuspicionLevel::Quarantined);
-    let written: Vec<CrashChange> = std::iter::from_fn(|| noted.try_recv().ok()).collect();
+    publish_crashes_in_era(&crashes, by, 0, TableEra(2));
+    assert_eq!(quarantine.begin(&TestRequest("x")).unwrap_err().level, SuspicionLevel::Quarantined);
+    let written: Vec<CrashChange> = std::iter::from_fn(|| written_changes.try_recv().ok()).collect();
     assert_eq!(written.len(), rewritten);
     assert!(written.iter().all(|change| matches!(change, CrashChange::Put(_, _))), "{written:?}");
     // Rows that are removed after they were listed again lift the quarantine.
-    tell_in_era(&crashes, by, 3, TableEra(2));
+    publish_crashes_in_era(&crashes, by, 3, TableEra(2));
     quarantine.apply_update();
-    tell_in_era(&crashes, by, 0, TableEra(2));
-    assert!(quarantine.begin(&Request("x")).unwrap().is_none());
+    publish_crashes_in_era(&crashes, by, 0, TableEra(2));
+    assert!(quarantine.begin(&TestRequest("x")).unwrap().is_none());
 }
--- a/crates/porthoist-proxy/tests/zone_tables.rs
+++ b/crates/porthoist-proxy/tests/zone_tables.rs
@@ -20,7 +20,7 @@
 const CALM_CALLS: usize = 60;
 
 #[tokio::test(start_paused = true)]
-async fn one_process_asks_for_a_zone_in_calm_times() {
+async fn one_process_calls_the_service_for_its_zone() {
     run_local(async || {
         let zone = Deployment::start(ENTRIES, 2).await;
         let before = zone.service.calls.get();
@@ -35,7 +35,7 @@
 
 /// Guards against slow propagation of changes to the entries of a zone.
 #[tokio::test(start_paused = true)]
-async fn changes_are_passed_on_at_once() {
+async fn changes_reach_all_entries_promptly() {
     run_local(async || {
         let zone = Deployment::start(ENTRIES, 2).await;
         zone.service.put("b", b"leaving");
@@ -56,7 +56,7 @@
 #[test_case(ReaderFault::Slow(2_500); "too slow")]
 #[test_case(ReaderFault::Repeating; "repeating old news")]
 #[tokio::test(start_paused = true)]
-async fn a_reader_that_fails_makes_no_belief_too_old(fault: ReaderFault) {
+async fn failed_reader_leaves_no_entry_with_stale_state(fault: ReaderFault) {
     run_local(async || {
         for all in [false, true] {
             let zone = Deployment::start(4, 2).await;
@@ -77,7 +77,7 @@
 /// Guards against trusting the known state after a suspension of the host. Its age includes the suspension
 /// at once, and it is renewed by the next call, not at the end of the pending one.
 #[tokio::test(start_paused = true)]
-async fn suspended_time_makes_beliefs_old() {
+async fn suspended_time_counts_toward_the_age_of_state() {
     run_local(async || {
         for (phase, frozen) in (0..10).flat_map(|phase| [(phase, false), (phase, true)]) {
             let millis = 6_000;
@@ -102,7 +102,7 @@
 /// Guards against calling the service without a pause from an entry that can't reach it while the readers
 /// report that the update is too large.
 #[tokio::test(start_paused = true)]
-async fn an_entry_that_is_cut_off_does_not_try_without_a_pause() {
+async fn rejected_entry_calls_the_service_with_backoff() {
     run_local(async || {
         let zone = Deployment::start(4, 2).await;
         zone.entries[0].link.reset.set(true);
@@ -118,7 +118,7 @@
 
 /// Guards against replacing an entry's state by older state from a reader.
 #[tokio::test(start_paused = true)]
-async fn old_news_never_follow_newer_ones() {
+async fn older_updates_never_replace_newer_state() {
     run_local(async || {
         let zone = Deployment::start(4, 1).await;
         zone.service.put("b", b"leaving");
@@ -139,7 +139,7 @@
 
 /// Guards against missing removals from before a restart of the reader.
 #[tokio::test(start_paused = true)]
-async fn a_reader_that_begins_anew_tells_of_removals_that_it_did_not_see() {
+async fn restarted_reader_reports_removals_that_it_missed() {
     run_local(async || {
         let zone = Deployment::start(4, 1).await;
         zone.reader(0).fault.set(ReaderFault::Gone);
@@ -155,7 +155,7 @@
 
 /// Guards against staying with a reader that can't reach the table service.
 #[tokio::test(start_paused = true)]
-async fn a_reader_that_is_cut_off_from_the_service_is_left_for_another() {
+async fn entries_leave_a_reader_that_cannot_reach_the_service() {
     run_local(async || {
         let zone = Deployment::start(ENTRIES, 2).await;
         zone.reader(0).link.cut.set(true);
@@ -168,7 +168,7 @@
 
 /// Guards against losing the tables in an entry that alone can't reach the table service.
 #[tokio::test(start_paused = true)]
-async fn an_entry_that_is_cut_off_hears_of_the_tables_from_its_zone() {
+async fn disconnected_entry_gets_the_tables_from_its_zone() {
     run_local(async || {
         let zone = Deployment::start(4, 2).await;
         zone.entries[2].link.cut.set(true);
@@ -188,7 +188,7 @@
 #[test_case(true; "silent")]
 #[test_case(false; "refusing")]
 #[tokio::test(start_paused = true)]
-async fn few_ask_while_the_service_is_away_and_all_know_of_its_return(silent: bool) {
+async fn outage_causes_few_calls_and_recovery_is_detected_in_time(silent: bool) {
     run_local(async || {
         let zone = Deployment::start(ENTRIES, 2).await;
         if silent {
@@ -219,7 +219,7 @@
 /// Guards against dropping rows that expired during an outage of which an entry learns only from its
 /// reader: they have the same grace period.
 #[tokio::test(start_paused = true)]
-async fn rows_that_lapsed_in_an_outage_have_their_grace_with_all() {
+async fn rows_expired_in_an_outage_have_a_grace_period_in_all_entries() {
     run_local(async || {
         let zone = Deployment::start(4, 1).await;
         // The outage is too short for entries to notice, but the reader notices it.
@@ -241,7 +241,7 @@
 
 /// Guards against depending on readers: without any, an entry calls the service itself.
 #[tokio::test(start_paused = true)]
-async fn a_zone_without_readers_asks_for_itself() {
+async fn entries_without_readers_call_the_service() {
     run_local(async || {
         let zone = Deployment::start(2, 0).await;
         zone.assert_fresh(Duration::from_secs(10)).await;
@@ -258,7 +258,7 @@
 #[test_case(0; "entries that ask for themselves")]
 #[test_case(2; "entries that ask others")]
 #[tokio::test(start_paused = true)]
-async fn a_change_of_the_last_moments_of_a_silence_is_in_force_in_time(readers: usize) {
+async fn change_at_the_end_of_a_silence_is_in_force_in_time(readers: usize) {
     run_local(async || {
         for outage in [1_300, 2_700, 3_300, 3_900, 4_700, 6_100] {
             let zone = Deployment::start(6, readers).await;
@@ -268,7 +268,7 @@
             let newest = *zone.service.version.borrow();
             sleep(Duration::from_millis(40)).await;
             zone.service.set_silent(false);
-            let adopted = |entry: &Entry| {
+            let adopted = |entry: &EntryProcess| {
                 let state = entry.state.borrow();
                 state.routes.as_ref().is_some_and(|routes| routes.version == ConfigVersion(newest))
             };
@@ -292,7 +292,7 @@
 #[test_case(40, 0, START_CALLS; "rows come at once")]
 #[test_case(2_000, 3_300, START_CALLS + 1; "the first targets have nobody to ask beside them")]
 #[tokio::test(start_paused = true)]
-async fn a_start_of_all_before_any_target_asks_little(first_row: u64, alone_millis: u64, most: usize) {
+async fn simultaneous_start_without_targets_makes_few_calls(first_row: u64, alone_millis: u64, most: usize) {
     run_local(async || {
         let zone = Deployment::begin(TableService::empty(), ENTRIES, 2);
         sleep(Duration::from_millis(first_row)).await;
@@ -302,13 +302,13 @@
             sleep(Duration::from_millis(300)).await;
         }
         sleep(Duration::from_millis(20)).await;
-        zone.zone.known.set(true);
+        zone.peers.known.set(true);
         for step in 0..10 {
             zone.service.put(&format!("{}", (b'b' + step) as char), b"first");
             sleep(Duration::from_millis(300)).await;
         }
         let known =
-            |entry: &Entry| entry.targets().contains_key("k") && entry.state.borrow().routes.is_some();
+            |entry: &EntryProcess| entry.targets().contains_key("k") && entry.state.borrow().routes.is_some();
         zone.until_all(known).await;
         for entry in &zone.entries {
             assert!(entry.link.calls.get() <= most, "{} calls of one entry", entry.link.calls.get());
@@ -323,7 +323,7 @@
 
 /// Guards against a long start of an entry without any reader.
 #[tokio::test(start_paused = true)]
-async fn a_start_without_anybody_to_ask_is_not_held_up_for_long() {
+async fn start_without_peers_is_not_delayed_for_long() {
     run_local(async || {
         let zone = Deployment::begin(TableService::empty(), 2, 0);
         let began = Instant::now();
@@ -353,7 +353,7 @@
 /// Guards against fetching a large row from the table service after each change. With a configuration of
 /// 260 routes and 333 teams, each of 531 entries fetched the whole row after each of seven changes.
 #[tokio::test(start_paused = true)]
-async fn a_change_of_a_large_row_reaches_all_without_calls_of_their_own() {
+async fn change_of_a_large_row_reaches_all_without_calls_of_entries() {
     run_local(async || {
         let zone = Deployment::start(ENTRIES, 2).await;
         zone.service.put("a", &large_row(0));
@@ -365,7 +365,7 @@
             sleep(Duration::from_millis(370)).await;
         }
         let newest = *zone.service.version.borrow();
-        let adopted = |entry: &Entry| {
+        let adopted = |entry: &EntryProcess| {
             let state = entry.state.borrow();
             state.routes.as_ref().is_some_and(|routes| routes.version == ConfigVersion(newest))
         };
@@ -379,7 +379,7 @@
 /// Guards against stale state in hosts that the table service rejects, if the zone's readers still know the
 /// tables. Half of the zone is rejected, including one reader.
 #[tokio::test(start_paused = true)]
-async fn hosts_that_the_service_turns_away_go_on_with_their_zone() {
+async fn hosts_rejected_by_the_service_use_the_readers_of_their_zone() {
     run_local(async || {
         let zone = Deployment::start(ENTRIES, 3).await;
         zone.service.put("a", &large_row(0));
--- a/crates/porthoist-proxy/tests/zone_tables/harness.rs
+++ b/crates/porthoist-proxy/tests/zone_tables/harness.rs
@@ -332,13 +332,13 @@
 
 /// The readers that an entry may query.
 #[derive(Debug)]
-pub struct Zone {
+pub struct ZoneReaders {
     pub readers: Vec<Rc<ReaderProcess>>,
     /// Whether entries know of them.
     pub known: Cell<bool>,
 }
 
-impl TablePeers for Zone {
+impl TablePeers for ZoneReaders {
     fn hosts(&self) -> Vec<Ipv4Addr> {
         let readers = if self.known.get() { self.readers.len() } else { 0 };
         (0..readers).map(|index| Ipv4Addr::new(10, 0, 0, index as u8)).collect()
@@ -452,18 +452,18 @@
 }
 
 /// An entry of the zone.
-pub struct Entry {
+pub struct EntryProcess {
     pub state: watch::Receiver<ControlState>,
     pub link: Rc<ServiceLink>,
     pub clock: Arc<RuntimeClock>,
 }
 
-impl Entry {
-    pub fn start(service: &Rc<TableService>, zone: &Rc<Zone>) -> Self {
+impl EntryProcess {
+    pub fn start(service: &Rc<TableService>, zone: &Rc<ZoneReaders>) -> Self {
         let link = ServiceLink::new(service);
         let clock = RuntimeClock::ahead(0);
         let metrics = Arc::new(MetricsHub::new().unwrap());
-        let peers: Rc<dyn TablePeers> = Rc::<Zone>::clone(zone);
+        let peers: Rc<dyn TablePeers> = Rc::<ZoneReaders>::clone(zone);
         let shared_clock: Arc<dyn ClockSource> = Arc::<RuntimeClock>::clone(&clock);
         let rows = PeerRowSource::new(
             Rc::<ServiceLink>::clone(&link),
@@ -503,8 +503,8 @@
 /// A zone of entries and readers.
 pub struct Deployment {
     pub service: Rc<TableService>,
-    pub zone: Rc<Zone>,
-    pub entries: Vec<Entry>,
+    pub peers: Rc<ZoneReaders>,
+    pub entries: Vec<EntryProcess>,
 }
 
 impl Deployment {
@@ -518,13 +518,13 @@
     pub fn begin(service: Rc<TableService>, entries: usize, readers: usize) -> Self {
         let known = Cell::new(!service.rows.borrow().is_empty());
         let readers = (0..readers).map(|_reader| ReaderProcess::new(&service)).collect();
-        let zone = Rc::new(Zone { readers, known });
-        let entries = (0..entries).map(|_entry| Entry::start(&service, &zone)).collect();
-        Self { service, zone, entries }
+        let peers = Rc::new(ZoneReaders { readers, known });
+        let entries = (0..entries).map(|_entry| EntryProcess::start(&service, &peers)).collect();
+        Self { service, peers, entries }
     }
 
     pub fn reader(&self, index: usize) -> &ReaderProcess {
-        &self.zone.readers[index]
+        &self.peers.readers[index]
     }
 
     /// Asserts for a time that no entry's proofs become too old.
@@ -541,7 +541,7 @@
     }
 
     /// Waits until the condition holds for all entries. Returns the milliseconds that this took.
-    pub async fn until_all(&self, seen: impl Fn(&Entry) -> bool) -> u64 {
+    pub async fn until_all(&self, seen: impl Fn(&EntryProcess) -> bool) -> u64 {
         let began = Instant::now();
         while !self.entries.iter().all(&seen) {
             assert!(began.elapsed() < Duration::from_secs(30), "not all entries see it");
--- a/crates/porthoist-proxy/tests/zone_tables/random_restores.rs
+++ b/crates/porthoist-proxy/tests/zone_tables/random_restores.rs
@@ -64,7 +64,7 @@
         }
     }
 
-    fn is_known_to(&self, entry: &Entry) -> bool {
+    fn is_known_to(&self, entry: &EntryProcess) -> bool {
         let version = entry.state.borrow().routes.as_ref().map(|routes| routes.version);
         let known = entry.targets();
         let known_state = |name: &char| known.get(&name.to_string()).copied();
--- a/crates/porthoist-proxy/tests/zone_tables/restores.rs
+++ b/crates/porthoist-proxy/tests/zone_tables/restores.rs
@@ -14,7 +14,7 @@
 const LOST_WRITES: [u64; 3] = [1, 8, 40];
 
 /// Whether an entry has adopted the given configuration and knows that target `b` is draining.
-fn up_to_date(entry: &Entry, version: u64) -> bool {
+fn up_to_date(entry: &EntryProcess, version: u64) -> bool {
     let state = entry.state.borrow();
     let adopted = state.routes.as_ref().is_some_and(|routes| routes.version == ConfigVersion(version));
     adopted && entry.targets()["b"] == TargetState::Draining
@@ -51,7 +51,7 @@
 #[test_case(0; "entries ask the service")]
 #[test_case(2; "entries ask readers")]
 #[tokio::test(start_paused = true)]
-async fn restore_between_questions_does_not_hide_changes(readers: usize) {
+async fn restore_between_polls_does_not_hide_changes(readers: usize) {
     run_local(async || {
         for lost in LOST_WRITES {
             let zone = Deployment::start(6, readers).await;
@@ -78,7 +78,7 @@
 const REWRITE_DELAY: Duration = Duration::from_millis(1_500);
 
 /// Asserts that a condition holds for all entries throughout the given duration.
-async fn assert_all_during(zone: &Deployment, duration: Duration, holds: impl Fn(&Entry) -> bool) {
+async fn assert_all_during(zone: &Deployment, duration: Duration, holds: impl Fn(&EntryProcess) -> bool) {
     let end = Instant::now() + duration;
     while Instant::now() < end {
         for (number, entry) in zone.entries.iter().enumerate() {
@@ -120,7 +120,7 @@
         let zone = Deployment::start(6, readers).await;
         let backup = zone.service.backup();
         departure.write(&zone);
-        let not_ready = |entry: &Entry| entry.targets().get("b") != Some(&TargetState::Ready);
+        let not_ready = |entry: &EntryProcess| entry.targets().get("b") != Some(&TargetState::Ready);
         zone.until_all(not_ready).await;
         sleep(Duration::from_secs(1)).await;
         if outage_millis > 0 {
@@ -172,7 +172,7 @@
         let zone = Deployment::start(6, readers).await;
         let backup = zone.service.backup();
         zone.service.put("c", b"ready");
-        let known = |entry: &Entry| entry.targets().contains_key("c");
+        let known = |entry: &EntryProcess| entry.targets().contains_key("c");
         zone.until_all(known).await;
         sleep(Duration::from_secs(1)).await;
         if outage_millis > 0 {
@@ -206,7 +206,8 @@
         let zone = Deployment::start(6, readers).await;
         let backup = zone.service.backup();
         zone.service.put("emptied-z", b"");
-        let emptied = |entry: &Entry| entry.state.borrow().emptied_zones.contains(&"z".parse().unwrap());
+        let emptied =
+            |entry: &EntryProcess| entry.state.borrow().emptied_zones.contains(&"z".parse().unwrap());
         zone.until_all(emptied).await;
         sleep(Duration::from_secs(1)).await;
         zone.service.refuse_all();
