--- a/crates/porthoist-proxy/tests/zone_tables/random_restores.rs
+++ b/crates/porthoist-proxy/tests/zone_tables/random_restores.rs
@@ -85,8 +85,8 @@
     }
 }
 
-/// Guards against missing changes and sending requests to departed targets in random sequences of changes, outages and
-/// restores.
+/// Guards against missing changes and sending requests to departed targets in random sequences of
+/// changes, outages and restores.
 #[test_case(0; "entries ask the service")]
 #[test_case(2; "entries ask readers")]
 #[tokio::test(start_paused = true)]
@@ -132,7 +132,8 @@
     assert!(took <= IN_FORCE_MILLIS, "seed {seed}: the final state took {took} ms");
 }
 
-/// Restores a random backup, in some cases after an outage, and then has operators and targets write their rows again.
+/// Restores a random backup, in some cases after an outage, and then has operators and targets write
+/// their rows again.
 async fn restore_random_backup(
     zone: &Deployment,
     backups: &mut Vec<ServiceBackup>,
--- a/crates/porthoist-proxy/tests/zone_tables/restores.rs
+++ b/crates/porthoist-proxy/tests/zone_tables/restores.rs
@@ -1,4 +1,5 @@
-//! Tests of a table service that is restored from a backup: later writes are lost and their revisions are reused.
+//! Tests of a table service that is restored from a backup: later writes are lost and their revisions
+//! are reused.
 
 use crate::harness::*;
 use porthoist_policy::proxy::routes::ConfigVersion;
@@ -47,7 +48,8 @@
     .await;
 }
 
-/// Guards against missing changes when the service reaches the last known revision again before the next question.
+/// Guards against missing changes when the service reaches the last known revision again before the next
+/// poll.
 #[test_case(0; "entries ask the service")]
 #[test_case(2; "entries ask readers")]
 #[tokio::test(start_paused = true)]
@@ -129,7 +131,7 @@
         }
         zone.service.restore(&backup);
         zone.service.refusing.set(false);
-        // Pending requests are answered once the version exceeds the requested one.
+        // Pending polls are answered once the version exceeds the requested one.
         zone.service.put("d", b"ready");
         zone.service.put("d", b"ready");
         assert_all_during(&zone, REWRITE_DELAY, not_ready).await;
@@ -141,7 +143,8 @@
     .await;
 }
 
-/// Guards against permanently ignoring a removed target that registers again between a restore and the first answer after it.
+/// Guards against permanently ignoring a removed target that registers again between a restore and the
+/// first answer after it.
 #[test_case(0; "entries ask the service")]
 #[test_case(2; "entries ask readers")]
 #[tokio::test(start_paused = true)]
@@ -181,7 +184,7 @@
         }
         zone.service.restore(&backup);
         zone.service.refusing.set(false);
-        // Pending requests are answered once the version exceeds the requested one.
+        // Pending polls are answered once the version exceeds the requested one.
         zone.service.put("d", b"ready");
         zone.service.put("d", b"ready");
         assert_all_during(&zone, REWRITE_DELAY, known).await;
@@ -194,8 +197,8 @@
 /// Longer than the time for which a zone stays emptied after a restore if its row is not written again.
 const BEYOND_ZONE_GRACE: Duration = Duration::from_secs(11);
 
-/// Guards against requests to a zone that was emptied after the backup, and against keeping the zone emptied for ever if its
-/// row is not written again.
+/// Guards against requests to a zone that was emptied after the backup, and against keeping the zone
+/// emptied for ever if its row is not written again.
 #[test_case(0, true; "written again, entries ask the service")]
 #[test_case(2, true; "written again, entries ask readers")]
 #[test_case(0, false; "not written again, entries ask the service")]
