--- a/crates/porthoist-proxy/tests/shared/restored.rs
+++ b/crates/porthoist-proxy/tests/zone_tables/restores.rs
@@ -1,4 +1,5 @@
-//! Tests of a table service that is restored from a backup: later writes are lost and their revisions are reused.
+//! Tests of a table service that is restored from a backup: later writes are lost and their revisions
+//! are reused.
 
 use crate::harness::*;
 use porthoist_policy::proxy::routes::ConfigVersion;
@@ -14,7 +15,7 @@
 const LOST_WRITES: [u64; 3] = [1, 8, 40];
 
 /// Whether an entry has adopted the given configuration and knows that target `b` is draining.
-fn up_to_date(entry: &Entry, version: u64) -> bool {
+fn up_to_date(entry: &EntryProcess, version: u64) -> bool {
     let state = entry.state.borrow();
     let adopted = state.routes.as_ref().is_some_and(|routes| routes.version == ConfigVersion(version));
     adopted && entry.targets()["b"] == TargetState::Draining
@@ -47,11 +48,12 @@
     .await;
 }
 
-/// Guards against missing changes when the service reaches the last known revision again before the next question.
+/// Guards against missing changes when the service reaches the last known revision again before the next
+/// poll.
 #[test_case(0; "entries ask the service")]
 #[test_case(2; "entries ask readers")]
 #[tokio::test(start_paused = true)]
-async fn restore_between_questions_does_not_hide_changes(readers: usize) {
+async fn restore_between_polls_does_not_hide_changes(readers: usize) {
     run_local(async || {
         for lost in LOST_WRITES {
             let zone = Deployment::start(6, readers).await;
@@ -78,7 +80,7 @@
 const REWRITE_DELAY: Duration = Duration::from_millis(1_500);
 
 /// Asserts that a condition holds for all entries throughout the given duration.
-async fn assert_all_during(zone: &Deployment, duration: Duration, holds: impl Fn(&Entry) -> bool) {
+async fn assert_all_during(zone: &Deployment, duration: Duration, holds: impl Fn(&EntryProcess) -> bool) {
     let end = Instant::now() + duration;
     while Instant::now() < end {
         for (number, entry) in zone.entries.iter().enumerate() {
@@ -120,7 +122,7 @@
         let zone = Deployment::start(6, readers).await;
         let backup = zone.service.backup();
         departure.write(&zone);
-        let not_ready = |entry: &Entry| entry.targets().get("b") != Some(&TargetState::Ready);
+        let not_ready = |entry: &EntryProcess| entry.targets().get("b") != Some(&TargetState::Ready);
         zone.until_all(not_ready).await;
         sleep(Duration::from_secs(1)).await;
         if outage_millis > 0 {
@@ -129,7 +131,7 @@
         }
         zone.service.restore(&backup);
         zone.service.refusing.set(false);
-        // Pending requests are answered once the version exceeds the requested one.
+        // Pending polls are answered once the version exceeds the requested one.
         zone.service.put("d", b"ready");
         zone.service.put("d", b"ready");
         assert_all_during(&zone, REWRITE_DELAY, not_ready).await;
@@ -141,7 +143,8 @@
     .await;
 }
 
-/// Guards against permanently ignoring a removed target that registers again between a restore and the first answer after it.
+/// Guards against permanently ignoring a removed target that registers again between a restore and the
+/// first answer after it.
 #[test_case(0; "entries ask the service")]
 #[test_case(2; "entries ask readers")]
 #[tokio::test(start_paused = true)]
@@ -172,7 +175,7 @@
         let zone = Deployment::start(6, readers).await;
         let backup = zone.service.backup();
         zone.service.put("c", b"ready");
-        let known = |entry: &Entry| entry.targets().contains_key("c");
+        let known = |entry: &EntryProcess| entry.targets().contains_key("c");
         zone.until_all(known).await;
         sleep(Duration::from_secs(1)).await;
         if outage_millis > 0 {
@@ -181,7 +184,7 @@
         }
         zone.service.restore(&backup);
         zone.service.refusing.set(false);
-        // Pending requests are answered once the version exceeds the requested one.
+        // Pending polls are answered once the version exceeds the requested one.
         zone.service.put("d", b"ready");
         zone.service.put("d", b"ready");
         assert_all_during(&zone, REWRITE_DELAY, known).await;
@@ -194,8 +197,8 @@
 /// Longer than the time for which a zone stays emptied after a restore if its row is not written again.
 const BEYOND_ZONE_GRACE: Duration = Duration::from_secs(11);
 
-/// Guards against requests to a zone that was emptied after the backup, and against keeping the zone emptied for ever if its
-/// row is not written again.
+/// Guards against requests to a zone that was emptied after the backup, and against keeping the zone
+/// emptied for ever if its row is not written again.
 #[test_case(0, true; "written again, entries ask the service")]
 #[test_case(2, true; "written again, entries ask readers")]
 #[test_case(0, false; "not written again, entries ask the service")]
@@ -206,7 +209,8 @@
         let zone = Deployment::start(6, readers).await;
         let backup = zone.service.backup();
         zone.service.put("emptied-z", b"");
-        let emptied = |entry: &Entry| entry.state.borrow().emptied.contains(&"z".parse().unwrap());
+        let emptied =
+            |entry: &EntryProcess| entry.state.borrow().emptied_zones.contains(&"z".parse().unwrap());
         zone.until_all(emptied).await;
         sleep(Duration::from_secs(1)).await;
         zone.service.refuse_all();
