--- a/crates/porthoist-caller/src/handler.rs
+++ b/crates/porthoist-caller/src/handler.rs
@@ -11,7 +11,7 @@
     RequestOffer, RetryReason, RunVerdict, TargetName, TicketText, UnixMillis,
 };
 use porthoist_policy::answer::FrameVerdict;
-use porthoist_policy::explain::DecisionKind;
+use porthoist_policy::decision_log::DecisionKind;
 use porthoist_policy::retry::FailedAttempt;
 use std::time::Duration;
 
--- a/crates/porthoist-caller/src/ports.rs
+++ b/crates/porthoist-caller/src/ports.rs
@@ -7,7 +7,7 @@
 };
 use porthoist_metrics::MetricsHub;
 use porthoist_policy::claim::{ClaimEvent, ClaimRow};
-use porthoist_policy::explain::{DecisionKind, DecisionLog};
+use porthoist_policy::decision_log::{DecisionKind, DecisionLog};
 use porthoist_policy::router::RouteChoice;
 use porthoist_policy::table::{ServiceRow, TeamRow};
 use std::fmt;
--- a/crates/porthoist-fleet/src/rank/branches.rs
+++ b/crates/porthoist-fleet/src/rank/branches.rs
@@ -14,7 +14,7 @@
 };
 use porthoist_http::CallError;
 use porthoist_policy::placement::equal_shares::EqualShareMap;
-use porthoist_policy::proxy::loads::GroupLoads;
+use porthoist_policy::proxy::group_loads::GroupLoads;
 use porthoist_policy::roll_forward::{EngineOrder, RankState};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
--- a/crates/porthoist-fleet/src/rank/convert.rs
+++ b/crates/porthoist-fleet/src/rank/convert.rs
@@ -5,7 +5,7 @@
 use capnp::{Error, primitive_list};
 use porthoist_group::RankObservation;
 use porthoist_policy::placement::equal_shares::ListChange;
-use porthoist_policy::proxy::loads::{GroupLoads, LoadRevision, RankLoad};
+use porthoist_policy::proxy::group_loads::{GroupLoads, LoadRevision, RankLoad};
 use porthoist_policy::proxy::pass_time::GroupPass;
 use porthoist_policy::roll_forward::{
     ArmedMap, EngineOrder, GroupEpoch, OrderSequence, RankPace, RankState, RankView,
--- a/crates/porthoist-fleet/src/rank/peer.rs
+++ b/crates/porthoist-fleet/src/rank/peer.rs
@@ -17,7 +17,7 @@
 use porthoist_http::CallError;
 use porthoist_policy::placement::equal_shares::EqualShareMap;
 use porthoist_policy::placement::map::ExpertId;
-use porthoist_policy::proxy::loads::{GroupLoads, LoadRevision};
+use porthoist_policy::proxy::group_loads::{GroupLoads, LoadRevision};
 use porthoist_policy::roll_forward::{EngineOrder, RankState};
 use porthoist_policy::switch::MapVersion;
 use porthoist_proxy::TableQuery;
--- a/crates/porthoist-fleet/src/rank/publisher.rs
+++ b/crates/porthoist-fleet/src/rank/publisher.rs
@@ -1,7 +1,7 @@
 //! Distribution of a group's loads by the processes next to its ranks.
 
 use super::convert::LoadsAnswer;
-use porthoist_policy::proxy::loads::{GroupLoads, LoadRevision};
+use porthoist_policy::proxy::group_loads::{GroupLoads, LoadRevision};
 use std::cell::Cell;
 use std::net::Ipv4Addr;
 use std::rc::Rc;
--- a/crates/porthoist-fleet/src/rank/table_update.rs
+++ b/crates/porthoist-fleet/src/rank/table_update.rs
@@ -5,9 +5,9 @@
 use capnp::Error;
 use miniz_oxide::deflate::compress_to_vec_zlib;
 use miniz_oxide::inflate::decompress_to_vec_zlib_with_limit;
-use porthoist_policy::proxy::entries::EntryId;
-use porthoist_policy::proxy::notes::AgedNote;
-use porthoist_policy::proxy::turns::EntryPosition;
+use porthoist_policy::proxy::entry_positions::EntryId;
+use porthoist_policy::proxy::limit_notes::AgedNote;
+use porthoist_policy::proxy::send_turns::EntryPosition;
 use porthoist_proxy::{
     ControlTable, GapAges, RowUpdate, Stamped, TableEra, TableQuery, TableRevision, TableUpdate,
 };
--- a/crates/porthoist-fleet/tests/rank.rs
+++ b/crates/porthoist-fleet/tests/rank.rs
@@ -8,7 +8,7 @@
 use porthoist_http::CallError;
 use porthoist_policy::placement::equal_shares::EqualShareMap;
 use porthoist_policy::placement::map::ExpertId;
-use porthoist_policy::proxy::loads::{GroupLoads, LoadRevision, RankLoad};
+use porthoist_policy::proxy::group_loads::{GroupLoads, LoadRevision, RankLoad};
 use porthoist_policy::proxy::pass_time::GroupPass;
 use porthoist_policy::roll_forward::{EngineOrder, GroupEpoch, OrderSequence, RankPace, RankState, RankView};
 use porthoist_policy::switch::{MapVersion, StepNumber};
--- a/crates/porthoist-fleet/tests/zone.rs
+++ b/crates/porthoist-fleet/tests/zone.rs
@@ -9,10 +9,10 @@
 use porthoist_group::{ExpertLists, OrderAnswer, RankControl, RankFuture, RankObservation};
 use porthoist_http::CallError;
 use porthoist_policy::placement::equal_shares::EqualShareMap;
-use porthoist_policy::proxy::entries::EntryId;
-use porthoist_policy::proxy::notes::TargetNote;
+use porthoist_policy::proxy::entry_positions::EntryId;
+use porthoist_policy::proxy::limit_notes::TargetNote;
+use porthoist_policy::proxy::send_turns::EntryPosition;
 use porthoist_policy::proxy::targets::TargetLife;
-use porthoist_policy::proxy::turns::EntryPosition;
 use porthoist_policy::roll_forward::EngineOrder;
 use porthoist_proxy::{
     ControlTable, RowSource, RowValue, SourceFuture, Stamped, TableEra, TableQuery, TableReader,
--- a/crates/porthoist-group/src/controller.rs
+++ b/crates/porthoist-group/src/controller.rs
@@ -5,7 +5,7 @@
 
 use crate::group_control::{GroupControl, GroupObservation, UnreachableRank};
 use crate::rank_control::{ExpertLists, OrderAnswer};
-use porthoist_policy::placement::copying::CopyTimes;
+use porthoist_policy::placement::copy_times::CopyTimes;
 use porthoist_policy::placement::demand::{DemandChange, DemandEstimator};
 use porthoist_policy::placement::equal_shares::{EqualShareBounds, EqualShareMap, EqualSharePlan, improve};
 use porthoist_policy::roll_forward::{
--- a/crates/porthoist-group/src/timeout.rs
+++ b/crates/porthoist-group/src/timeout.rs
@@ -1,6 +1,6 @@
 //! Timeouts that adapt to observed response times.
 
-use porthoist_policy::placement::copying::RecentMedian;
+use porthoist_policy::placement::copy_times::RecentMedian;
 use std::time::Duration;
 
 /// Factor by which a response may be slower than typical before it times out.
--- a/crates/porthoist-lab/src/capacity.rs
+++ b/crates/porthoist-lab/src/capacity.rs
@@ -12,7 +12,7 @@
 use porthoist_fleet::convert::{read_offer, write_asks, write_digest, write_offer, write_outcome};
 use porthoist_fleet::fleet_capnp::{digest, node, offer, outcome};
 use porthoist_policy::adoption::{ConfigChange, ConfigState};
-use porthoist_policy::explain::{DecisionKind, DecisionLog};
+use porthoist_policy::decision_log::{DecisionKind, DecisionLog};
 use porthoist_policy::gate::{GateKey, GateMachine, GateOffer};
 use porthoist_policy::limits::coordinator::{LimitCoordinator, SettleAsk};
 use porthoist_policy::limits::{EntryLimiter, TeamLimit};
--- a/crates/porthoist-lab/src/needs.rs
+++ b/crates/porthoist-lab/src/needs.rs
@@ -3,11 +3,11 @@
 //! All callers want the one target. They come in rushes, so that what an entry may save up while nobody comes shows.
 
 use porthoist_core::{RequestRate, UnixMillis, ZoneName};
-use porthoist_policy::proxy::targets::TargetLife;
-use porthoist_policy::proxy::turns::{
+use porthoist_policy::proxy::send_turns::{
     EntryPosition, RateSource, SendTurns, SenderPosition, TargetRate, TurnRound, UncountedEntry,
     assumed_entries,
 };
+use porthoist_policy::proxy::targets::TargetLife;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
--- a/crates/porthoist-lab/src/overload/groups/entry.rs
+++ b/crates/porthoist-lab/src/overload/groups/entry.rs
@@ -5,14 +5,14 @@
 use super::{GROUPS, RANKS};
 use porthoist_core::{ServiceName, StartMillis, TargetName, UnixDeadline, UnixMillis};
 use porthoist_policy::proxy::balancer::{BalancerSettings, RequestWork, SendOutcome};
-use porthoist_policy::proxy::cold::ColdStatus;
-use porthoist_policy::proxy::loads::{GroupLoads, LoadRevision, RankLoad};
+use porthoist_policy::proxy::cold_start::ColdStatus;
+use porthoist_policy::proxy::group_loads::{GroupLoads, LoadRevision, RankLoad};
 use porthoist_policy::proxy::moving::{MAX_MOVE_JITTER_MILLIS, PendingSend};
 use porthoist_policy::proxy::pass_time::GroupPass;
 use porthoist_policy::proxy::retry_share::{RetryShare, RetryShareSettings};
 use porthoist_policy::proxy::scheduler::{RequestScheduler, SlotDecision, SlotRequest};
 use porthoist_policy::proxy::targets::{TargetRecord, TargetRegistry, TargetState};
-use porthoist_policy::proxy::waiting::QueueClass;
+use porthoist_policy::proxy::wait_queue::QueueClass;
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
--- a/crates/porthoist-operator/src/server.rs
+++ b/crates/porthoist-operator/src/server.rs
@@ -10,7 +10,7 @@
 use porthoist_core::secret::SharedSecret;
 use porthoist_http::{HttpResponse, json_response, text_response};
 use porthoist_metrics::MetricsHub;
-use porthoist_policy::explain::DecisionRecord;
+use porthoist_policy::decision_log::DecisionRecord;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::sync::Arc;
--- a/crates/porthoist-policy/src/lib.rs
+++ b/crates/porthoist-policy/src/lib.rs
@@ -7,7 +7,7 @@
 pub mod adoption;
 pub mod answer;
 pub mod claim;
-pub mod explain;
+pub mod decision_log;
 pub mod gate;
 pub mod limits;
 pub mod membership;
--- a/crates/porthoist-policy/src/placement.rs
+++ b/crates/porthoist-policy/src/placement.rs
@@ -3,7 +3,7 @@
 //! The planner changes the map in force by a few replicas, and only if the step time saved over a horizon is worth more
 //! than the bytes moved. Changing the shares between replicas costs nothing.
 
-pub mod copying;
+pub mod copy_times;
 pub mod demand;
 pub mod equal_shares;
 pub mod estimate;
--- a/crates/porthoist-policy/src/proxy/backpressure.rs
+++ b/crates/porthoist-policy/src/proxy/backpressure.rs
@@ -5,10 +5,10 @@
 //! unreadable value changes nothing: read as absent it would lift a limit, read as 0 it would close a
 //! healthy target.
 
-use super::cold::{ColdRule, ColdState, ColdStatus};
-use super::notes::TargetNote;
+use super::cold_start::{ColdRule, ColdState, ColdStatus};
+use super::limit_notes::TargetNote;
+use super::send_turns::{RateSource, TargetRate};
 use super::targets::TargetLife;
-use super::turns::{RateSource, TargetRate};
 use porthoist_core::{RequestRate, UnixDeadline, UnixMillis};
 use std::collections::VecDeque;
 
--- a/crates/porthoist-policy/src/proxy/balancer.rs
+++ b/crates/porthoist-policy/src/proxy/balancer.rs
@@ -4,15 +4,15 @@
 //! in a row are ejected for a growing time and then get a single request as a probe.
 
 use super::backpressure::DepartedBackpressure;
-use super::cold::ColdRule;
+use super::cold_start::ColdRule;
+use super::group_loads::{GroupLoads, RankLoad};
 use super::groups::{GroupIndex, GroupTracker};
-use super::loads::{GroupLoads, RankLoad};
 use super::pass_time::GroupPass;
+use super::send_turns::{EntryPosition, SenderPosition, TargetRate, UncountedEntry, assumed_entries};
 use super::service_groups::{GroupSnapshot, ServiceGroups};
 use super::spread::choose_by_level;
 use super::target_load::{GroupView, TargetLoad};
 use super::targets::{TargetLife, TargetRecord, TargetRegistry, TargetState};
-use super::turns::{EntryPosition, SenderPosition, TargetRate, UncountedEntry, assumed_entries};
 use super::zones::EmptiedZones;
 use porthoist_core::{ServiceName, TargetName, UnixMillis, ZoneName};
 use std::collections::{BTreeMap, HashMap};
--- a/crates/porthoist-policy/src/proxy/balancer/limits.rs
+++ b/crates/porthoist-policy/src/proxy/balancer/limits.rs
@@ -3,10 +3,10 @@
 
 use super::{LoadBalancer, random_point};
 use crate::proxy::backpressure::{BackpressureSignals, ObservedChange};
-use crate::proxy::cold::ColdRule;
-use crate::proxy::notes::TargetNote;
+use crate::proxy::cold_start::ColdRule;
+use crate::proxy::limit_notes::TargetNote;
+use crate::proxy::send_turns::{EntryPosition, RateSource, SendTurns, SenderPosition, TargetRate};
 use crate::proxy::targets::TargetLife;
-use crate::proxy::turns::{EntryPosition, RateSource, SendTurns, SenderPosition, TargetRate};
 use crate::proxy::zones::EmptiedZones;
 use porthoist_core::{ServiceName, UnixDeadline, UnixMillis, ZoneName};
 use std::collections::HashMap;
--- a/crates/porthoist-policy/src/proxy/balancer/tiers.rs
+++ b/crates/porthoist-policy/src/proxy/balancer/tiers.rs
@@ -1,7 +1,7 @@
 //! Preference among the targets that have room.
 
+use crate::proxy::send_turns::SenderPosition;
 use crate::proxy::target_load::{SendTier, TargetLoad};
-use crate::proxy::turns::SenderPosition;
 use porthoist_core::UnixMillis;
 
 /// The targets of the best tier. Targets with a limit get no requests while others have room, except for
--- a/crates/porthoist-policy/src/proxy/entries.rs
+++ b/crates/porthoist-policy/src/proxy/entry_positions.rs
@@ -5,7 +5,7 @@
 //! Its count may be too low for a while, after it has started or while entries query different
 //! processes, so a falling number is adopted only after a delay.
 
-use super::turns::EntryPosition;
+use super::send_turns::EntryPosition;
 use porthoist_core::{UnixDeadline, UnixMillis};
 use std::collections::BTreeMap;
 
--- a/crates/porthoist-policy/src/proxy/forecast.rs
+++ b/crates/porthoist-policy/src/proxy/forecast.rs
@@ -7,7 +7,7 @@
 //! down for seconds.
 
 use super::groups::{GroupStatus, STALLED_PASS_MILLIS};
-use super::waiting::QueueClass;
+use super::wait_queue::QueueClass;
 use porthoist_core::{UnixDeadline, UnixMillis};
 use std::collections::{HashMap, VecDeque};
 
--- a/crates/porthoist-policy/src/proxy/groups.rs
+++ b/crates/porthoist-policy/src/proxy/groups.rs
@@ -6,7 +6,7 @@
 //! describes the whole group. Time without events or reports counts as a pass of that duration, whether
 //! the group has stalled, is broken or is behind a cut link.
 
-use super::loads::GroupLoads;
+use super::group_loads::GroupLoads;
 use super::pass_time::GroupPass;
 use porthoist_core::{UnixDeadline, UnixMillis};
 use std::collections::{BTreeMap, HashMap};
--- a/crates/porthoist-policy/src/proxy/routes.rs
+++ b/crates/porthoist-policy/src/proxy/routes.rs
@@ -3,7 +3,7 @@
 //!
 //! A table is immutable and is replaced as a whole by a newer version.
 
-use super::cold::ColdRule;
+use super::cold_start::ColdRule;
 use porthoist_core::{ServiceName, TeamName};
 use std::collections::HashMap;
 use std::fmt;
--- a/crates/porthoist-policy/src/proxy/scheduler.rs
+++ b/crates/porthoist-policy/src/proxy/scheduler.rs
@@ -5,15 +5,15 @@
 
 use super::backpressure::{BackpressureSignals, ObservedChange};
 use super::balancer::{BalancerSettings, ChosenTarget, LoadBalancer, RequestWork, SendOutcome};
-use super::cold::ColdRule;
+use super::cold_start::ColdRule;
 use super::forecast::{ServiceForecast, WaitDecision, WaitQuery};
-use super::loads::GroupLoads;
+use super::group_loads::GroupLoads;
+use super::limit_notes::TargetNote;
 use super::moving::{MIN_WAIT_MILLIS, MoveCause, MoveOptions, PendingSend, move_cause};
-use super::notes::TargetNote;
+use super::send_turns::{EntryPosition, RateSource, TargetRate};
 use super::service_groups::GroupSnapshot;
 use super::targets::{TargetLife, TargetRecord, TargetRegistry};
-use super::turns::{EntryPosition, RateSource, TargetRate};
-use super::waiting::{QueueClass, WaitQueue};
+use super::wait_queue::{QueueClass, WaitQueue};
 use super::zones::EmptiedZones;
 use porthoist_core::{ServiceName, TargetName, UnixDeadline, UnixMillis};
 use std::collections::HashMap;
--- a/crates/porthoist-policy/src/proxy/target_load.rs
+++ b/crates/porthoist-policy/src/proxy/target_load.rs
@@ -3,12 +3,12 @@
 
 use super::backpressure::TargetBackpressure;
 use super::balancer::{BalancerSettings, ReportedRequests, RequestWork, SendOutcome};
-use super::cold::ColdRule;
+use super::cold_start::ColdRule;
+use super::group_loads::{OthersLoad, RankLoad};
 use super::groups::GroupIndex;
-use super::loads::{OthersLoad, RankLoad};
+use super::send_turns::{RateSource, SendTurns, SenderPosition, TargetRate, TurnRound};
 use super::service_groups::ServiceGroups;
 use super::targets::{TargetRecord, TargetState};
-use super::turns::{RateSource, SendTurns, SenderPosition, TargetRate, TurnRound};
 use porthoist_core::{ServiceName, TargetName, UnixDeadline, UnixMillis, ZoneName};
 use std::sync::Arc;
 
--- a/crates/porthoist-policy/src/proxy/targets.rs
+++ b/crates/porthoist-policy/src/proxy/targets.rs
@@ -13,7 +13,7 @@
 //! or been removed since the backup was made. Rows of such targets are ignored until they change again
 //! or a grace period ends.
 
-use super::cold::ColdStatus;
+use super::cold_start::ColdStatus;
 use porthoist_core::{ServiceName, StartMillis, TargetName, UnixDeadline, UnixMillis, ZoneName};
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, HashSet, VecDeque};
--- a/crates/porthoist-policy/tests/policy/copying.rs
+++ b/crates/porthoist-policy/tests/policy/copying.rs
@@ -1,6 +1,6 @@
 //! Tests of the plan size derived from observed copy and switch times.
 
-use porthoist_policy::placement::copying::CopyTimes;
+use porthoist_policy::placement::copy_times::CopyTimes;
 use test_case::test_case;
 
 fn times(copy_millis: f64, switch_millis: f64) -> CopyTimes {
--- a/crates/porthoist-policy/tests/policy/domains.rs
+++ b/crates/porthoist-policy/tests/policy/domains.rs
@@ -2,8 +2,8 @@
 
 use porthoist_core::{ServiceName, StartMillis, UnixMillis};
 use porthoist_policy::proxy::balancer::{BalancerSettings, LoadBalancer, RequestWork, SendOutcome};
-use porthoist_policy::proxy::cold::ColdStatus;
-use porthoist_policy::proxy::loads::{GroupLoads, LoadRevision, RankLoad};
+use porthoist_policy::proxy::cold_start::ColdStatus;
+use porthoist_policy::proxy::group_loads::{GroupLoads, LoadRevision, RankLoad};
 use porthoist_policy::proxy::pass_time::GroupPass;
 use porthoist_policy::proxy::targets::{TargetRecord, TargetRegistry, TargetState};
 use std::net::Ipv4Addr;
--- a/crates/porthoist-policy/tests/policy/forecast.rs
+++ b/crates/porthoist-policy/tests/policy/forecast.rs
@@ -2,7 +2,7 @@
 
 use porthoist_core::{UnixDeadline, UnixMillis};
 use porthoist_policy::proxy::forecast::{CallerRetryDetector, ServiceForecast, WaitDecision, WaitQuery};
-use porthoist_policy::proxy::waiting::QueueClass::{self, CallerRetry, First, Resent};
+use porthoist_policy::proxy::wait_queue::QueueClass::{self, CallerRetry, First, Resent};
 use test_case::test_case;
 
 /// Ten slots that are occupied for 1.5 s each, first events after 200 ms, the last one at 1,000 ms.
--- a/crates/porthoist-policy/tests/policy/loads.rs
+++ b/crates/porthoist-policy/tests/policy/loads.rs
@@ -4,8 +4,8 @@
 use porthoist_policy::proxy::balancer::{
     BalancerSettings, LoadBalancer, ReportedRequests, RequestWork, SendOutcome,
 };
-use porthoist_policy::proxy::cold::ColdStatus;
-use porthoist_policy::proxy::loads::{
+use porthoist_policy::proxy::cold_start::ColdStatus;
+use porthoist_policy::proxy::group_loads::{
     GroupLoads, LoadRevision, REPORT_VALIDITY_MILLIS, RankLoad, equivalent_requests,
 };
 use porthoist_policy::proxy::pass_time::GroupPass;
--- a/crates/porthoist-policy/tests/policy/needs.rs
+++ b/crates/porthoist-policy/tests/policy/needs.rs
@@ -6,14 +6,14 @@
     BackpressureChange, BackpressureSignals, ObservedChange, SignalValue, TargetBackpressure,
 };
 use porthoist_policy::proxy::balancer::{BalancerSettings, LoadBalancer, RequestWork};
-use porthoist_policy::proxy::cold::ColdStatus;
-use porthoist_policy::proxy::entries::{EntryId, EntryRoster, PositionTracker};
-use porthoist_policy::proxy::loads::{GroupLoads, RankLoad};
-use porthoist_policy::proxy::notes::{NoteStore, TargetNote};
+use porthoist_policy::proxy::cold_start::ColdStatus;
+use porthoist_policy::proxy::entry_positions::{EntryId, EntryRoster, PositionTracker};
+use porthoist_policy::proxy::group_loads::{GroupLoads, RankLoad};
+use porthoist_policy::proxy::limit_notes::{NoteStore, TargetNote};
 use porthoist_policy::proxy::scheduler::{RequestScheduler, SlotDecision, SlotRequest};
+use porthoist_policy::proxy::send_turns::EntryPosition;
 use porthoist_policy::proxy::targets::{TargetRecord, TargetRegistry, TargetState};
-use porthoist_policy::proxy::turns::EntryPosition;
-use porthoist_policy::proxy::waiting::QueueClass;
+use porthoist_policy::proxy::wait_queue::QueueClass;
 use test_case::test_case;
 
 const TARGETS: usize = 9;
--- a/crates/porthoist-policy/tests/policy/needy_fleet.rs
+++ b/crates/porthoist-policy/tests/policy/needy_fleet.rs
@@ -4,12 +4,12 @@
 use porthoist_core::{RequestRate, ServiceName, StartMillis, UnixDeadline, UnixMillis, ZoneName};
 use porthoist_policy::proxy::backpressure::{BackpressureChange, BackpressureSignals, SignalValue};
 use porthoist_policy::proxy::balancer::{BalancerSettings, ChosenTarget, RequestWork, SendOutcome};
-use porthoist_policy::proxy::cold::ColdStatus;
-use porthoist_policy::proxy::notes::{NoteStore, TargetNote};
+use porthoist_policy::proxy::cold_start::ColdStatus;
+use porthoist_policy::proxy::limit_notes::{NoteStore, TargetNote};
 use porthoist_policy::proxy::scheduler::{RequestScheduler, SlotDecision, SlotError, SlotRequest};
+use porthoist_policy::proxy::send_turns::EntryPosition;
 use porthoist_policy::proxy::targets::{TargetLife, TargetRecord, TargetRegistry, TargetState};
-use porthoist_policy::proxy::turns::EntryPosition;
-use porthoist_policy::proxy::waiting::QueueClass;
+use porthoist_policy::proxy::wait_queue::QueueClass;
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
--- a/crates/porthoist-policy/tests/policy/proxy.rs
+++ b/crates/porthoist-policy/tests/policy/proxy.rs
@@ -2,7 +2,7 @@
 
 use porthoist_core::{ServiceName, StartMillis, TargetName, UnixDeadline, UnixMillis};
 use porthoist_policy::proxy::balancer::{BalancerSettings, LoadBalancer, RequestWork, SendOutcome};
-use porthoist_policy::proxy::cold::ColdStatus;
+use porthoist_policy::proxy::cold_start::ColdStatus;
 use porthoist_policy::proxy::freshness::{FreshnessProof, StampedAnswer};
 use porthoist_policy::proxy::retry_share::{RetryShare, RetryShareSettings};
 use porthoist_policy::proxy::routes::{
@@ -11,7 +11,7 @@
 use porthoist_policy::proxy::targets::{
     AnswerGap, StalenessBound, TargetChange, TargetLife, TargetRecord, TargetRegistry, TargetState,
 };
-use porthoist_policy::proxy::waiting::{QueueClass, WaitQueue};
+use porthoist_policy::proxy::wait_queue::{QueueClass, WaitQueue};
 use std::collections::HashMap;
 use test_case::test_case;
 
--- a/crates/porthoist-proxy/src/dispatcher.rs
+++ b/crates/porthoist-proxy/src/dispatcher.rs
@@ -5,14 +5,14 @@
 use porthoist_policy::proxy::balancer::{
     BalancerSettings, ChosenTarget, ReportedRequests, RequestWork, SendOutcome,
 };
-use porthoist_policy::proxy::cold::ColdRule;
-use porthoist_policy::proxy::loads::GroupLoads;
+use porthoist_policy::proxy::cold_start::ColdRule;
+use porthoist_policy::proxy::group_loads::GroupLoads;
+use porthoist_policy::proxy::limit_notes::TargetNote;
 use porthoist_policy::proxy::moving::{MoveCause, PendingSend};
-use porthoist_policy::proxy::notes::TargetNote;
 use porthoist_policy::proxy::scheduler::{RequestScheduler, SlotDecision};
+use porthoist_policy::proxy::send_turns::{EntryPosition, TargetRate};
 use porthoist_policy::proxy::service_groups::GroupSnapshot;
 use porthoist_policy::proxy::targets::{TargetLife, TargetRecord, TargetRegistry};
-use porthoist_policy::proxy::turns::{EntryPosition, TargetRate};
 use porthoist_policy::proxy::zones::EmptiedZones;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
--- a/crates/porthoist-proxy/src/handler.rs
+++ b/crates/porthoist-proxy/src/handler.rs
@@ -17,13 +17,13 @@
 use porthoist_metrics::MetricsHub;
 use porthoist_policy::proxy::forecast::CallerRetryDetector;
 use porthoist_policy::proxy::freshness::FreshnessRule;
-use porthoist_policy::proxy::loads::GroupLoads;
-use porthoist_policy::proxy::notes::TargetNote;
+use porthoist_policy::proxy::group_loads::GroupLoads;
+use porthoist_policy::proxy::limit_notes::TargetNote;
 use porthoist_policy::proxy::retry_share::{RetryShare, RetryShareSettings};
 use porthoist_policy::proxy::routes::RouteError;
+use porthoist_policy::proxy::send_turns::EntryPosition;
 use porthoist_policy::proxy::service_groups::GroupSnapshot;
 use porthoist_policy::proxy::targets::TargetLife;
-use porthoist_policy::proxy::turns::EntryPosition;
 use slog::{Logger, info};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
--- a/crates/porthoist-proxy/src/handler/backpressure.rs
+++ b/crates/porthoist-proxy/src/handler/backpressure.rs
@@ -5,7 +5,7 @@
 use porthoist_policy::proxy::backpressure::{
     BackpressureChange, BackpressureSignals, ObservedChange, SignalValue,
 };
-use porthoist_policy::proxy::notes::{NoteStore, TargetNote};
+use porthoist_policy::proxy::limit_notes::{NoteStore, TargetNote};
 use porthoist_policy::proxy::targets::{TargetLife, TargetRecord};
 use slog::info;
 use tokio::sync::watch;
--- a/crates/porthoist-proxy/src/handler/slots.rs
+++ b/crates/porthoist-proxy/src/handler/slots.rs
@@ -5,7 +5,7 @@
 use crate::dispatcher::{SlotError, SlotRequest, TargetSlot};
 use hyper::StatusCode;
 use porthoist_core::RefusalReason;
-use porthoist_policy::proxy::waiting::QueueClass;
+use porthoist_policy::proxy::wait_queue::QueueClass;
 use slog::info;
 
 impl ProxyHandler {
--- a/crates/porthoist-proxy/tests/control.rs
+++ b/crates/porthoist-proxy/tests/control.rs
@@ -2,7 +2,7 @@
 
 use porthoist_core::{ClockSource, StartMillis, TargetName, UnixMillis};
 use porthoist_metrics::MetricsHub;
-use porthoist_policy::proxy::cold::ColdStatus;
+use porthoist_policy::proxy::cold_start::ColdStatus;
 use porthoist_policy::proxy::targets::{TargetChange, TargetRecord, TargetState};
 use porthoist_proxy::SourceFuture;
 use porthoist_proxy::{
--- a/crates/porthoist-proxy/tests/shared/harness.rs
+++ b/crates/porthoist-proxy/tests/shared/harness.rs
@@ -3,7 +3,7 @@
 use futures::future::LocalBoxFuture;
 use porthoist_core::{ClockSource, StartMillis, UnixMillis, ZoneName};
 use porthoist_metrics::MetricsHub;
-use porthoist_policy::proxy::cold::ColdStatus;
+use porthoist_policy::proxy::cold_start::ColdStatus;
 use porthoist_policy::proxy::routes::{CallerLimits, ConfigVersion, RouteTable};
 use porthoist_policy::proxy::targets::{TargetChange, TargetRecord, TargetState};
 use porthoist_policy::proxy::zones::{ZoneChange, ZoneUpdate};
--- a/porthoist-cli/src/client.rs
+++ b/porthoist-cli/src/client.rs
@@ -8,7 +8,7 @@
 use porthoist_http::HttpClient;
 use porthoist_operator::server::{EditRequest, TableAnswer};
 use porthoist_operator::{EditAnswer, EditProblem, RowEdit, StatusReport, VersionedRow};
-use porthoist_policy::explain::DecisionRecord;
+use porthoist_policy::decision_log::DecisionRecord;
 use porthoist_policy::table::CellError;
 use serde::de::DeserializeOwned;
 
--- a/porthoist-cli/src/cmd/explain.rs
+++ b/porthoist-cli/src/cmd/explain.rs
@@ -5,7 +5,7 @@
 use crate::error::ToolError;
 use crate::log_lines::{lines_about, lines_text};
 use argh::FromArgs;
-use porthoist_policy::explain::{DecisionKind, DecisionRecord};
+use porthoist_policy::decision_log::{DecisionKind, DecisionRecord};
 use std::fmt::Write as _;
 
 /// Explain what happened to a request: each offer, refusal and retry with its reason and numbers.
--- a/porthoistd/src/duty/loads.rs
+++ b/porthoistd/src/duty/loads.rs
@@ -9,7 +9,7 @@
 use porthoist_core::{ServiceName, ZoneName};
 use porthoist_fleet::{LoadsAnswer, RankPeer};
 use porthoist_http::CallError;
-use porthoist_policy::proxy::loads::{GroupLoads, LoadRevision};
+use porthoist_policy::proxy::group_loads::{GroupLoads, LoadRevision};
 use porthoist_proxy::ControlState;
 use rand::seq::IteratorRandom as _;
 use slog::{Logger, info, warn};
--- a/porthoistd/src/duty/operator.rs
+++ b/porthoistd/src/duty/operator.rs
@@ -6,7 +6,7 @@
 use porthoist_core::{IncarnationId, RequestId, TargetName, ZoneName};
 use porthoist_http::{ServerSettings, serve_until};
 use porthoist_operator::{OperatorPort, OperatorServer, StatusReport};
-use porthoist_policy::explain::{DecisionLog, DecisionRecord};
+use porthoist_policy::decision_log::{DecisionLog, DecisionRecord};
 use std::fmt;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
--- a/porthoistd/src/duty/rank.rs
+++ b/porthoistd/src/duty/rank.rs
@@ -10,7 +10,7 @@
 };
 use porthoist_http::CallError;
 use porthoist_policy::placement::equal_shares::{EqualShareBounds, EqualShareMap};
-use porthoist_policy::proxy::loads::GroupLoads;
+use porthoist_policy::proxy::group_loads::GroupLoads;
 use porthoist_policy::proxy::pass_time::PassTimer;
 use porthoist_policy::roll_forward::{EngineOrder, GroupEpoch, RankState};
 use porthoist_policy::switch::MapVersion;
--- a/porthoistd/src/duty/rank/reporting.rs
+++ b/porthoistd/src/duty/rank/reporting.rs
@@ -3,7 +3,7 @@
 
 use super::{LOADS_INTERVAL_MILLIS, RankDuty};
 use porthoist_core::UnixDeadline;
-use porthoist_policy::proxy::loads::{GroupLoads, LoadRevision, RankLoad, equivalent_requests};
+use porthoist_policy::proxy::group_loads::{GroupLoads, LoadRevision, RankLoad, equivalent_requests};
 use porthoist_policy::proxy::pass_time::{GroupPass, GroupSample, PassTimer};
 use porthoist_policy::roll_forward::{RankState, RankView};
 
--- a/porthoistd/src/duty/zone_peers.rs
+++ b/porthoistd/src/duty/zone_peers.rs
@@ -5,10 +5,10 @@
 use futures::future::LocalBoxFuture;
 use porthoist_core::{ClockSource, HostName, ServiceName, ZoneName};
 use porthoist_fleet::{EntryReport, PeerPool, ZoneTableUpdate};
-use porthoist_policy::proxy::entries::{EntryId, PositionTracker};
-use porthoist_policy::proxy::notes::{AgedNote, TargetNote};
+use porthoist_policy::proxy::entry_positions::{EntryId, PositionTracker};
+use porthoist_policy::proxy::limit_notes::{AgedNote, TargetNote};
+use porthoist_policy::proxy::send_turns::EntryPosition;
 use porthoist_policy::proxy::targets::TargetRecord;
-use porthoist_policy::proxy::turns::EntryPosition;
 use porthoist_proxy::{ControlState, ControlTable, TablePeers, TableQuery, TableUpdate};
 use std::cell::Cell;
 use std::net::{IpAddr, Ipv4Addr};
--- a/porthoistd/src/role/entry.rs
+++ b/porthoistd/src/role/entry.rs
@@ -17,7 +17,7 @@
 use porthoist_core::{AnchoredClock, ClockSource, IncarnationId, RingReceiver};
 use porthoist_fleet::serve_fleet;
 use porthoist_metrics::MetricsHub;
-use porthoist_policy::explain::DecisionLog;
+use porthoist_policy::decision_log::DecisionLog;
 use porthoist_policy::router::RouterSettings;
 use porthoist_table::{HostEntry, HostRole, HttpPlatform};
 use slog::{Logger, info, o};
--- a/porthoistd/src/role/proxy.rs
+++ b/porthoistd/src/role/proxy.rs
@@ -12,10 +12,10 @@
 use porthoist_metrics::MetricsHub;
 use porthoist_policy::proxy::balancer::BalancerSettings;
 use porthoist_policy::proxy::freshness::FreshnessRule;
-use porthoist_policy::proxy::loads::GroupLoads;
-use porthoist_policy::proxy::notes::TargetNote;
+use porthoist_policy::proxy::group_loads::GroupLoads;
+use porthoist_policy::proxy::limit_notes::TargetNote;
 use porthoist_policy::proxy::retry_share::RetryShareSettings;
-use porthoist_policy::proxy::turns::EntryPosition;
+use porthoist_policy::proxy::send_turns::EntryPosition;
 use porthoist_proxy::{
     ControlState, ControlWatch, CrashChange, CrashSnapshot, CrashWatch, CrashWriter, PeerRowSource,
     ProxyHandler, ProxyHandlerSettings, ProxyServer, RequestDispatcher, RequestQuarantine, RowSource,
--- a/porthoistd/src/role/target.rs
+++ b/porthoistd/src/role/target.rs
@@ -16,7 +16,7 @@
 use porthoist_group::{HttpGroupEngine, RankDriver};
 use porthoist_metrics::MetricsHub;
 use porthoist_policy::admission::AdmissionSettings;
-use porthoist_policy::explain::DecisionLog;
+use porthoist_policy::decision_log::DecisionLog;
 use porthoist_policy::placement::map::RankId;
 use porthoist_table::{HostEntry, HostRole, HttpPlatform};
 use porthoist_target::{HttpRunner, OffersActor, OffersSettings};
--- a/porthoistd/tests/rank.rs
+++ b/porthoistd/tests/rank.rs
@@ -7,7 +7,7 @@
 use porthoist_http::CallError;
 use porthoist_metrics::MetricsHub;
 use porthoist_policy::placement::equal_shares::EqualShareMap;
-use porthoist_policy::proxy::cold::ColdStatus;
+use porthoist_policy::proxy::cold_start::ColdStatus;
 use porthoist_policy::proxy::routes::{CallerLimits, ConfigVersion, EngineModel, RouteTable, ServiceSpec};
 use porthoist_policy::proxy::targets::{TargetChange, TargetRecord, TargetState};
 use porthoist_policy::roll_forward::{EngineOrder, GroupEpoch, OrderSequence, RankPace, RankState, RankView};
