--- a/crates/porthoist-fleet/src/rank/server.rs
+++ b/crates/porthoist-fleet/src/rank/server.rs
@@ -74,7 +74,7 @@
         let now = self.clock.as_ref()?.now();
         let mut notes = self.notes.borrow_mut();
         for note in report.notes {
-            notes.take(note.to_local(now));
+            notes.insert(note.to_local(now));
         }
         self.entries.borrow_mut().record_query(report.entry, now)
     }
--- a/crates/porthoist-group/src/controller.rs
+++ b/crates/porthoist-group/src/controller.rs
@@ -393,9 +393,11 @@
         if self.shifting && current.version != MapVersion(0) {
             return;
         }
-        let wanted = self.shape.bounds.new_a_rank;
-        let bounds =
-            EqualShareBounds { new_a_rank: self.copy_times.copies_per_rank(wanted), ..self.shape.bounds };
+        let wanted = self.shape.bounds.max_new_per_rank;
+        let bounds = EqualShareBounds {
+            max_new_per_rank: self.copy_times.copies_per_rank(wanted),
+            ..self.shape.bounds
+        };
         let plan = improve(&current.map, self.demand.demand(), &self.paces, &bounds);
         let copies =
             (0..views.len()).map(|rank| plan.map.new_experts(&current.map, rank)).max().unwrap_or_default();
--- a/crates/porthoist-group/tests/held.rs
+++ b/crates/porthoist-group/tests/held.rs
@@ -288,7 +288,8 @@
 }
 
 fn shape() -> GroupShape {
-    let bounds = EqualShareBounds { places: PLACES, spare: 2, new_a_rank: 3, move_price: 0.01 };
+    let bounds =
+        EqualShareBounds { max_experts: PLACES, max_new_experts: 2, max_new_per_rank: 3, move_price: 0.01 };
     GroupShape { sets: 1, experts: EXPERTS, bounds }
 }
 
--- a/crates/porthoist-group/tests/silence.rs
+++ b/crates/porthoist-group/tests/silence.rs
@@ -80,7 +80,8 @@
         .iter()
         .map(|connection| -> Rc<dyn RankControl> { Rc::<RankConnection>::clone(connection) });
     let group = DirectGroup::new(group.collect());
-    let bounds = EqualShareBounds { places: 4, spare: 2, new_a_rank: 3, move_price: 0.01 };
+    let bounds =
+        EqualShareBounds { max_experts: 4, max_new_experts: 2, max_new_per_rank: 3, move_price: 0.01 };
     let shape = GroupShape { sets: 1, experts: 12, bounds };
     let mut controller = ExpertMapController::new(shape, Logger::root(Discard, o!()));
     assert_eq!(controller.run_load_round(&group, MapVersion(1)).await, RoundOutcome::Idle);
--- a/crates/porthoist-lab/src/capacity.rs
+++ b/crates/porthoist-lab/src/capacity.rs
@@ -386,13 +386,18 @@
 /// One plan after half of the demand went to other experts, with two copies a rank.
 fn even_maps() -> Vec<CapacitySlope> {
     let timed = |(ranks, name): (usize, &'static str)| {
-        let places = SET_EXPERTS.div_ceil(ranks) + 1;
+        let max_experts = SET_EXPERTS.div_ceil(ranks) + 1;
         let held = |rank: usize| {
-            (0..places).map(|place| ExpertId(((place * ranks + rank) % SET_EXPERTS) as u16)).collect()
+            (0..max_experts).map(|place| ExpertId(((place * ranks + rank) % SET_EXPERTS) as u16)).collect()
         };
         let map = EqualShareMap::new(vec![(0..ranks).map(held).collect(); SETS]);
         let demand: Vec<Vec<f64>> = (0..SETS).map(shifted_demand).collect();
-        let bounds = EqualShareBounds { places, spare: 2, new_a_rank: 2, move_price: 0.6 / ranks as f64 };
+        let bounds = EqualShareBounds {
+            max_experts,
+            max_new_experts: 2,
+            max_new_per_rank: 2,
+            move_price: 0.6 / ranks as f64,
+        };
         let micros = micros_each(5, |_round| {
             black_box(improve(&map, &demand, &[], &bounds));
         });
--- a/crates/porthoist-lab/src/overload/groups/entry.rs
+++ b/crates/porthoist-lab/src/overload/groups/entry.rs
@@ -118,7 +118,7 @@
         let tried = self.tried.remove(&caller).unwrap_or_default();
         let turn = if tried.is_empty() { QueueClass::First } else { QueueClass::Resent };
         if tried.is_empty() {
-            self.share.first(now);
+            self.share.record_first_send(now);
         }
         let demand = SlotRequest {
             service: self.service.clone(),
@@ -182,7 +182,7 @@
                 deadline: deadline(played.arrival()),
             };
             let cause = self.desk.move_cause(&self.records[send.place], &waiting, now);
-            if cause.is_some() && self.share.take_optional(now) {
+            if cause.is_some() && self.share.try_take_optional(now) {
                 moving.push(*caller);
             }
         }
--- a/crates/porthoist-policy/src/placement/equal_shares.rs
+++ b/crates/porthoist-policy/src/placement/equal_shares.rs
@@ -105,11 +105,11 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EqualShareBounds {
     /// Maximum number of experts per set that a rank holds.
-    pub places: usize,
+    pub max_experts: usize,
     /// Maximum number of new experts per set and rank.
-    pub spare: usize,
+    pub max_new_experts: usize,
     /// Maximum number of new experts per rank in all sets together. A rank copies them one after the other.
-    pub new_a_rank: usize,
+    pub max_new_per_rank: usize,
     /// Minimum gain of a move that needs a copy, as a fraction of the mean load.
     pub move_price: f64,
 }
@@ -283,12 +283,12 @@
             return false;
         }
         // A replica that the rank holds in the map in force needs no copy.
-        self.original[rank].contains(&expert) || (self.new[rank] < bounds.spare && room[rank])
+        self.original[rank].contains(&expert) || (self.new[rank] < bounds.max_new_experts && room[rank])
     }
 
     /// Returns the replicas that may be evicted to make room: those of experts with other replicas, cheapest first.
     fn evictions(&self, rank: usize, expert: ExpertId, bounds: &EqualShareBounds) -> Vec<Option<ExpertId>> {
-        if self.ranks[rank].len() < bounds.places {
+        if self.ranks[rank].len() < bounds.max_experts {
             return vec![None];
         }
         let spare = |held: &ExpertId| self.copies(*held) > 1 && *held != expert;
@@ -400,13 +400,13 @@
     let paces: Vec<f64> = (0..ranks).map(factor).collect();
     let mut plans: Vec<SetPlan<'_>> =
         map.sets.iter().zip(demand).map(|(ranks, demand)| SetPlan::new(ranks, demand, &paces)).collect();
-    let mut room = vec![bounds.new_a_rank > 0; ranks];
+    let mut room = vec![bounds.max_new_per_rank > 0; ranks];
     let mut candidates: Vec<Option<ReplicaMove>> =
         plans.iter().map(|plan| plan.best_move(bounds, &room)).collect();
     while let Some((set, chosen)) = best_candidate(&candidates, bounds.move_price) {
         plans[set].apply(chosen);
         let new: usize = plans.iter().map(|plan| plan.new[chosen.rank]).sum();
-        let open = new < bounds.new_a_rank;
+        let open = new < bounds.max_new_per_rank;
         if room[chosen.rank] == open {
             candidates[set] = plans[set].best_move(bounds, &room);
             continue;
--- a/crates/porthoist-policy/src/proxy/balancer.rs
+++ b/crates/porthoist-policy/src/proxy/balancer.rs
@@ -255,10 +255,10 @@
         let mut running: Vec<Option<u32>> = vec![None; self.groups.len()];
         for load in loads() {
             let Some(group) = load.group else { continue };
-            *running[group.place()].get_or_insert(0) += load.in_flight;
+            *running[group.as_usize()].get_or_insert(0) += load.in_flight;
         }
         let status = |(index, running): (usize, &Option<u32>)| {
-            running.map(|running| self.groups.status(GroupIndex::at(index), running, now))
+            running.map(|running| self.groups.status(GroupIndex::new(index), running, now))
         };
         let groups = ServiceGroups::new(running.iter().enumerate().map(status).collect());
         let (mut occupied, mut slots) = (0, 0);
@@ -279,7 +279,7 @@
     /// The groups that stalled or recovered since the last call.
     pub fn group_changes(&mut self, service: &ServiceName, now: UnixMillis) -> Vec<GroupSnapshot> {
         let groups = self.service_groups(service, now);
-        let known = (0..self.groups.len()).map(GroupIndex::at);
+        let known = (0..self.groups.len()).map(GroupIndex::new);
         let known: Vec<GroupSnapshot> =
             known.filter_map(|index| Some(GroupSnapshot { index, status: groups.status(index)? })).collect();
         let changed =
--- a/crates/porthoist-policy/src/proxy/entry_positions.rs
+++ b/crates/porthoist-policy/src/proxy/entry_positions.rs
@@ -66,7 +66,7 @@
     }
 
     /// The position, or `None` until one is known.
-    pub fn place(&self) -> Option<EntryPosition> {
+    pub fn position(&self) -> Option<EntryPosition> {
         self.position
     }
 }
--- a/crates/porthoist-policy/src/proxy/groups.rs
+++ b/crates/porthoist-policy/src/proxy/groups.rs
@@ -41,12 +41,12 @@
 
 impl GroupIndex {
     /// The group with this index.
-    pub fn at(index: usize) -> Self {
+    pub fn new(index: usize) -> Self {
         Self(index)
     }
 
     /// The index as a number.
-    pub fn place(self) -> usize {
+    pub fn as_usize(self) -> usize {
         self.0
     }
 }
--- a/crates/porthoist-policy/src/proxy/limit_notes.rs
+++ b/crates/porthoist-policy/src/proxy/limit_notes.rs
@@ -59,7 +59,7 @@
 
 impl NoteStore {
     /// Stores a note unless a newer one is known.
-    pub fn take(&mut self, note: TargetNote) {
+    pub fn insert(&mut self, note: TargetNote) {
         let newer = self.notes.get(&note.life).is_none_or(|known| known.as_of < note.as_of);
         if newer {
             self.notes.insert(note.life.clone(), note);
--- a/crates/porthoist-policy/src/proxy/retry_share.rs
+++ b/crates/porthoist-policy/src/proxy/retry_share.rs
@@ -42,23 +42,23 @@
     }
 
     /// Records the first send of a request.
-    pub fn first(&mut self, now: UnixMillis) {
+    pub fn record_first_send(&mut self, now: UnixMillis) {
         self.drop_expired(now);
         self.firsts.push_back(now);
     }
 
     /// Takes one retry from the share; `false` if it is used up.
-    pub fn take(&mut self, now: UnixMillis) -> bool {
-        self.take_fraction(1.0, now)
+    pub fn try_take(&mut self, now: UnixMillis) -> bool {
+        self.try_take_fraction(1.0, now)
     }
 
     /// Takes one retry for a request that would succeed without it; `false` if only the reserve for
     /// failed requests is left.
-    pub fn take_optional(&mut self, now: UnixMillis) -> bool {
-        self.take_fraction(OPTIONAL_FRACTION, now)
+    pub fn try_take_optional(&mut self, now: UnixMillis) -> bool {
+        self.try_take_fraction(OPTIONAL_FRACTION, now)
     }
 
-    fn take_fraction(&mut self, fraction: f64, now: UnixMillis) -> bool {
+    fn try_take_fraction(&mut self, fraction: f64, now: UnixMillis) -> bool {
         self.drop_expired(now);
         let allowed = fraction * (self.settings.ratio * self.firsts.len() as f64 + self.settings.slack);
         if self.retries.len() as f64 + 1.0 > allowed {
--- a/crates/porthoist-policy/src/proxy/routes.rs
+++ b/crates/porthoist-policy/src/proxy/routes.rs
@@ -119,9 +119,9 @@
     /// Experts in each set.
     pub experts: usize,
     /// Maximum number of experts of a set at one rank.
-    pub places: usize,
+    pub max_experts: usize,
     /// Maximum number of experts of a set that may be new to a rank in one map.
-    pub spare: usize,
+    pub max_new_experts: usize,
     /// Fraction of a step's token work that is done by experts.
     pub expert_share: f64,
 }
--- a/crates/porthoist-policy/src/proxy/service_groups.rs
+++ b/crates/porthoist-policy/src/proxy/service_groups.rs
@@ -39,12 +39,12 @@
 
     /// State of a group.
     pub fn status(&self, group: GroupIndex) -> Option<GroupStatus> {
-        self.groups.get(group.place()).copied().flatten()
+        self.groups.get(group.as_usize()).copied().flatten()
     }
 
     /// Pass time in milliseconds of the best group that is not stalled, other than this one.
     pub fn best_other_millis(&self, group: GroupIndex) -> Option<f64> {
-        let others = self.groups.iter().enumerate().filter(|(index, _status)| *index != group.place());
+        let others = self.groups.iter().enumerate().filter(|(index, _status)| *index != group.as_usize());
         let usable = others.filter_map(|(_index, status)| *status).filter(|status| !status.stalled);
         usable.map(|status| status.millis).min_by(f64::total_cmp)
     }
--- a/crates/porthoist-policy/src/proxy/zones.rs
+++ b/crates/porthoist-policy/src/proxy/zones.rs
@@ -53,7 +53,7 @@
 
 impl EmptiedZones {
     /// Applies an update; returns the changes that took effect.
-    pub fn take(&mut self, update: ZoneUpdate, now: UnixMillis) -> Vec<ZoneChange> {
+    pub fn apply_update(&mut self, update: ZoneUpdate, now: UnixMillis) -> Vec<ZoneChange> {
         let mut keep_unconfirmed = std::mem::take(&mut self.awaiting_backup_rows);
         let changes = match update {
             ZoneUpdate::Changed(changes) => changes,
@@ -66,7 +66,7 @@
     }
 
     /// Records that the table service was restored from a backup. Starts the grace period of all emptied
-    /// zones. The update in the next call of [`Self::take`] is taken to be from the backup.
+    /// zones. The update in the next call of [`Self::apply_update`] is taken to be from the backup.
     pub fn restored(&mut self, now: UnixMillis) {
         let deadline = UnixDeadline::after(now, UNCONFIRMED_GRACE_MILLIS);
         self.unconfirmed = self.since.keys().map(|zone| (zone.clone(), deadline)).collect();
--- a/crates/porthoist-policy/tests/policy/cold.rs
+++ b/crates/porthoist-policy/tests/policy/cold.rs
@@ -93,7 +93,7 @@
     }
 
     fn zones(&mut self, update: ZoneUpdate, at: u64) {
-        self.zones.take(update, UnixMillis(at));
+        self.zones.apply_update(update, UnixMillis(at));
         self.scheduler.set_emptied(&self.zones, UnixMillis(at));
     }
 
@@ -162,9 +162,9 @@
     let emptied = ZoneChange::Emptied(zone("a"));
     let restored = ZoneChange::Restored(zone("a"));
     let all = vec![emptied.clone(), emptied.clone(), restored.clone(), restored.clone(), emptied.clone()];
-    let effective = zones.take(ZoneUpdate::Changed(all), UnixMillis(1));
+    let effective = zones.apply_update(ZoneUpdate::Changed(all), UnixMillis(1));
     assert_eq!(effective, [emptied.clone(), restored.clone(), emptied]);
-    assert_eq!(zones.take(ZoneUpdate::Listed(Vec::new()), UnixMillis(2)), [restored]);
+    assert_eq!(zones.apply_update(ZoneUpdate::Listed(Vec::new()), UnixMillis(2)), [restored]);
     assert!(ZoneUpdate::default().is_empty());
     assert!(!ZoneUpdate::Listed(Vec::new()).is_empty(), "a listing may restore zones");
 }
--- a/crates/porthoist-policy/tests/policy/domains.rs
+++ b/crates/porthoist-policy/tests/policy/domains.rs
@@ -183,7 +183,7 @@
         (0..GROUPS).for_each(|group| balancer.update_loads(&loads(group, 4, USUAL), UnixMillis(at)));
         balancer.update_loads(&loads(1, 4, pass), UnixMillis(at));
         let changes = balancer.group_changes(&service(), UnixMillis(at));
-        changes.iter().map(|group| (group.index.place(), group.status.stalled)).collect::<Vec<_>>()
+        changes.iter().map(|group| (group.index.as_usize(), group.status.stalled)).collect::<Vec<_>>()
     };
     assert_eq!(changes(USUAL, 20), []);
     assert_eq!(changes(GroupPass::Broken, 30), [(1, true)]);
--- a/crates/porthoist-policy/tests/policy/equal_shares.rs
+++ b/crates/porthoist-policy/tests/policy/equal_shares.rs
@@ -7,17 +7,18 @@
 
 const RANKS: usize = 6;
 const EXPERTS: usize = 18;
-const PLACES: usize = 4;
+const MAX_EXPERTS: usize = 4;
 
 /// Assigns the experts to ranks in turn; each rank lists its first expert again in its last place.
 fn first_map(sets: usize) -> EqualShareMap {
-    let held =
-        |rank: usize| (0..PLACES).map(|place| ExpertId(((place * RANKS + rank) % EXPERTS) as u16)).collect();
+    let held = |rank: usize| {
+        (0..MAX_EXPERTS).map(|place| ExpertId(((place * RANKS + rank) % EXPERTS) as u16)).collect()
+    };
     EqualShareMap::new(vec![(0..RANKS).map(held).collect(); sets])
 }
 
-fn bounds(spare: usize, new_a_rank: usize) -> EqualShareBounds {
-    EqualShareBounds { places: PLACES, spare, new_a_rank, move_price: 0.005 }
+fn bounds(max_new_experts: usize, max_new_per_rank: usize) -> EqualShareBounds {
+    EqualShareBounds { max_experts: MAX_EXPERTS, max_new_experts, max_new_per_rank, move_price: 0.005 }
 }
 
 /// A demand that is much higher for some experts.
@@ -72,13 +73,13 @@
     #[test]
     fn a_plan_keeps_every_expert_and_every_bound(
         weights in prop::collection::vec(0.0_f64..1.0, EXPERTS),
-        spare in 0_usize..3,
-        new_a_rank in 0_usize..5,
+        max_new_experts in 0_usize..3,
+        max_new_per_rank in 0_usize..5,
     ) {
         let total = weights.iter().sum::<f64>().max(1e-9);
         let demand = vec![weights.iter().map(|weight| weight / total).collect::<Vec<f64>>(); 2];
         let first = first_map(2);
-        let plan = improve(&first, &demand, &[], &bounds(spare, new_a_rank));
+        let plan = improve(&first, &demand, &[], &bounds(max_new_experts, max_new_per_rank));
         prop_assert!(plan.skew_after <= plan.skew_before + 1e-9);
         for (set, ranks) in plan.map.sets().iter().enumerate() {
             for expert in 0..EXPERTS {
@@ -86,11 +87,11 @@
             }
             for (rank, held) in ranks.iter().enumerate() {
                 let new = held.iter().filter(|expert| !first.sets()[set][rank].contains(expert)).count();
-                prop_assert!(held.len() <= PLACES && new <= spare);
+                prop_assert!(held.len() <= MAX_EXPERTS && new <= max_new_experts);
             }
         }
         for rank in 0..RANKS {
-            prop_assert!(plan.map.new_experts(&first, rank) <= new_a_rank);
+            prop_assert!(plan.map.new_experts(&first, rank) <= max_new_per_rank);
         }
     }
 }
--- a/crates/porthoist-policy/tests/policy/needs.rs
+++ b/crates/porthoist-policy/tests/policy/needs.rs
@@ -164,9 +164,9 @@
 #[test]
 fn a_note_keeps_its_age_on_hosts_with_other_clocks_and_is_told_for_a_while() {
     let mut store = NoteStore::default();
-    store.take(note(Some(1.0), 100_000).aged(UnixMillis(100_400)).to_local(UnixMillis(7_400)));
+    store.insert(note(Some(1.0), 100_000).aged(UnixMillis(100_400)).to_local(UnixMillis(7_400)));
     assert_eq!(store.current(UnixMillis(7_500)), [note(Some(1.0), 7_000)]);
-    store.take(note(None, 6_000));
+    store.insert(note(None, 6_000));
     assert_eq!(store.current(UnixMillis(8_000)), [note(Some(1.0), 7_000)], "an older note changes nothing");
     assert_eq!(store.current(UnixMillis(15_000)), []);
 }
@@ -404,7 +404,7 @@
     let mut tracker = PositionTracker::default();
     let mut told = |place, at| {
         tracker.update(place, UnixMillis(at));
-        tracker.place()
+        tracker.position()
     };
     assert_eq!(told(None, 1_000), None);
     assert_eq!(told(Some(position(1, 14)), 2_000), Some(position(1, 14)));
--- a/crates/porthoist-policy/tests/policy/needy_fleet.rs
+++ b/crates/porthoist-policy/tests/policy/needy_fleet.rs
@@ -274,7 +274,7 @@
         let (now, zone_now) = (self.clock(entry, at), UnixMillis(at + 77));
         let zone = entry % self.settings.zones;
         for note in self.entries[entry].notes.current(now) {
-            self.zones[zone].take(note.aged(now).to_local(zone_now));
+            self.zones[zone].insert(note.aged(now).to_local(zone_now));
         }
         for note in self.zones[zone].current(zone_now) {
             self.entries[entry].scheduler.apply_note(&note.aged(zone_now).to_local(now), now);
@@ -369,7 +369,7 @@
         let limit = named.map(|need| RequestRate(need.limit));
         if limit.is_some() || lifted {
             let as_of = if lifted { clock_sent } else { now };
-            played.notes.take(TargetNote { life: target_life.clone(), limit, as_of });
+            played.notes.insert(TargetNote { life: target_life.clone(), limit, as_of });
         }
         let outcome = SendOutcome::Answered((at - sent) as f64);
         played.scheduler.ended(&self.service, &target_life, RequestWork::default(), outcome, at - sent, now);
--- a/crates/porthoist-policy/tests/policy/proxy.rs
+++ b/crates/porthoist-policy/tests/policy/proxy.rs
@@ -112,13 +112,13 @@
 fn repeats_stay_within_the_share_of_a_sliding_window() {
     let mut share = RetryShare::new(RetryShareSettings { ratio: 0.1, slack: 1.0, window_millis: 1_000 });
     for millis in 0..20 {
-        share.first(UnixMillis(millis));
+        share.record_first_send(UnixMillis(millis));
     }
-    let taken = (0..10).filter(|_repeat| share.take(UnixMillis(20))).count();
+    let taken = (0..10).filter(|_repeat| share.try_take(UnixMillis(20))).count();
     assert_eq!(taken, 3);
     // Sends and retries that are older than the window no longer count.
-    assert!(share.take(UnixMillis(1_500)));
-    assert!(!share.take(UnixMillis(1_501)));
+    assert!(share.try_take(UnixMillis(1_500)));
+    assert!(!share.try_take(UnixMillis(1_501)));
 }
 
 fn life(id: &str) -> TargetLife {
--- a/crates/porthoist-proxy/src/control.rs
+++ b/crates/porthoist-proxy/src/control.rs
@@ -296,7 +296,7 @@
     }
 
     fn apply_zones(&self, state: &mut ControlState, update: ZoneUpdate) {
-        let changes = state.emptied.take(update, self.clock.now());
+        let changes = state.emptied.apply_update(update, self.clock.now());
         self.report_zone_changes(&changes);
     }
 
--- a/crates/porthoist-proxy/src/handler.rs
+++ b/crates/porthoist-proxy/src/handler.rs
@@ -219,7 +219,7 @@
         self.next_stall_check.set(UnixDeadline::after(now, STALL_CHECK_MILLIS));
         self.log_cold_targets();
         for GroupSnapshot { index, status } in self.dispatcher.group_changes() {
-            let (group, standing, pass) = (index.place(), status.stalled, status.millis);
+            let (group, standing, pass) = (index.as_usize(), status.stalled, status.millis);
             info!(self.logger, "group stalled or resumed"; "event" => "group_pace", "group" => group,
                 "standing" => standing, "pass_ms" => pass);
         }
--- a/crates/porthoist-proxy/src/handler/backpressure.rs
+++ b/crates/porthoist-proxy/src/handler/backpressure.rs
@@ -28,7 +28,7 @@
     }
 
     fn publish(&mut self, note: TargetNote, changed: bool, now: UnixMillis) {
-        self.store.take(note);
+        self.store.insert(note);
         if changed || self.next.passed(now) {
             self.next = UnixDeadline::after(now, NOTE_MILLIS);
             self.published.send_replace(self.store.current(now));
--- a/crates/porthoist-proxy/src/handler/moving.rs
+++ b/crates/porthoist-proxy/src/handler/moving.rs
@@ -44,8 +44,8 @@
             let now = self.clock.now();
             let allowed = self.with_retry_share(&admitted.service, |share| match cause {
                 // A stalled host would run the requests that it holds after their callers have left.
-                MoveCause::TargetSilent => share.take(now),
-                MoveCause::GroupStalled | MoveCause::GroupSlow => share.take_optional(now),
+                MoveCause::TargetSilent => share.try_take(now),
+                MoveCause::GroupStalled | MoveCause::GroupSlow => share.try_take_optional(now),
             });
             if allowed {
                 return cause;
--- a/crates/porthoist-proxy/src/handler/retries.rs
+++ b/crates/porthoist-proxy/src/handler/retries.rs
@@ -17,7 +17,7 @@
         let now = self.clock.now();
         attempts < admitted.rule.max_attempts
             && in_time
-            && self.with_retry_share(&admitted.service, |share| share.take(now))
+            && self.with_retry_share(&admitted.service, |share| share.try_take(now))
     }
 
     pub(super) fn record_retry(&self, admitted: &AdmittedRequest, failure: &SendFailure) {
--- a/crates/porthoist-proxy/src/handler/sending.rs
+++ b/crates/porthoist-proxy/src/handler/sending.rs
@@ -27,7 +27,7 @@
         let began = self.clock.now();
         let request = self.build_request(admitted, slot, after_event, began);
         if record.tried.is_empty() {
-            self.with_retry_share(&admitted.service, |share| share.first(began));
+            self.with_retry_share(&admitted.service, |share| share.record_first_send(began));
         }
         record.tried.push(slot.record.id.clone());
         let sent = async {
--- a/crates/porthoist-proxy/src/handler/slots.rs
+++ b/crates/porthoist-proxy/src/handler/slots.rs
@@ -39,7 +39,7 @@
             Ok(slot) => {
                 info!(self.logger, "placed"; "event" => "placed", "request" => &*admitted.facts.attempt,
                     "target" => slot.record.id.to_string(), "zone" => slot.record.zone.to_string(),
-                    "group" => slot.group.map(|group| group.index.place()),
+                    "group" => slot.group.map(|group| group.index.as_usize()),
                     "pass_ms" => slot.group.map(|group| group.status.millis), "in_flight" => slot.in_flight,
                     "reported" => slot.report.map(|report| report.requests),
                     "report_age_ms" => slot.report.map(|report| report.age_millis), "waited_ms" => waited,
--- a/porthoistd/src/duty/rank.rs
+++ b/porthoistd/src/duty/rank.rs
@@ -379,9 +379,9 @@
         let service = self.own_service(&state)?;
         let engine = state.routes.as_ref()?.services.get(&service)?.engine.as_ref()?;
         let bounds = EqualShareBounds {
-            places: engine.places,
-            spare: engine.spare,
-            new_a_rank: self.settings.new_a_rank,
+            max_experts: engine.max_experts,
+            max_new_experts: engine.max_new_experts,
+            max_new_per_rank: self.settings.new_a_rank,
             move_price: self.settings.move_price / ranks.max(1) as f64,
         };
         self.step_requests = engine.step_millis / engine.request_millis.max(f64::MIN_POSITIVE);
--- a/porthoistd/src/duty/zone_peers.rs
+++ b/porthoistd/src/duty/zone_peers.rs
@@ -95,7 +95,7 @@
     fn apply_position(&self, position: Option<EntryPosition>) {
         let mut tracker = self.tracker.get();
         if tracker.update(position, self.clock.now()) {
-            self.position.send_replace(tracker.place());
+            self.position.send_replace(tracker.position());
         }
         self.tracker.set(tracker);
     }
--- a/porthoistd/tests/loads.rs
+++ b/porthoistd/tests/loads.rs
@@ -69,8 +69,8 @@
         read_tokens_per_milli: 1.0,
         sets: 1,
         experts: 4,
-        places: 3,
-        spare: 1,
+        max_experts: 3,
+        max_new_experts: 1,
         expert_share: 0.5,
     };
     let limits = CallerLimits { header_bytes: 1, body_bytes: 1, idle_millis: 1 };
