--- a/crates/porthoist-policy/src/proxy/quarantine.rs
+++ b/crates/porthoist-policy/src/proxy/quarantine.rs
@@ -18,7 +18,7 @@
 //! The decision depends only on the set of known deaths, not on the order in which the process learned
 //! of them.
 
-use crate::proxy::trusted::TrustedMarks;
+use crate::proxy::trusted_marks::TrustedMarks;
 use porthoist_core::{RequestMark, UnixDeadline, UnixMillis};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap, HashSet};
