--- a/crates/porthoist-policy/src/proxy/backpressure.rs
+++ b/crates/porthoist-policy/src/proxy/backpressure.rs
@@ -125,8 +125,10 @@
     /// never write another.
     leaving: bool,
     /// When it began to accept requests again.
-    returned: Option<UnixMillis>,
+    reopened: Option<UnixMillis>,
+    /// Whether its last answer contained an unreadable signal.
     unreadable: bool,
+    /// When a change may be logged again.
     next_log: UnixDeadline,
 }
 
@@ -151,18 +153,18 @@
             self.apply_leaving(signals),
             self.check_readable(signals),
         ];
-        changes.into_iter().flatten().map(|change| self.observed(change, now)).collect()
+        changes.into_iter().flatten().map(|change| self.observe(change, now)).collect()
     }
 
     /// Applies a limit that another process heard from the target.
     pub fn apply_note(&mut self, note: &TargetNote, now: UnixMillis) -> Option<ObservedChange> {
         let change = match note.limit {
-            Some(rate) if note.as_of > self.last_answer => self.limited(rate, note.as_of),
+            Some(rate) if note.as_of > self.last_answer => self.record_limit(rate, note.as_of),
             Some(_older) => None,
-            None => self.lifted(note.as_of, NOTE_TRANSIT_MILLIS, now),
+            None => self.record_no_limit(note.as_of, NOTE_TRANSIT_MILLIS, now),
         };
         self.last_answer = self.last_answer.max(note.as_of);
-        change.map(|change| self.observed(change, now))
+        change.map(|change| self.observe(change, now))
     }
 
     /// The end of the current rest period, if any.
@@ -171,7 +173,7 @@
     }
 
     /// Whether it must get no requests now, whatever its row says.
-    pub fn closed(&self, now: UnixMillis) -> bool {
+    pub fn is_closed(&self, now: UnixMillis) -> bool {
         self.leaving || self.rest(now).is_some()
     }
 
@@ -202,18 +204,19 @@
 
     /// Records that its zone gets requests again. It may have become cold meanwhile, and all entries
     /// return to it together.
-    pub(super) fn restored(&mut self, now: UnixMillis) {
+    pub(super) fn zone_restored(&mut self, now: UnixMillis) {
         self.cold.record_start(now);
-        self.returned = Some(now);
+        self.reopened = Some(now);
     }
 
     /// Its rate limit for all processes together, if it has one.
     pub fn rate(&self, now: UnixMillis) -> Option<TargetRate> {
-        let named = self.limit.map(|limit| TargetRate { rate: limit.rate, source: RateSource::Announced });
+        let announced =
+            self.limit.map(|limit| TargetRate { rate: limit.rate, source: RateSource::Announced });
         let cold = self.cold.rate(now).map(|rate| TargetRate { rate, source: RateSource::Cold });
-        match (named, cold) {
-            (Some(named), Some(cold)) if cold.rate < named.rate => Some(cold),
-            (named, cold) => named.or(cold),
+        match (announced, cold) {
+            (Some(announced), Some(cold)) if cold.rate < announced.rate => Some(cold),
+            (announced, cold) => announced.or(cold),
         }
     }
 
@@ -229,10 +232,10 @@
 
     /// Fraction of the return time that is left: 1 right after the end of a limit or a rest period, 0
     /// once it accepts as much as others again.
-    pub fn returning(&self, now: UnixMillis) -> f64 {
+    pub fn return_fraction_left(&self, now: UnixMillis) -> f64 {
         let rested = self.rest_until.filter(|until| until.passed(now)).map(|until| until.0);
-        let Some(returned) = self.returned.max(rested) else { return 0.0 };
-        let left = RETURN_MILLIS.saturating_sub(now.since(returned));
+        let Some(reopened) = self.reopened.max(rested) else { return 0.0 };
+        let left = RETURN_MILLIS.saturating_sub(now.since(reopened));
         left as f64 / RETURN_MILLIS as f64
     }
 
@@ -243,13 +246,13 @@
         now: UnixMillis,
     ) -> Option<BackpressureChange> {
         match signals.limit {
-            SignalValue::Present(rate) => self.limited(rate, now),
-            SignalValue::Absent if signals.matches_request => self.lifted(sent, 0, now),
+            SignalValue::Present(rate) => self.record_limit(rate, now),
+            SignalValue::Absent if signals.matches_request => self.record_no_limit(sent, 0, now),
             SignalValue::Absent | SignalValue::Unreadable => None,
         }
     }
 
-    fn limited(&mut self, rate: RequestRate, announced: UnixMillis) -> Option<BackpressureChange> {
+    fn record_limit(&mut self, rate: RequestRate, announced: UnixMillis) -> Option<BackpressureChange> {
         let since = self.limit.map_or(announced, |limit| limit.since);
         let known = self.limit.replace(AnnouncedLimit { rate, since, announced });
         (known.map(|limit| limit.rate) != Some(rate)).then_some(BackpressureChange::Limited(rate))
@@ -258,7 +261,7 @@
     /// Records an answer without a limit to a request that was sent at `sent`. If that was before the
     /// limit was last announced, the answer may be older than the limit and have been delayed, and
     /// changes nothing.
-    fn lifted(
+    fn record_no_limit(
         &mut self,
         sent: UnixMillis,
         margin_millis: u64,
@@ -266,7 +269,7 @@
     ) -> Option<BackpressureChange> {
         let known = self.limit.filter(|limit| sent >= limit.announced.plus(margin_millis))?;
         self.limit = None;
-        self.returned = Some(now);
+        self.reopened = Some(now);
         Some(BackpressureChange::Lifted(now.since(known.since)))
     }
 
@@ -278,9 +281,9 @@
     ) -> Option<BackpressureChange> {
         let known = self.rest(now);
         let SignalValue::Present(millis) = signals.rest_millis else {
-            let over = self.rest_until.is_some() && known.is_none() && signals.matches_request;
-            let ended = over.then(|| self.rest_until.take()).flatten()?;
-            self.returned = self.returned.max(Some(ended.0));
+            let rest_over = self.rest_until.is_some() && known.is_none() && signals.matches_request;
+            let end = rest_over.then(|| self.rest_until.take()).flatten()?;
+            self.reopened = self.reopened.max(Some(end.0));
             return Some(BackpressureChange::Rested);
         };
         let jitter_millis = millis as f64 * REST_JITTER * jitter;
@@ -303,7 +306,7 @@
         (unreadable && !before).then_some(BackpressureChange::Unreadable)
     }
 
-    fn observed(&mut self, change: BackpressureChange, now: UnixMillis) -> ObservedChange {
+    fn observe(&mut self, change: BackpressureChange, now: UnixMillis) -> ObservedChange {
         let logged = self.next_log.passed(now);
         if logged {
             self.next_log = UnixDeadline::after(now, LOG_MILLIS);
@@ -321,7 +324,7 @@
 
 impl DepartedBackpressure {
     /// Stores the state of a target, if it has any; replaces the oldest if necessary.
-    pub(super) fn keep(&mut self, life: TargetLife, backpressure: TargetBackpressure) {
+    pub(super) fn insert(&mut self, life: TargetLife, backpressure: TargetBackpressure) {
         if !backpressure.has_state() {
             return;
         }
@@ -332,7 +335,7 @@
     }
 
     /// Removes and returns the state of a life.
-    pub(super) fn take(&mut self, life: &TargetLife) -> TargetBackpressure {
+    pub(super) fn remove(&mut self, life: &TargetLife) -> TargetBackpressure {
         let known = self.lives.iter().position(|(known, _backpressure)| known == life);
         known
             .and_then(|index| self.lives.remove(index))
--- a/crates/porthoist-policy/src/proxy/balancer.rs
+++ b/crates/porthoist-policy/src/proxy/balancer.rs
@@ -11,7 +11,7 @@
 use super::pass_time::GroupPass;
 use super::send_turns::{EntryPosition, SenderPosition, TargetRate, UncountedEntry, assumed_entries};
 use super::service_groups::{GroupSnapshot, ServiceGroups};
-use super::target_load::{GroupView, TargetLoad};
+use super::target_load::{ServiceView, TargetLoad};
 use super::targets::{TargetLife, TargetRecord, TargetRegistry, TargetState};
 use super::zones::EmptiedZones;
 use porthoist_core::{ServiceName, TargetName, UnixMillis, ZoneName};
@@ -23,7 +23,7 @@
 mod tiers;
 
 pub use limits::LimitedSupply;
-use tiers::preferred;
+use tiers::preferred_targets;
 
 /// Weight of a new report in this process's share of all requests; some ten reports arrive each second.
 const REPORT_WEIGHT: f64 = 0.05;
@@ -121,7 +121,8 @@
     entry_position: Option<EntryPosition>,
     /// Its position among all senders, derived from the zones of all targets.
     sender: SenderPosition,
-    turn: u64,
+    /// Number of choices made, which varies the choice among equal targets.
+    choice_count: u64,
 }
 
 impl LoadBalancer {
@@ -138,7 +139,7 @@
             shares: HashMap::new(),
             cold_rules: HashMap::new(),
             emptied: EmptiedZones::default(),
-            turn: 0,
+            choice_count: 0,
         }
     }
 
@@ -149,7 +150,7 @@
             registry.records().map(|record| (record.life(), record)).collect();
         let kept = |life: &TargetLife, load: &TargetLoad| known.contains_key(life) || load.in_flight > 0;
         for (life, load) in self.loads.extract_if(.., |life, load| !kept(life, load)) {
-            self.departed.keep(life, load.backpressure);
+            self.departed.insert(life, load.backpressure);
         }
         for (life, load) in &mut self.loads {
             if let Some(record) = known.get(life) {
@@ -161,7 +162,7 @@
         }
         for (life, record) in known {
             if !self.loads.contains_key(&life) {
-                let backpressure = self.departed.take(&life);
+                let backpressure = self.departed.remove(&life);
                 let mut load = TargetLoad::new(Arc::clone(record), backpressure);
                 load.apply_row(record, self.cold_rules.get(&record.service).copied(), true);
                 load.set_emptied(self.emptied.contains(&record.zone), UnixMillis::default());
@@ -181,42 +182,43 @@
         tried: &[TargetName],
         now: UnixMillis,
     ) -> Option<ChosenTarget> {
-        let group = GroupView {
+        let view = ServiceView {
             ranked,
             own_limit: self.own_limit(service),
             assumed: if ranked { self.mean_other_requests(service, now) } else { None },
         };
-        let reported = group.assumed.is_some();
+        let reported = view.assumed.is_some();
         let median_millis = self.median_answer_millis(service);
         let groups = self.service_groups(service, now);
-        self.turn = self.turn.wrapping_add(1);
+        self.choice_count = self.choice_count.wrapping_add(1);
         let mut candidates: Vec<&mut TargetLoad> = {
             let (settings, sender) = (&self.settings, self.sender);
             let loads = self.loads.values_mut();
-            let fits = |load: &&mut TargetLoad| load.fits(settings, service, group, tried, now);
-            let open = loads.filter(fits).filter(|load| groups.is_open(load.group));
-            preferred(open, sender, tried.is_empty(), now)
+            let can_take = |load: &&mut TargetLoad| load.can_take(settings, service, view, tried, now);
+            let open = loads.filter(can_take).filter(|load| groups.is_open(load.group));
+            preferred_targets(open, sender, tried.is_empty(), now)
         };
         let costs: Vec<f64> = candidates
             .iter()
-            .map(|load| load.cost(&self.settings.zone, median_millis, group, &groups, now))
+            .map(|load| load.cost(&self.settings.zone, median_millis, view, &groups, now))
             .collect();
         let best = if reported {
-            choose_by_level(&costs, random_point(self.settings.seed, self.turn))?
+            choose_by_level(&costs, random_point(self.settings.seed, self.choice_count))?
         } else {
-            let turn = self.turn;
+            let choice = self.choice_count;
             (0..costs.len()).min_by(|left, right| {
                 let order = costs[*left].total_cmp(&costs[*right]);
-                let tie = |index: usize| tie_break(&candidates[index].record.id, turn);
+                let tie = |index: usize| tie_break(&candidates[index].record.id, choice);
                 order.then_with(|| tie(*left).cmp(&tie(*right)))
             })?
         };
-        let best = candidates.swap_remove(best);
-        let (in_flight, report) = (best.in_flight, best.report(now));
-        let rate = best.rate(now);
-        best.count_send(work, now);
-        let group = best.group.and_then(|index| Some(GroupSnapshot { index, status: groups.status(index)? }));
-        let record = Arc::clone(&best.record);
+        let chosen = candidates.swap_remove(best);
+        let (in_flight, report) = (chosen.in_flight, chosen.report(now));
+        let rate = chosen.rate(now);
+        chosen.count_send(work, now);
+        let group =
+            chosen.group.and_then(|index| Some(GroupSnapshot { index, status: groups.status(index)? }));
+        let record = Arc::clone(&chosen.record);
         if let Some(GroupSnapshot { index, .. }) = group.filter(|group| group.status.probe_due) {
             self.groups.record_probe(index, now);
         }
@@ -246,7 +248,7 @@
     /// Whether any target of the service can take requests now or once it has room.
     pub fn serves(&self, service: &ServiceName, now: UnixMillis) -> bool {
         let mut loads = self.loads.values();
-        loads.any(|load| load.record.service == *service && (load.open(now) || load.in_flight > 0))
+        loads.any(|load| load.record.service == *service && (load.is_open(now) || load.in_flight > 0))
     }
 
     /// State of a service's groups.
@@ -263,7 +265,7 @@
         let groups = ServiceGroups::new(running.iter().enumerate().map(status).collect());
         let (mut occupied, mut slots) = (0, 0);
         // Targets that apply backpressure can't absorb requests that leave other groups.
-        let usable = loads().filter(|load| load.rate(now).is_none() && !load.closed(now));
+        let usable = loads().filter(|load| load.rate(now).is_none() && !load.is_closed(now));
         for load in usable.filter(|load| load.group.is_some_and(|group| groups.is_working(group))) {
             occupied += load.requests(None, now).count;
             slots += self.settings.rank_limit.min(load.record.slots);
@@ -279,11 +281,13 @@
     /// The groups that stalled or recovered since the last call.
     pub fn group_changes(&mut self, service: &ServiceName, now: UnixMillis) -> Vec<GroupSnapshot> {
         let groups = self.service_groups(service, now);
-        let known = (0..self.groups.len()).map(GroupIndex::new);
-        let known: Vec<GroupSnapshot> =
-            known.filter_map(|index| Some(GroupSnapshot { index, status: groups.status(index)? })).collect();
-        let changed =
-            known.into_iter().filter(|group| self.groups.update_stalled(group.index, group.status.stalled));
+        let indices = (0..self.groups.len()).map(GroupIndex::new);
+        let snapshots: Vec<GroupSnapshot> = indices
+            .filter_map(|index| Some(GroupSnapshot { index, status: groups.status(index)? }))
+            .collect();
+        let changed = snapshots
+            .into_iter()
+            .filter(|group| self.groups.update_stalled(group.index, group.status.stalled));
         changed.collect()
     }
 
@@ -331,18 +335,18 @@
         if let Some(service) = service
             && own > 0
         {
-            let part = f64::from(own) / f64::from(own.max(all));
-            let share = self.shares.entry(service).or_insert(part);
-            *share += REPORT_WEIGHT * (part - *share);
+            let current_share = f64::from(own) / f64::from(own.max(all));
+            let share = self.shares.entry(service).or_insert(current_share);
+            *share += REPORT_WEIGHT * (current_share - *share);
         }
     }
 
     /// Mean of other processes' requests at the targets with a valid report, or `None` without one.
     fn mean_other_requests(&self, service: &ServiceName, now: UnixMillis) -> Option<u32> {
         let loads = self.loads.values().filter(|load| load.record.service == *service);
-        let known: Vec<u32> = loads.filter_map(|load| load.others(now)).collect();
-        let ranks = u32::try_from(known.len()).ok().filter(|ranks| *ranks > 0)?;
-        Some((known.iter().sum::<u32>() + ranks / 2) / ranks)
+        let counts: Vec<u32> = loads.filter_map(|load| load.others(now)).collect();
+        let ranks = u32::try_from(counts.len()).ok().filter(|ranks| *ranks > 0)?;
+        Some((counts.iter().sum::<u32>() + ranks / 2) / ranks)
     }
 
     /// This process's usual share of a rank's limit, used while no report is valid. With three requests
@@ -372,12 +376,12 @@
 }
 
 /// A pseudo-random number between 0 and 1 for one choice.
-fn random_point(seed: u64, turn: u64) -> f64 {
-    let hash = xxhash_rust::xxh3::xxh3_64_with_seed(&turn.to_le_bytes(), seed);
+fn random_point(seed: u64, choice: u64) -> f64 {
+    let hash = xxhash_rust::xxh3::xxh3_64_with_seed(&choice.to_le_bytes(), seed);
     hash as f64 / u64::MAX as f64
 }
 
 /// Orders equal targets differently for each choice.
-fn tie_break(id: &TargetName, turn: u64) -> u64 {
-    xxhash_rust::xxh3::xxh3_64_with_seed(id.as_str().as_bytes(), turn)
+fn tie_break(id: &TargetName, choice: u64) -> u64 {
+    xxhash_rust::xxh3::xxh3_64_with_seed(id.as_str().as_bytes(), choice)
 }
--- a/crates/porthoist-policy/src/proxy/balancer/limits.rs
+++ b/crates/porthoist-policy/src/proxy/balancer/limits.rs
@@ -45,7 +45,7 @@
         sent: UnixMillis,
         now: UnixMillis,
     ) -> Vec<ObservedChange> {
-        let jitter = random_point(self.settings.seed, self.turn);
+        let jitter = random_point(self.settings.seed, self.choice_count);
         self.loads
             .get_mut(life)
             .map_or_else(Vec::new, |load| load.backpressure.apply_signals(signals, sent, jitter, now))
@@ -69,7 +69,7 @@
     /// When the first rest period ends, if only rest periods keep a service's requests from its targets.
     pub fn rest_end(&self, service: &ServiceName, now: UnixMillis) -> Option<UnixDeadline> {
         let loads = || self.loads.values().filter(|load| load.record.service == *service);
-        let open = loads().any(|load| load.open(now));
+        let open = loads().any(|load| load.is_open(now));
         if open { None } else { loads().filter_map(|load| load.rest(now)).min() }
     }
 
@@ -93,9 +93,9 @@
     }
 
     /// Whether only emptied zones keep a service's requests from its targets.
-    pub fn emptied(&self, service: &ServiceName, now: UnixMillis) -> bool {
+    pub fn blocked_by_emptied_zones(&self, service: &ServiceName, now: UnixMillis) -> bool {
         let loads = || self.loads.values().filter(|load| load.record.service == *service);
-        !loads().any(|load| load.open(now)) && loads().any(|load| load.only_emptied(now))
+        !loads().any(|load| load.is_open(now)) && loads().any(|load| load.blocked_by_emptied_zone(now))
     }
 
     /// Number of targets that count as cold.
@@ -107,12 +107,14 @@
     /// What this process may send if all open targets of the service are rate limited, or `None`
     /// otherwise.
     pub fn limited_supply(&self, service: &ServiceName, now: UnixMillis) -> Option<LimitedSupply> {
-        let loads = || self.loads.values().filter(|load| load.record.service == *service && load.open(now));
+        let loads =
+            || self.loads.values().filter(|load| load.record.service == *service && load.is_open(now));
         let turns: Option<Vec<&SendTurns>> = loads().map(|load| load.turns(now)).collect();
         let turns = turns?;
-        let named =
+        let announced =
             loads().filter_map(|load| load.rate(now)).filter(|rate| rate.source == RateSource::Announced);
-        let source = if 2 * named.count() > turns.len() { RateSource::Announced } else { RateSource::Cold };
+        let source =
+            if 2 * announced.count() > turns.len() { RateSource::Announced } else { RateSource::Cold };
         let rate: f64 = turns.iter().filter_map(|turns| Some(1.0 / turns.millis()?)).sum();
         let next = turns.iter().filter_map(|turns| turns.next(now)).min()?;
         Some(LimitedSupply { millis: 1.0 / rate, next, source })
--- a/crates/porthoist-policy/src/proxy/cold_start.rs
+++ b/crates/porthoist-policy/src/proxy/cold_start.rs
@@ -47,9 +47,9 @@
 pub struct ColdState {
     /// The rule of its service; `None` if its targets are never cold.
     rule: Option<ColdRule>,
-    until: Option<UnixDeadline>,
+    cold_until: Option<UnixDeadline>,
     /// Whether it may have restarted and has not answered since.
-    suspected: bool,
+    restart_suspected: bool,
 }
 
 impl ColdState {
@@ -62,8 +62,8 @@
     /// just started.
     pub fn apply_row(&mut self, status: ColdStatus, first_seen: bool) {
         match status {
-            ColdStatus::Until(until) => self.until = self.until.max(Some(until)),
-            ColdStatus::Unknown if first_seen => self.suspected = true,
+            ColdStatus::Until(until) => self.cold_until = self.cold_until.max(Some(until)),
+            ColdStatus::Unknown if first_seen => self.restart_suspected = true,
             ColdStatus::Unknown | ColdStatus::Warm => {}
         }
     }
@@ -74,21 +74,21 @@
             SignalValue::Present(0) | SignalValue::Absent => {}
             SignalValue::Present(millis) => {
                 let until = UnixDeadline::after(now, millis.min(MAX_COLD_MILLIS));
-                self.until = self.until.max(Some(until));
+                self.cold_until = self.cold_until.max(Some(until));
             }
-            SignalValue::Unreadable => self.suspected = true,
+            SignalValue::Unreadable => self.restart_suspected = true,
         }
     }
 
     /// Records that it may have restarted: its connection broke, or it or its group was unreachable.
     pub fn suspect_restart(&mut self) {
-        self.suspected = true;
+        self.restart_suspected = true;
     }
 
     /// Records an answer. If the target was suspected of a restart, it is now cold for the time of a
     /// full start.
     pub fn record_answer(&mut self, now: UnixMillis) {
-        if std::mem::take(&mut self.suspected) {
+        if std::mem::take(&mut self.restart_suspected) {
             self.record_start(now);
         }
     }
@@ -97,17 +97,17 @@
     pub fn record_start(&mut self, now: UnixMillis) {
         let Some(rule) = self.rule else { return };
         let until = UnixDeadline::after(now, rule.millis.min(MAX_COLD_MILLIS));
-        self.until = self.until.max(Some(until));
+        self.cold_until = self.cold_until.max(Some(until));
     }
 
     /// Its rate limit while it counts as cold.
     pub fn rate(&self, now: UnixMillis) -> Option<RequestRate> {
-        let cold = self.suspected || self.until.is_some_and(|until| !until.passed(now));
+        let cold = self.restart_suspected || self.cold_until.is_some_and(|until| !until.passed(now));
         self.rule.filter(|_rule| cold).map(|rule| rule.rate)
     }
 
     /// Whether there is any state to keep in case its row comes back.
     pub(super) fn has_state(&self) -> bool {
-        self.rule.is_some() && (self.suspected || self.until.is_some())
+        self.rule.is_some() && (self.restart_suspected || self.cold_until.is_some())
     }
 }
--- a/crates/porthoist-policy/src/proxy/entry_positions.rs
+++ b/crates/porthoist-policy/src/proxy/entry_positions.rs
@@ -25,22 +25,22 @@
 /// The entries that query one process.
 #[derive(Debug, Clone, Default)]
 pub struct EntryRoster {
-    counted: BTreeMap<EntryId, UnixDeadline>,
+    counted_until: BTreeMap<EntryId, UnixDeadline>,
     first_query: UnixMillis,
 }
 
 impl EntryRoster {
     /// Records a query of an entry. Returns the entry's position once the count is reliable.
     pub fn record_query(&mut self, entry: EntryId, now: UnixMillis) -> Option<EntryPosition> {
-        self.counted.retain(|_entry, until| !until.passed(now));
-        if self.counted.is_empty() {
+        self.counted_until.retain(|_entry, until| !until.passed(now));
+        if self.counted_until.is_empty() {
             self.first_query = now;
         }
-        self.counted.insert(entry, UnixDeadline::after(now, ENTRY_TIMEOUT_MILLIS));
+        self.counted_until.insert(entry, UnixDeadline::after(now, ENTRY_TIMEOUT_MILLIS));
         let settled = now.since(self.first_query) >= SETTLE_MILLIS;
         let position = EntryPosition {
-            index: self.counted.range(..entry).count() as u32,
-            entries: self.counted.len() as u32,
+            index: self.counted_until.range(..entry).count() as u32,
+            entries: self.counted_until.len() as u32,
         };
         settled.then_some(position)
     }
--- a/crates/porthoist-policy/src/proxy/forecast.rs
+++ b/crates/porthoist-policy/src/proxy/forecast.rs
@@ -102,14 +102,16 @@
 #[derive(Debug, Clone, Default)]
 struct EpisodeLengths {
     lengths: VecDeque<f64>,
+    /// Start of the current episode, if any.
     began: Option<UnixMillis>,
-    last: UnixMillis,
+    /// When an episode last began or was found to continue.
+    last_confirmed: UnixMillis,
 }
 
 impl EpisodeLengths {
     fn begin(&mut self, now: UnixMillis) {
         self.began.get_or_insert(now);
-        self.last = now;
+        self.last_confirmed = now;
     }
 
     fn end(&mut self, end: UnixMillis) {
@@ -127,12 +129,12 @@
         if self.lengths.is_empty() {
             return INITIAL_EPISODE_MILLIS.max(age);
         }
-        let rests: Vec<f64> =
+        let remainders: Vec<f64> =
             self.lengths.iter().filter(|length| **length > age).map(|length| length - age).collect();
-        if rests.is_empty() {
+        if remainders.is_empty() {
             return age;
         }
-        rests.iter().sum::<f64>() / rests.len() as f64
+        remainders.iter().sum::<f64>() / remainders.len() as f64
     }
 }
 
@@ -257,11 +259,12 @@
         if self.is_down() {
             return WaitDecision::Refuse;
         }
-        let first = self.first_millis.unwrap_or_default() + FIRST_DEVIATIONS * self.first_deviation;
-        let on_time = query.latency_millis.saturating_sub(first as u64);
+        let first_event_millis =
+            self.first_millis.unwrap_or_default() + FIRST_DEVIATIONS * self.first_deviation;
+        let on_time_wait = query.latency_millis.saturating_sub(first_event_millis as u64);
         let wait = match query.class {
-            QueueClass::First => on_time,
-            QueueClass::Resent => on_time.max(RESENT_WAIT_MILLIS),
+            QueueClass::First => on_time_wait,
+            QueueClass::Resent => on_time_wait.max(RESENT_WAIT_MILLIS),
             // First attempts would overtake it again and again.
             QueueClass::CallerRetry => return WaitDecision::Refuse,
         };
@@ -280,28 +283,28 @@
     /// Expected milliseconds until a request with `ahead` others before it gets a slot, at the observed
     /// rate.
     fn expected_wait(&self, ahead: usize) -> f64 {
-        let hold = self.slot_millis.unwrap_or_default();
-        hold * (ahead + 1) as f64 / f64::from(self.in_flight.max(1))
+        let slot_millis = self.slot_millis.unwrap_or_default();
+        slot_millis * (ahead + 1) as f64 / f64::from(self.in_flight.max(1))
     }
 
-    /// Records a refusal and returns the caller's retry delay in milliseconds: at least `least_millis`
+    /// Records a refusal and returns the caller's retry delay in milliseconds: at least `min_millis`
     /// as far as its deadline permits. `point` is random between 0 and 1.
     pub fn retry_after_millis(
         &mut self,
         deadline: UnixDeadline,
-        least_millis: f64,
+        min_millis: f64,
         point: f64,
         now: UnixMillis,
     ) -> u64 {
-        if now.since(self.overload.last) > OVERLOAD_GAP_MILLIS {
-            let last = self.overload.last;
+        if now.since(self.overload.last_confirmed) > OVERLOAD_GAP_MILLIS {
+            let last = self.overload.last_confirmed;
             self.overload.end(last);
         }
         self.overload.begin(now);
         let episode = if self.is_down() { &self.outage } else { &self.overload };
-        let rest = episode.expected_remainder(now).max(least_millis) * (1.0 + RETRY_DELAY_JITTER * point);
-        let left = deadline.0.since(now) / RETRY_DELAY_DIVISOR;
-        (rest as u64).min(left).max(1)
+        let remainder = episode.expected_remainder(now).max(min_millis) * (1.0 + RETRY_DELAY_JITTER * point);
+        let longest = deadline.0.since(now) / RETRY_DELAY_DIVISOR;
+        (remainder as u64).min(longest).max(1)
     }
 }
 
--- a/crates/porthoist-policy/src/proxy/groups.rs
+++ b/crates/porthoist-policy/src/proxy/groups.rs
@@ -60,7 +60,7 @@
     last_event: UnixMillis,
     next_probe: UnixDeadline,
     /// Since when reports have shown passes that make streams late.
-    slow_since: Option<UnixMillis>,
+    late_since: Option<UnixMillis>,
     /// Whether it was last reported as stalled.
     reported_stalled: bool,
 }
@@ -102,7 +102,7 @@
                 reported: now,
                 last_event: now,
                 next_probe: UnixDeadline::default(),
-                slow_since: None,
+                late_since: None,
                 reported_stalled: false,
             });
         }
@@ -112,8 +112,8 @@
         let group = &mut self.groups[index.0];
         group.pass = loads.pass;
         group.reported = now;
-        let slow = loads.pass.millis().is_some_and(|millis| f64::from(millis) > LATE_PASS_MILLIS);
-        group.slow_since = if slow { Some(group.slow_since.unwrap_or(now)) } else { None };
+        let late = loads.pass.millis().is_some_and(|millis| f64::from(millis) > LATE_PASS_MILLIS);
+        group.late_since = if late { Some(group.late_since.unwrap_or(now)) } else { None };
         index
     }
 
@@ -170,7 +170,7 @@
         GroupStatus {
             millis: millis as f64,
             stalled,
-            slow_for_millis: group.slow_since.map_or(0, |since| now.since(since)),
+            slow_for_millis: group.late_since.map_or(0, |since| now.since(since)),
             probe_due: stalled && long_silent && group.next_probe.passed(now),
         }
     }
--- a/crates/porthoist-policy/src/proxy/load_interpretation.rs
+++ b/crates/porthoist-policy/src/proxy/load_interpretation.rs
@@ -11,15 +11,15 @@
 /// Chooses the index of a load; `point` is random between 0 and 1. Returns `None` without loads.
 pub(crate) fn choose_by_level(loads: &[f64], point: f64) -> Option<usize> {
     let level = common_level(loads, EXPECTED_PER_TARGET * loads.len() as f64);
-    let part = |load: &f64| (level - load).max(0.0);
-    let total: f64 = loads.iter().map(part).sum();
-    let mut left = point * total;
+    let room = |load: &f64| (level - load).max(0.0);
+    let total: f64 = loads.iter().map(room).sum();
+    let mut remaining = point * total;
     for (index, load) in loads.iter().enumerate() {
-        let part = part(load);
-        if part > 0.0 && left < part {
+        let room = room(load);
+        if room > 0.0 && remaining < room {
             return Some(index);
         }
-        left -= part;
+        remaining -= room;
     }
     // Reached only through rounding errors.
     (0..loads.len()).min_by(|left, right| loads[*left].total_cmp(&loads[*right]))
--- a/crates/porthoist-policy/src/proxy/moving.rs
+++ b/crates/porthoist-policy/src/proxy/moving.rs
@@ -99,11 +99,11 @@
 /// Whether a request should leave its target now, and why.
 pub fn move_cause(send: &PendingSend, options: &MoveOptions, now: UnixMillis) -> Option<MoveCause> {
     let waited = now.since(send.since);
-    let target_silent = !options.here.stalled && is_silent(send, options, waited);
+    let target_silent = !options.here.stalled && is_target_silent(send, options, waited);
     // Another rank of the same group can serve it as well.
     let elsewhere = options.elsewhere_millis.or_else(|| target_silent.then_some(options.here.millis))?;
-    let left = send.deadline.0.since(now) as f64;
-    if options.streams.first_millis > left {
+    let remaining_millis = send.deadline.0.since(now) as f64;
+    if options.streams.first_millis > remaining_millis {
         return None;
     }
     if target_silent {
@@ -120,20 +120,22 @@
     if options.here.stalled && waited >= PAUSE_MILLIS + send.jitter_millis {
         return Some(MoveCause::GroupStalled);
     }
-    let rest = (options.streams.answer_events - send.events as f64).max(options.streams.answer_events / 2.0);
-    let lastingly_slow = options.here.slow_for_millis >= MIN_SLOW_MILLIS + send.jitter_millis
+    let remaining_events =
+        (options.streams.answer_events - send.events as f64).max(options.streams.answer_events / 2.0);
+    let persistently_slow = options.here.slow_for_millis >= MIN_SLOW_MILLIS + send.jitter_millis
         && options.here.millis > SLOW_FACTOR * elsewhere;
     // The length of the answer is unknown, so the request leaves while even the longest can still finish
     // elsewhere.
     let longest = LONGEST_ANSWER_FACTOR * options.streams.answer_events;
     let last_chance = options.streams.first_millis + longest * elsewhere;
-    let too_slow = lastingly_slow && (rest * options.here.millis > left || left < last_chance);
-    let finishes_elsewhere = options.streams.first_millis + rest * elsewhere < left;
+    let too_slow = persistently_slow
+        && (remaining_events * options.here.millis > remaining_millis || remaining_millis < last_chance);
+    let finishes_elsewhere = options.streams.first_millis + remaining_events * elsewhere < remaining_millis;
     (too_slow && finishes_elsewhere).then_some(MoveCause::GroupSlow)
 }
 
 /// Whether a target does not respond although its group works.
-fn is_silent(send: &PendingSend, options: &MoveOptions, waited: u64) -> bool {
+fn is_target_silent(send: &PendingSend, options: &MoveOptions, waited: u64) -> bool {
     let streams = options.streams;
     let timeout = match (send.events, options.host_silent) {
         (0, true) => HOST_SILENT_MILLIS as f64,
--- a/crates/porthoist-policy/src/proxy/pass_time.rs
+++ b/crates/porthoist-policy/src/proxy/pass_time.rs
@@ -75,16 +75,16 @@
     /// discarded. Otherwise a group that stalled for 4 s and lost all its requests meanwhile would count
     /// as stalled forever.
     pub fn observe(&mut self, group: GroupSample, now: UnixMillis) {
-        let GroupSample { epoch, step, busy: working, slowest } = group;
+        let GroupSample { epoch, step, busy, slowest } = group;
         self.slowest = slowest;
-        if !working {
+        if !busy {
             self.last = None;
             self.mean_millis = None;
             return;
         }
-        let seen = ObservedPass { epoch, step, since: now };
+        let observed = ObservedPass { epoch, step, since: now };
         let Some(last) = self.last.filter(|last| last.epoch == epoch && last.step <= step) else {
-            self.last = Some(seen);
+            self.last = Some(observed);
             return;
         };
         if last.step == step {
@@ -92,7 +92,7 @@
         }
         let passes = f64::from(step.0 - last.step.0);
         self.add_measurement((now.since(last.since) as f64 / passes).min(MAX_PASS_MILLIS));
-        self.last = Some(seen);
+        self.last = Some(observed);
     }
 
     fn add_measurement(&mut self, millis: f64) {
@@ -107,8 +107,8 @@
     pub fn pass(&self, now: UnixMillis) -> GroupPass {
         let expected = self.typical_millis.map(|typical| typical * self.slowest.factor());
         let Some(mean) = self.mean_millis.or(expected) else { return GroupPass::Unknown };
-        let under_way = self.last.map(|last| now.since(last.since) as f64);
-        let millis = under_way.map_or(mean, |age| age.max(mean));
+        let current_millis = self.last.map(|last| now.since(last.since) as f64);
+        let millis = current_millis.map_or(mean, |age| age.max(mean));
         GroupPass::Millis(millis.min(f64::from(u16::MAX)) as u16)
     }
 }
--- a/crates/porthoist-policy/src/proxy/quarantine.rs
+++ b/crates/porthoist-policy/src/proxy/quarantine.rs
@@ -49,8 +49,8 @@
 /// removed.
 const FOREIGN_ROW_DELAY_MILLIS: u64 = 30_000;
 
-/// Minimum delay before a process rewrites a lost row of a death that another process observed, in milliseconds. Jitter adds up
-/// to the same amount.
+/// Minimum delay in milliseconds before a process rewrites a lost row of a death that another process
+/// observed. Jitter adds up to the same amount.
 const REWRITE_DELAY_MILLIS: u64 = 2_000;
 
 /// Thresholds of a tracker; tests vary them.
@@ -378,16 +378,16 @@
     /// deaths count until the table contains them again. The process that observed a death rewrites its
     /// row at once, others after a delay if it is still missing. `jitter` from 0 to 1 spreads the
     /// rewrites of the others.
-    pub fn schedule_rewrites(&mut self, rows: &CrashRows, own: &str, jitter: f64, now: UnixMillis) {
-        let later = REWRITE_DELAY_MILLIS + (REWRITE_DELAY_MILLIS as f64 * jitter) as u64;
+    pub fn schedule_rewrites(&mut self, rows: &CrashRows, own_host: &str, jitter: f64, now: UnixMillis) {
+        let foreign_delay = REWRITE_DELAY_MILLIS + (REWRITE_DELAY_MILLIS as f64 * jitter) as u64;
         for (mark, record) in &mut self.records {
             for (target, death) in &mut record.deaths {
                 let key = CrashKey { mark: *mark, target: target.clone() };
-                let noted_here = &*death.report.by == own;
+                let observed_here = &*death.report.by == own_host;
                 if death.removal_requested || rows.contains_key(&key) {
                     continue;
                 }
-                let delay = if noted_here { 0 } else { later };
+                let delay = if observed_here { 0 } else { foreign_delay };
                 death.in_table = false;
                 death.rewrite_at = Some(UnixDeadline::after(now, delay));
             }
@@ -426,8 +426,8 @@
     /// Drops the least suspected and oldest requests above [`MAX_MARKS`]; returns their rows for
     /// removal.
     pub fn evict_excess(&mut self) -> Vec<CrashKey> {
-        let beyond = self.records.len().saturating_sub(MAX_MARKS);
-        if beyond == 0 {
+        let excess = self.records.len().saturating_sub(MAX_MARKS);
+        if excess == 0 {
             return Vec::new();
         }
         let mut order: Vec<(usize, UnixMillis, RequestMark)> = self
@@ -436,7 +436,7 @@
             .map(|(mark, record)| (record.deaths.len(), record.last_death(), *mark))
             .collect();
         order.sort_unstable();
-        let dropped = order.into_iter().take(beyond);
+        let dropped = order.into_iter().take(excess);
         let rows = dropped.flat_map(|(_deaths, _last, mark)| {
             let record = self.records.remove(&mark).unwrap_or_default();
             record.deaths.into_keys().map(move |target| CrashKey { mark, target }).collect::<Vec<_>>()
@@ -447,19 +447,23 @@
     /// Expired rows that this process has to remove now: its own at once, those of other processes
     /// later, in case their writers no longer run. `jitter` from 0 to 1 spreads the processes that would
     /// remove the same rows.
-    pub fn take_expired(&mut self, own: &str, jitter: f64, now: UnixMillis) -> Vec<CrashKey> {
-        let ends: Vec<(RequestMark, UnixDeadline)> =
+    pub fn take_expired(&mut self, own_host: &str, jitter: f64, now: UnixMillis) -> Vec<CrashKey> {
+        let expiries: Vec<(RequestMark, UnixDeadline)> =
             self.records.iter().map(|(mark, record)| (*mark, self.expires_at(mark, record))).collect();
-        let later = FOREIGN_ROW_DELAY_MILLIS + (FOREIGN_ROW_DELAY_MILLIS as f64 * jitter) as u64;
+        let foreign_delay = FOREIGN_ROW_DELAY_MILLIS + (FOREIGN_ROW_DELAY_MILLIS as f64 * jitter) as u64;
         let mut rows = Vec::new();
-        for (mark, end) in ends {
+        for (mark, end) in expiries {
             let Some(record) = self.records.get_mut(&mark) else { continue };
             if !end.passed(now) || record.running > 0 {
                 continue;
             }
             record.deaths.retain(|_target, death| death.in_table);
             for (target, death) in &mut record.deaths {
-                let due = if &*death.report.by == own { end } else { UnixDeadline::after(end.0, later) };
+                let due = if &*death.report.by == own_host {
+                    end
+                } else {
+                    UnixDeadline::after(end.0, foreign_delay)
+                };
                 if due.passed(now) && !death.removal_requested {
                     death.removal_requested = true;
                     rows.push(CrashKey { mark, target: target.clone() });
--- a/crates/porthoist-policy/src/proxy/retry_share.rs
+++ b/crates/porthoist-policy/src/proxy/retry_share.rs
@@ -26,14 +26,14 @@
 #[derive(Debug, Clone)]
 pub struct RetryShare {
     settings: RetryShareSettings,
-    firsts: VecDeque<UnixMillis>,
+    first_sends: VecDeque<UnixMillis>,
     retries: VecDeque<UnixMillis>,
 }
 
 impl RetryShare {
     /// Creates a share without sends.
     pub fn new(settings: RetryShareSettings) -> Self {
-        Self { settings, firsts: VecDeque::new(), retries: VecDeque::new() }
+        Self { settings, first_sends: VecDeque::new(), retries: VecDeque::new() }
     }
 
     /// Changes the slack, for example because more processes share it.
@@ -44,7 +44,7 @@
     /// Records the first send of a request.
     pub fn record_first_send(&mut self, now: UnixMillis) {
         self.drop_expired(now);
-        self.firsts.push_back(now);
+        self.first_sends.push_back(now);
     }
 
     /// Takes one retry from the share; `false` if it is used up.
@@ -60,7 +60,7 @@
 
     fn try_take_fraction(&mut self, fraction: f64, now: UnixMillis) -> bool {
         self.drop_expired(now);
-        let allowed = fraction * (self.settings.ratio * self.firsts.len() as f64 + self.settings.slack);
+        let allowed = fraction * (self.settings.ratio * self.first_sends.len() as f64 + self.settings.slack);
         if self.retries.len() as f64 + 1.0 > allowed {
             return false;
         }
@@ -70,7 +70,7 @@
 
     fn drop_expired(&mut self, now: UnixMillis) {
         let window = self.settings.window_millis;
-        for times in [&mut self.firsts, &mut self.retries] {
+        for times in [&mut self.first_sends, &mut self.retries] {
             while times.front().is_some_and(|time| now.since(*time) > window) {
                 times.pop_front();
             }
--- a/crates/porthoist-policy/src/proxy/scheduler.rs
+++ b/crates/porthoist-policy/src/proxy/scheduler.rs
@@ -173,7 +173,7 @@
         if self.balancer.rest_end(service, now).is_some() {
             return Some(SlotError::Resting);
         }
-        self.balancer.emptied(service, now).then_some(SlotError::Emptied)
+        self.balancer.blocked_by_emptied_zones(service, now).then_some(SlotError::Emptied)
     }
 
     /// Adds a request to the wait queue.
@@ -197,8 +197,8 @@
             }
             let request = first.request.clone();
             let chosen = self.choose(&request, now)?;
-            let served = self.waiting.get_mut(service)?.pop()?;
-            return Some((served.waiter, chosen, request.work));
+            let next = self.waiting.get_mut(service)?.pop()?;
+            return Some((next.waiter, chosen, request.work));
         }
     }
 
@@ -315,10 +315,10 @@
     ) -> u64 {
         let supply = self.balancer.limited_supply(service, now);
         let waiting = self.waiting.get(service).map_or(0, WaitQueue::len);
-        let limited = supply.map_or(0.0, |supply| supply.millis * (waiting + 1) as f64);
-        let resting = self.balancer.rest_end(service, now).map_or(0, |end| end.0.since(now));
-        let least = limited.max(resting as f64);
-        self.forecast(service).retry_after_millis(deadline, least, point, now)
+        let limited_millis = supply.map_or(0.0, |supply| supply.millis * (waiting + 1) as f64);
+        let resting_millis = self.balancer.rest_end(service, now).map_or(0, |end| end.0.since(now));
+        let min_millis = limited_millis.max(resting_millis as f64);
+        self.forecast(service).retry_after_millis(deadline, min_millis, point, now)
     }
 
     /// Why a request is refused that has waited without getting a slot.
--- a/crates/porthoist-policy/src/proxy/send_turns.rs
+++ b/crates/porthoist-policy/src/proxy/send_turns.rs
@@ -69,25 +69,25 @@
         zones: &[ZoneName],
         uncounted: UncountedEntry,
     ) -> Self {
-        let Some(EntryPosition { index: before, entries }) =
+        let Some(EntryPosition { index: entry_index, entries }) =
             position.filter(|position| position.index < position.entries)
         else {
             let UncountedEntry { entries, seed } = uncounted;
-            let phase = unit(xxhash_rust::xxh3::xxh3_64(&seed.to_le_bytes()));
+            let phase = unit_interval(xxhash_rust::xxh3::xxh3_64(&seed.to_le_bytes()));
             return Self { count: f64::from(entries.max(1)), phase };
         };
         // A zone without targets also sends, so it counts as one more.
-        let (index, known) = match zones.binary_search(zone) {
+        let (zone_index, zone_count) = match zones.binary_search(zone) {
             Ok(index) => (index, zones.len()),
             Err(index) => (index, zones.len() + 1),
         };
-        let (zones, entries) = (known as f64, f64::from(entries));
-        Self { count: zones * entries, phase: (f64::from(before) + index as f64 / zones) / entries }
+        let (zones, entries) = (zone_count as f64, f64::from(entries));
+        Self { count: zones * entries, phase: (f64::from(entry_index) + zone_index as f64 / zones) / entries }
     }
 }
 
 /// A number between 0 and 1 from a hash.
-fn unit(hash: u64) -> f64 {
+fn unit_interval(hash: u64) -> f64 {
     hash as f64 / u64::MAX as f64
 }
 
@@ -148,7 +148,7 @@
         let target = xxhash_rust::xxh3::xxh3_64_with_seed(life.id.as_str().as_bytes(), life.born.0);
         Self {
             millis: 1_000.0 * sender.count / used,
-            phase: (sender.phase + unit(target)).fract(),
+            phase: (sender.phase + unit_interval(target)).fract(),
             expiry_millis: source.expiry_millis(),
         }
     }
@@ -190,15 +190,15 @@
     pub fn free(&self, now: UnixMillis) -> bool {
         let Some(round) = self.round else { return false };
         // Frequent changes of the rounds must not bring turns closer together.
-        let apart = now.since(self.used_at) as f64 >= round.millis / 2.0;
-        let spaced = round.millis <= round.expiry_millis as f64 || apart;
-        spaced && round.begun(now) > self.expired(round, now)
+        let far_apart = now.since(self.used_at) as f64 >= round.millis / 2.0;
+        let spaced = round.millis <= round.expiry_millis as f64 || far_apart;
+        spaced && round.begun(now) > self.spent(round, now)
     }
 
     /// Uses a turn for a request that is sent now.
     pub fn take(&mut self, now: UnixMillis) {
         let Some(round) = self.round else { return };
-        self.used = self.expired(round, now) + 1;
+        self.used = self.spent(round, now) + 1;
         self.used_at = now;
     }
 
@@ -213,8 +213,8 @@
     }
 
     /// Number of turns that were used or have expired.
-    fn expired(&self, round: TurnRound, now: UnixMillis) -> u64 {
-        let before = UnixMillis(now.0.saturating_sub(round.expiry_millis));
-        self.used.max(round.begun(before))
+    fn spent(&self, round: TurnRound, now: UnixMillis) -> u64 {
+        let oldest = UnixMillis(now.0.saturating_sub(round.expiry_millis));
+        self.used.max(round.begun(oldest))
     }
 }
--- a/crates/porthoist-policy/src/proxy/target_load.rs
+++ b/crates/porthoist-policy/src/proxy/target_load.rs
@@ -110,8 +110,8 @@
     /// report, `assumed` stands for the other processes' requests.
     pub(super) fn requests(&self, assumed: Option<u32>, now: UnixMillis) -> KnownRequests {
         match self.others(now).or(assumed) {
-            Some(others) => KnownRequests { count: self.in_flight + others, all: true },
-            None => KnownRequests { count: self.in_flight, all: false },
+            Some(others) => KnownRequests { count: self.in_flight + others, covers_all: true },
+            None => KnownRequests { count: self.in_flight, covers_all: false },
         }
     }
 
@@ -121,8 +121,8 @@
         Some(ReportedRequests { requests, age_millis: others.age(now) })
     }
 
-    pub(super) fn open(&self, now: UnixMillis) -> bool {
-        if self.record.state != TargetState::Ready || self.gone || self.closed(now) {
+    pub(super) fn is_open(&self, now: UnixMillis) -> bool {
+        if self.record.state != TargetState::Ready || self.gone || self.is_closed(now) {
             return false;
         }
         match self.ejected_until {
@@ -133,38 +133,38 @@
     }
 
     /// Whether it can take a request of a service that was already sent to `tried`.
-    pub(super) fn fits(
+    pub(super) fn can_take(
         &self,
         settings: &BalancerSettings,
         service: &ServiceName,
-        group: GroupView,
+        view: ServiceView,
         tried: &[TargetName],
         now: UnixMillis,
     ) -> bool {
         self.record.service == *service
-            && self.open(now)
-            && self.has_room(settings, group, now)
+            && self.is_open(now)
+            && self.has_room(settings, view, now)
             && !tried.contains(&self.record.id)
     }
 
     /// Whether it must get nothing now, whatever its row says.
-    pub(super) fn closed(&self, now: UnixMillis) -> bool {
-        self.emptied || self.backpressure.closed(now)
+    pub(super) fn is_closed(&self, now: UnixMillis) -> bool {
+        self.emptied || self.backpressure.is_closed(now)
     }
 
     /// Whether only the emptying of its zone keeps requests from it.
-    pub(super) fn only_emptied(&self, now: UnixMillis) -> bool {
+    pub(super) fn blocked_by_emptied_zone(&self, now: UnixMillis) -> bool {
         self.emptied
             && self.record.state == TargetState::Ready
             && !self.gone
-            && !self.backpressure.closed(now)
+            && !self.backpressure.is_closed(now)
     }
 
     /// Sets whether operators have emptied its zone.
     pub(super) fn set_emptied(&mut self, emptied: bool, now: UnixMillis) {
-        let before = std::mem::replace(&mut self.emptied, emptied);
-        if before && !emptied {
-            self.backpressure.restored(now);
+        let was_emptied = std::mem::replace(&mut self.emptied, emptied);
+        if was_emptied && !emptied {
+            self.backpressure.zone_restored(now);
         }
     }
 
@@ -185,7 +185,7 @@
     /// Whether a request that was assigned a slot here may still be sent, after signals that arrived
     /// meanwhile.
     pub(super) fn is_still_valid(&self, rate: Option<TargetRate>, now: UnixMillis) -> bool {
-        !self.closed(now) && (rate.is_some() || self.rate(now).is_none())
+        !self.is_closed(now) && (rate.is_some() || self.rate(now).is_none())
     }
 
     /// Its current tier for requests that it has room for; `None` while its rate limit leaves no turn
@@ -218,14 +218,14 @@
         self.backpressure.rate(now)
     }
 
-    fn has_room(&self, settings: &BalancerSettings, group: GroupView, now: UnixMillis) -> bool {
+    fn has_room(&self, settings: &BalancerSettings, view: ServiceView, now: UnixMillis) -> bool {
         if self.full_until.is_some_and(|deadline| !deadline.passed(now)) {
             return false;
         }
-        let known = self.requests(group.assumed, now);
-        match (group.ranked, known.all) {
+        let known = self.requests(view.assumed, now);
+        match (view.ranked, known.covers_all) {
             (true, true) => known.count < settings.rank_limit.min(self.record.slots),
-            (true, false) => known.count < group.own_limit,
+            (true, false) => known.count < view.own_limit,
             (false, _) => self.in_flight < self.record.slots,
         }
     }
@@ -236,7 +236,7 @@
         &self,
         own_zone: &ZoneName,
         median_millis: Option<f64>,
-        group: GroupView,
+        view: ServiceView,
         groups: &ServiceGroups,
         now: UnixMillis,
     ) -> f64 {
@@ -249,8 +249,8 @@
         let slowness = slowness * groups.cost_factor(self.group);
         let silence = if self.silent(now) { SILENT_PENALTY_REQUESTS } else { 0.0 };
         let lateness = if groups.is_late(self.group) { LATE_PENALTY_REQUESTS } else { 0.0 };
-        let returning = RETURN_PENALTY_REQUESTS * self.backpressure.returning(now);
-        let requests = f64::from(self.requests(group.assumed, now).count);
+        let returning = RETURN_PENALTY_REQUESTS * self.backpressure.return_fraction_left(now);
+        let requests = f64::from(self.requests(view.assumed, now).count);
         (requests + tokens + silence + lateness + returning + 1.0) * slowness + zone
     }
 
@@ -312,20 +312,20 @@
 
     fn failed(&mut self, now: UnixMillis) -> bool {
         self.failures += 1;
-        let probe = self.ejected_until.is_some();
-        if self.failures < FAILURES_TO_EJECT && !probe {
+        let was_ejected = self.ejected_until.is_some();
+        if self.failures < FAILURES_TO_EJECT && !was_ejected {
             return false;
         }
-        let time_out = (EJECT_MILLIS << self.ejections.min(8)).min(MAX_EJECT_MILLIS);
-        self.ejected_until = Some(UnixDeadline::after(now, time_out));
+        let ejection_millis = (EJECT_MILLIS << self.ejections.min(8)).min(MAX_EJECT_MILLIS);
+        self.ejected_until = Some(UnixDeadline::after(now, ejection_millis));
         self.ejections += 1;
         true
     }
 }
 
-/// Common state of all targets of a service.
+/// State that all targets of a service share.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct GroupView {
+pub(super) struct ServiceView {
     /// Whether they are ranks of groups.
     pub(super) ranked: bool,
     /// Assumed requests of other processes at a target without a valid report: the mean of the targets
@@ -340,5 +340,5 @@
 pub(super) struct KnownRequests {
     pub(super) count: u32,
     /// Whether the count covers all processes or only this one.
-    all: bool,
+    covers_all: bool,
 }
--- a/crates/porthoist-policy/src/proxy/targets.rs
+++ b/crates/porthoist-policy/src/proxy/targets.rs
@@ -29,11 +29,12 @@
 /// the target, 200 for timers.
 const SEND_RESERVE_MILLIS: u64 = 600;
 
-/// Maximum number of departed lives that are remembered in case the table service is restored from an older backup.
+/// Maximum number of departed lives that are remembered in case the table service is restored from an
+/// older backup.
 const MAX_DEPARTED_LIVES: usize = 4_096;
 
-/// Time in milliseconds for which unchanged rows of departed lives are ignored after a restore of the table service. Departures
-/// that the restore lost can be written again within this time.
+/// Time in milliseconds for which unchanged rows of departed lives are ignored after a restore of the
+/// table service. Departures that the restore lost can be written again within this time.
 const IGNORED_ROWS_GRACE_MILLIS: u64 = 10_000;
 
 /// Maximum permitted staleness of what is known about targets.
@@ -167,12 +168,13 @@
 #[derive(Debug, Clone, Default)]
 pub struct TargetRegistry {
     records: HashMap<TargetName, Arc<TargetRecord>>,
+    /// Targets whose row is missing, with the end of their grace period.
     missing: HashMap<TargetName, UnixDeadline>,
     /// Services that routes refer to; empty until routes are known.
     known_services: HashSet<ServiceName>,
     departed: DepartedLives,
-    /// Lives that departed before the last restore, with the last row of each that was ignored. Rows are ignored until they
-    /// change again or [`Self::ignored_until`] passes.
+    /// Lives that departed before the last restore, with the last row of each that was ignored. Rows are
+    /// ignored until they change again or [`Self::ignored_until`] passes.
     ignored: HashMap<TargetLife, Option<TargetRecord>>,
     /// Deadline at which rows that are still ignored are applied.
     ignored_until: Option<UnixDeadline>,
@@ -225,10 +227,10 @@
     {
         let rows: Vec<TargetChange> = rows.into_iter().map(Into::into).collect();
         let seen: HashSet<TargetName> = rows.iter().map(TargetChange::id).cloned().collect();
-        let lacking: Vec<TargetName> =
+        let unlisted: Vec<TargetName> =
             self.records.keys().filter(|id| !seen.contains(*id)).cloned().collect();
-        for id in lacking {
-            self.removed(id, grace);
+        for id in unlisted {
+            self.remove_after_grace(id, grace);
         }
         self.ignored.retain(|life, _row| seen.contains(&life.id));
         self.awaiting_backup_rows = false;
@@ -287,8 +289,8 @@
         for change in changes {
             match change {
                 TargetChange::Put(record) => self.put(record),
-                TargetChange::Gone(id) => self.removed(id, grace),
-                TargetChange::Unusable(id) => self.removed(id, None),
+                TargetChange::Gone(id) => self.remove_after_grace(id, grace),
+                TargetChange::Unusable(id) => self.remove_after_grace(id, None),
             }
         }
     }
@@ -300,9 +302,13 @@
             TargetState::Draining => self.departed.insert(record.life()),
         }
         if self.known_services.is_empty() || self.known_services.contains(&record.service) {
-            let ended = |known: &TargetRecord| known.address == record.address && known.id != record.id;
-            let ids: Vec<TargetName> =
-                self.records.values().filter(|known| ended(known)).map(|known| known.id.clone()).collect();
+            let is_replaced = |known: &TargetRecord| known.address == record.address && known.id != record.id;
+            let ids: Vec<TargetName> = self
+                .records
+                .values()
+                .filter(|known| is_replaced(known))
+                .map(|known| known.id.clone())
+                .collect();
             for id in ids {
                 self.drop_record(&id);
             }
@@ -310,7 +316,7 @@
         self.records.insert(record.id.clone(), Arc::new(record));
     }
 
-    fn removed(&mut self, id: TargetName, grace: Option<UnixDeadline>) {
+    fn remove_after_grace(&mut self, id: TargetName, grace: Option<UnixDeadline>) {
         if let Some(deadline) = grace
             && self.records.contains_key(&id)
         {
@@ -327,25 +333,25 @@
         }
     }
 
-    /// Drops the rows whose grace has ended and applies ignored rows once theirs has; returns the names of
-    /// dropped rows.
+    /// Drops the rows whose grace period has ended and applies ignored rows once theirs has ended; returns
+    /// the names of the dropped rows.
     pub fn expire(&mut self, now: UnixMillis) -> Vec<TargetName> {
         if self.ignored_until.is_some_and(|deadline| deadline.passed(now)) {
             self.apply_ignored();
         }
-        let ended: Vec<TargetName> = self
+        let expired: Vec<TargetName> = self
             .missing
             .iter()
             .filter(|(_id, deadline)| deadline.passed(now))
             .map(|(id, _deadline)| id.clone())
             .collect();
-        for id in &ended {
+        for id in &expired {
             self.drop_record(id);
         }
-        ended
+        expired
     }
 
-    /// When the next grace ends.
+    /// When the next grace period ends.
     pub fn next_expiry(&self) -> Option<UnixDeadline> {
         self.missing.values().copied().chain(self.ignored_until).min()
     }
--- a/crates/porthoist-policy/src/proxy/trusted_marks.rs
+++ b/crates/porthoist-policy/src/proxy/trusted_marks.rs
@@ -10,7 +10,7 @@
 /// Maximum number of stored requests, some 80 bytes each: 20 s at 200 answers a second.
 const MAX_TRUSTED: usize = 4_096;
 
-/// Requests by the end of their protection.
+/// Requests with a recent complete answer, and the end of their protection.
 #[derive(Debug, Default)]
 pub struct TrustedMarks {
     until: HashMap<RequestMark, UnixDeadline>,
@@ -23,13 +23,13 @@
         let until = UnixDeadline::after(now, TRUSTED_MILLIS);
         self.until.insert(mark, until);
         self.order.push_back((mark, until));
-        while let Some((oldest, end)) = self.order.front().copied() {
-            if !end.passed(now) && self.order.len() <= MAX_TRUSTED {
+        while let Some((oldest, until)) = self.order.front().copied() {
+            if !until.passed(now) && self.order.len() <= MAX_TRUSTED {
                 break;
             }
             self.order.pop_front();
             // A later answer to the same request has its own entry.
-            if self.until.get(&oldest) == Some(&end) {
+            if self.until.get(&oldest) == Some(&until) {
                 self.until.remove(&oldest);
             }
         }
--- a/crates/porthoist-policy/src/proxy/wait_queue.rs
+++ b/crates/porthoist-policy/src/proxy/wait_queue.rs
@@ -62,12 +62,12 @@
 
     /// Removes and returns the first request.
     pub fn pop(&mut self) -> Option<T> {
-        self.waiting.pop_first().map(|(_rank, item)| item)
+        self.waiting.pop_first().map(|(_key, item)| item)
     }
 
     /// The first request.
     pub fn first(&self) -> Option<&T> {
-        self.waiting.first_key_value().map(|(_rank, item)| item)
+        self.waiting.first_key_value().map(|(_key, item)| item)
     }
 
     /// Number of waiting requests.
--- a/crates/porthoist-policy/src/proxy/zones.rs
+++ b/crates/porthoist-policy/src/proxy/zones.rs
@@ -4,8 +4,8 @@
 use porthoist_core::{UnixDeadline, UnixMillis, ZoneName};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Time in milliseconds for which a zone stays emptied after a restore of the table service although its row is missing.
-/// Operators can write the lost row again within this time.
+/// Time in milliseconds for which a zone stays emptied after a restore of the table service although its
+/// row is missing. Operators can write the lost row again within this time.
 const UNCONFIRMED_GRACE_MILLIS: u64 = 10_000;
 
 /// A change that operators made to a zone.
@@ -42,7 +42,7 @@
 /// The emptied zones as this process knows them, each with the time at which it learned of it.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EmptiedZones {
-    since: BTreeMap<ZoneName, UnixMillis>,
+    emptied_since: BTreeMap<ZoneName, UnixMillis>,
     /// Zones that were emptied before the last restore of the table service and have not been reported
     /// as emptied since, with the end of their grace period. Until then, a missing row does not restore
     /// the zone.
@@ -69,7 +69,7 @@
     /// zones. The update in the next call of [`Self::apply_update`] is taken to be from the backup.
     pub fn restored(&mut self, now: UnixMillis) {
         let deadline = UnixDeadline::after(now, UNCONFIRMED_GRACE_MILLIS);
-        self.unconfirmed = self.since.keys().map(|zone| (zone.clone(), deadline)).collect();
+        self.unconfirmed = self.emptied_since.keys().map(|zone| (zone.clone(), deadline)).collect();
         self.awaiting_backup_rows = true;
     }
 
@@ -88,7 +88,7 @@
 
     fn difference(&self, listed: Vec<ZoneName>) -> Vec<ZoneChange> {
         let listed: BTreeSet<ZoneName> = listed.into_iter().collect();
-        let restored = self.since.keys().filter(|zone| !listed.contains(*zone)).cloned();
+        let restored = self.emptied_since.keys().filter(|zone| !listed.contains(*zone)).cloned();
         let restored: Vec<ZoneChange> = restored.map(ZoneChange::Restored).collect();
         restored.into_iter().chain(listed.into_iter().map(ZoneChange::Emptied)).collect()
     }
@@ -104,18 +104,18 @@
                 false
             }
             ZoneChange::Emptied(zone) if self.contains(zone) => false,
-            ZoneChange::Emptied(zone) => self.since.insert(zone.clone(), now).is_none(),
-            ZoneChange::Restored(zone) => self.since.remove(zone).is_some(),
+            ZoneChange::Emptied(zone) => self.emptied_since.insert(zone.clone(), now).is_none(),
+            ZoneChange::Restored(zone) => self.emptied_since.remove(zone).is_some(),
         }
     }
 
     /// Whether a zone is emptied.
     pub fn contains(&self, zone: &ZoneName) -> bool {
-        self.since.contains_key(zone)
+        self.emptied_since.contains_key(zone)
     }
 
     /// The emptied zones with the time at which this process learned of each.
     pub fn iter(&self) -> impl Iterator<Item = (&ZoneName, UnixMillis)> {
-        self.since.iter().map(|(zone, since)| (zone, *since))
+        self.emptied_since.iter().map(|(zone, since)| (zone, *since))
     }
 }
