--- a/crates/porthoist-policy/tests/policy.rs
+++ b/crates/porthoist-policy/tests/policy.rs
@@ -2,34 +2,34 @@
 
 #[path = "policy/admission.rs"]
 mod admission;
-#[path = "policy/cold.rs"]
-mod cold;
-#[path = "policy/cold_fleet.rs"]
-mod cold_fleet;
-#[path = "policy/configuration.rs"]
-mod configuration;
-#[path = "policy/copying.rs"]
-mod copying;
+#[path = "policy/adoption.rs"]
+mod adoption;
+#[path = "policy/backpressure.rs"]
+mod backpressure;
+#[path = "policy/backpressure_simulation.rs"]
+mod backpressure_simulation;
+#[path = "policy/cold_start.rs"]
+mod cold_start;
+#[path = "policy/cold_start_simulation.rs"]
+mod cold_start_simulation;
+#[path = "policy/copy_times.rs"]
+mod copy_times;
 #[path = "policy/demand.rs"]
 mod demand;
-#[path = "policy/domains.rs"]
-mod domains;
 #[path = "policy/equal_shares.rs"]
 mod equal_shares;
 #[path = "policy/forecast.rs"]
 mod forecast;
 #[path = "policy/gate.rs"]
 mod gate;
+#[path = "policy/group_loads.rs"]
+mod group_loads;
+#[path = "policy/group_selection.rs"]
+mod group_selection;
 #[path = "policy/limits.rs"]
 mod limits;
-#[path = "policy/loads.rs"]
-mod loads;
 #[path = "policy/moving.rs"]
 mod moving;
-#[path = "policy/needs.rs"]
-mod needs;
-#[path = "policy/needy_fleet.rs"]
-mod needy_fleet;
 #[path = "policy/pass_time.rs"]
 mod pass_time;
 #[path = "policy/placement.rs"]
--- a/crates/porthoist-policy/tests/policy/needs.rs
+++ b/crates/porthoist-policy/tests/policy/backpressure.rs
@@ -1,6 +1,6 @@
 //! Backpressure from targets: limits across all entries, how they end, and what callers get.
 
-use crate::needy_fleet::{EntryCount, FleetReport, FleetSettings, SimulatedLimit, simulate};
+use crate::backpressure_simulation::{EntryCount, FleetReport, FleetSettings, SimulatedLimit, simulate};
 use porthoist_core::{RequestRate, ServiceName, StartMillis, UnixDeadline, UnixMillis};
 use porthoist_policy::proxy::backpressure::{
     BackpressureChange, BackpressureSignals, ObservedChange, SignalValue, TargetBackpressure,
--- a/crates/porthoist-policy/tests/policy/cold.rs
+++ b/crates/porthoist-policy/tests/policy/cold_start.rs
@@ -1,7 +1,7 @@
 //! Cold targets and emptied zones: the load on targets from all entries together, and the answers to
 //! callers.
 
-use crate::cold_fleet::{ALLOWED, ColdSettings, simulate};
+use crate::cold_start_simulation::{ALLOWED, ColdSettings, simulate};
 use porthoist_core::{RequestRate, ServiceName, StartMillis, UnixDeadline, UnixMillis, ZoneName};
 use porthoist_policy::proxy::backpressure::{BackpressureSignals, SignalValue};
 use porthoist_policy::proxy::balancer::{BalancerSettings, RequestWork, SendOutcome};
