--- a/crates/porthoist-policy/tests/policy/admission.rs
+++ b/crates/porthoist-policy/tests/policy/admission.rs
@@ -25,7 +25,7 @@
 }
 
 /// Repeatedly finishes the running request and returns the order in which the others start.
-fn drain(queue: &mut AdmissionQueue, first: u64) -> Vec<u64> {
+fn start_order(queue: &mut AdmissionQueue, first: u64) -> Vec<u64> {
     let (mut running, mut order) = (attempt(first), Vec::new());
     loop {
         queue.finished(UnixMillis(10), running);
@@ -45,11 +45,11 @@
             AdmissionDecision::Queued
         );
     }
-    assert_eq!(drain(&mut queue, 0), [2, 3, 1]);
+    assert_eq!(start_order(&mut queue, 0), [2, 3, 1]);
 }
 
 #[test]
-fn teams_share_by_weight() {
+fn slots_are_shared_between_teams_by_weight() {
     let mut queue = queue(1);
     queue.offer(UnixMillis(0), request(0, "x", 1.0, 5));
     for number in 1..=8 {
@@ -58,12 +58,12 @@
     for number in 11..=18 {
         queue.offer(UnixMillis(0), request(number, "heavy", 3.0, 5));
     }
-    let first_eight = &drain(&mut queue, 0)[..8];
+    let first_eight = &start_order(&mut queue, 0)[..8];
     assert_eq!(first_eight.iter().filter(|number| **number > 10).count(), 6, "{first_eight:?}");
 }
 
 #[test]
-fn what_can_not_be_in_time_is_refused_at_once() {
+fn request_that_cannot_meet_its_deadline_is_refused() {
     let mut queue =
         AdmissionQueue::new(AdmissionSettings::builder().slots(1).queue(9).prefill_rate(1000).build());
     let late = AdmissionRequest {
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_request_whose_deadline_passes_in_the_queue_is_given_up() {
+fn queued_request_expires_at_its_deadline() {
     let mut queue = queue(1);
     queue.offer(UnixMillis(0), request(0, "a", 1.0, 5));
     let waiting = AdmissionRequest { deadline: UnixDeadline(UnixMillis(500)), ..request(1, "a", 1.0, 5) };
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_full_queue_refuses_and_says_when_to_come_back() {
+fn full_queue_refuses_with_retry_time() {
     let mut queue = AdmissionQueue::new(AdmissionSettings::builder().slots(1).queue(1).build());
     queue.offer(UnixMillis(0), request(0, "a", 1.0, 5));
     queue.offer(UnixMillis(0), request(1, "a", 1.0, 5));
--- a/crates/porthoist-policy/tests/policy/adoption.rs
+++ b/crates/porthoist-policy/tests/policy/adoption.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn only_newer_changes_without_a_gap_are_adopted() {
+fn only_newer_changes_without_gap_are_adopted() {
     let mut state = ConfigState::default();
     assert!(!state.ready());
     assert_eq!(state.adopt(change(3, 4, &[("team/a", Some(1))])), AdoptOutcome::Gap);
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn history_joins_changes_and_forgets_old_ones() {
+fn history_merges_changes_and_drops_old_ones() {
     let mut history = ChangeHistory::new(2);
     assert!(history.since(1).is_none());
     history.push(change(1, 2, &[("team/a", Some(1))]));
--- a/crates/porthoist-policy/tests/policy/backpressure_simulation.rs
+++ b/crates/porthoist-policy/tests/policy/backpressure_simulation.rs
@@ -20,13 +20,13 @@
 /// Requests that a target runs concurrently.
 const SLOTS: u32 = 6;
 /// Interval in milliseconds at which an entry queries the process that follows the tables for its zone.
-const ROUND_MILLIS: u64 = 1_000;
+const QUERY_INTERVAL_MILLIS: u64 = 1_000;
 /// Unix time in milliseconds at which the simulation starts.
-const BEGIN: u64 = 1_700_000_000_000;
+const START_UNIX_MILLIS: u64 = 1_700_000_000_000;
 /// Time in milliseconds until callers leave.
-const PATIENCE: u64 = 8_000;
+const CALLER_TIMEOUT_MILLIS: u64 = 8_000;
 /// Time in milliseconds within which answers are on time.
-const LATENCY: u64 = 500;
+const TARGET_LATENCY_MILLIS: u64 = 500;
 
 /// A limit that one target announces for some time.
 #[derive(Debug, Clone, Copy)]
@@ -47,7 +47,7 @@
     /// Unknown.
     Unknown,
     /// Each assumes to be the only one.
-    Alone,
+    OnlyOne,
 }
 
 #[derive(Debug, Clone, bon::Builder)]
@@ -57,29 +57,30 @@
     pub targets: usize,
     /// Requests a second of all callers.
     pub rate: f64,
-    pub needs: Vec<SimulatedLimit>,
+    pub limits: Vec<SimulatedLimit>,
     pub millis: u64,
     #[builder(default = EntryCount::Known)]
     pub count: EntryCount,
     /// Whether the entries of a zone exchange notes.
     #[builder(default = true)]
-    pub shared: bool,
+    pub exchange_notes: bool,
     /// Number of entries that stall from 8 to 12 s.
     #[builder(default)]
-    pub frozen: usize,
+    pub stalled: usize,
     /// Whether entries restart without state, one every 3 s.
     #[builder(default)]
     pub restarts: bool,
     /// Maximum difference between the clocks of entries in milliseconds.
     #[builder(default)]
-    pub clocks_apart: u64,
+    pub clock_skew_millis: u64,
     #[builder(default = 1)]
     pub seed: u64,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum FleetEvent {
-    Caller,
+    /// A caller sends a request.
+    Request,
     Answer {
         entry: usize,
         target: usize,
@@ -93,7 +94,7 @@
         entry: usize,
     },
     /// An entry queries the process that follows the tables for its zone.
-    Round {
+    Query {
         entry: usize,
     },
 }
@@ -103,7 +104,7 @@
 struct Arrival {
     at: u64,
     /// Whether the target had announced its limit to the entry at least half a second before.
-    told: bool,
+    limit_known: bool,
 }
 
 /// Totals of a simulation.
@@ -119,11 +120,11 @@
 impl FleetReport {
     /// Maximum number of requests that a target got in any 4 s, starting 3 s after it announced its
     /// limit, from entries that had heard the limit from it.
-    pub fn most(&self, need: SimulatedLimit) -> usize {
-        let counted = self.arrivals[need.target].iter().filter(|arrival| arrival.told);
+    pub fn max_in_4_s(&self, limit: SimulatedLimit) -> usize {
+        let counted = self.arrivals[limit.target].iter().filter(|arrival| arrival.limit_known);
         let times: Vec<u64> = counted.map(|arrival| arrival.at).collect();
         let within = |from: &u64| times.iter().filter(|at| **at >= *from && **at < from + 4_000).count();
-        let begins = times.iter().filter(|at| **at >= need.from + 3_000 && **at + 4_000 < need.until);
+        let begins = times.iter().filter(|at| **at >= limit.from + 3_000 && **at + 4_000 < limit.until);
         begins.map(within).max().unwrap_or_default()
     }
 
@@ -136,16 +137,16 @@
 
 struct SimulatedEntry {
     scheduler: RequestScheduler<u64>,
-    clock_ahead: u64,
-    frozen_until: u64,
+    clock_offset_millis: u64,
+    stalled_until: u64,
     /// Notes to pass on to the other entries of its zone.
     notes: NoteStore,
     /// When each target first announced its limit to it.
-    told: HashMap<usize, u64>,
+    first_announced: HashMap<usize, u64>,
     life: u64,
 }
 
-struct Fleet {
+struct SimulatedFleet {
     settings: FleetSettings,
     entries: Vec<SimulatedEntry>,
     registry: TargetRegistry,
@@ -165,26 +166,26 @@
 
 /// Runs a simulation.
 pub fn simulate(settings: &FleetSettings) -> FleetReport {
-    let mut fleet = Fleet::new(settings.clone());
-    fleet.at(0, FleetEvent::Caller);
-    for entry in (0..settings.entries).filter(|_entry| settings.shared) {
-        fleet.at(entry as u64 * 97 % ROUND_MILLIS, FleetEvent::Round { entry });
+    let mut fleet = SimulatedFleet::new(settings.clone());
+    fleet.schedule(0, FleetEvent::Request);
+    for entry in (0..settings.entries).filter(|_entry| settings.exchange_notes) {
+        fleet.schedule(entry as u64 * 97 % QUERY_INTERVAL_MILLIS, FleetEvent::Query { entry });
     }
     if settings.restarts {
         for (index, entry) in (0..settings.entries).enumerate() {
-            fleet.at(3_000 * (index as u64 + 1), FleetEvent::Restart { entry });
+            fleet.schedule(3_000 * (index as u64 + 1), FleetEvent::Restart { entry });
         }
     }
     while let Some(Reverse((at, _sequence, event))) = fleet.events.pop() {
         if at >= settings.millis {
             break;
         }
-        fleet.take(event, at);
+        fleet.handle(event, at);
     }
     fleet.report
 }
 
-impl Fleet {
+impl SimulatedFleet {
     fn new(settings: FleetSettings) -> Self {
         let service: ServiceName = "s".parse().unwrap();
         let records = (0..settings.targets).map(|index| TargetRecord {
@@ -214,61 +215,61 @@
             report,
             settings,
         };
-        fleet.entries = (0..fleet.settings.entries).map(|index| fleet.entry(index, 0)).collect();
+        fleet.entries = (0..fleet.settings.entries).map(|index| fleet.new_entry(index, 0)).collect();
         fleet
     }
 
-    fn entry(&mut self, index: usize, life: u64) -> SimulatedEntry {
+    fn new_entry(&mut self, index: usize, life: u64) -> SimulatedEntry {
         let (zones, entries) = (self.settings.zones, self.settings.entries);
         let zone = index % zones;
-        let in_zone = (entries - zone).div_ceil(zones) as u32;
+        let zone_entries = (entries - zone).div_ceil(zones) as u32;
         let position = match self.settings.count {
-            EntryCount::Known => Some(EntryPosition { index: (index / zones) as u32, entries: in_zone }),
+            EntryCount::Known => Some(EntryPosition { index: (index / zones) as u32, entries: zone_entries }),
             EntryCount::Unknown => None,
-            EntryCount::Alone => Some(EntryPosition { index: 0, entries: 1 }),
+            EntryCount::OnlyOne => Some(EntryPosition { index: 0, entries: 1 }),
         };
         let settings = BalancerSettings::builder().zone(zone_name(zone)).per_rank(3).rank_limit(12);
         let mut scheduler = RequestScheduler::new(settings.seed(index as u64).build());
         scheduler.sync(&self.registry);
         scheduler.set_entry_position(position);
-        let clock_ahead = self.random.random_range(0..=self.settings.clocks_apart);
-        let frozen_until = if index < self.settings.frozen { 12_000 } else { 0 };
+        let clock_offset_millis = self.random.random_range(0..=self.settings.clock_skew_millis);
+        let stalled_until = if index < self.settings.stalled { 12_000 } else { 0 };
         SimulatedEntry {
             scheduler,
-            clock_ahead,
-            frozen_until,
+            clock_offset_millis,
+            stalled_until,
             notes: NoteStore::default(),
-            told: HashMap::new(),
+            first_announced: HashMap::new(),
             life,
         }
     }
 
-    fn at(&mut self, at: u64, event: FleetEvent) {
+    fn schedule(&mut self, at: u64, event: FleetEvent) {
         self.sequence += 1;
         self.events.push(Reverse((at, self.sequence, event)));
     }
 
     fn clock(&self, entry: usize, at: u64) -> UnixMillis {
-        UnixMillis(BEGIN + at + self.entries[entry].clock_ahead)
+        UnixMillis(START_UNIX_MILLIS + at + self.entries[entry].clock_offset_millis)
     }
 
-    fn take(&mut self, event: FleetEvent, at: u64) {
+    fn handle(&mut self, event: FleetEvent, at: u64) {
         match event {
-            FleetEvent::Caller => self.caller(at),
+            FleetEvent::Request => self.request_arrives(at),
             FleetEvent::Answer { entry, target, life, sent } => self.answer(entry, target, life, sent, at),
             FleetEvent::Turn { entry } => self.serve_waiting(entry, at),
-            FleetEvent::Round { entry } => self.round(entry, at),
+            FleetEvent::Query { entry } => self.query(entry, at),
             FleetEvent::Restart { entry } => {
                 let life = self.entries[entry].life + 1;
-                self.entries[entry] = self.entry(entry, life);
+                self.entries[entry] = self.new_entry(entry, life);
             }
         }
     }
 
     /// Exchanges notes with the other entries of the zone through a process with its own clock.
-    fn round(&mut self, entry: usize, at: u64) {
-        self.at(at + ROUND_MILLIS, FleetEvent::Round { entry });
-        if (8_000..self.entries[entry].frozen_until).contains(&at) {
+    fn query(&mut self, entry: usize, at: u64) {
+        self.schedule(at + QUERY_INTERVAL_MILLIS, FleetEvent::Query { entry });
+        if (8_000..self.entries[entry].stalled_until).contains(&at) {
             return;
         }
         let (now, zone_now) = (self.clock(entry, at), UnixMillis(at + 77));
@@ -281,14 +282,14 @@
         }
     }
 
-    fn caller(&mut self, at: u64) {
+    fn request_arrives(&mut self, at: u64) {
         let entry = self.random.random_range(0..self.settings.entries);
         let pause = -(1_000.0 / self.settings.rate) * (1.0 - self.random.random::<f64>()).ln();
         // Several callers may arrive in the same millisecond.
         let next = (at as f64 + pause + self.random.random::<f64>()) as u64;
-        self.at(next, FleetEvent::Caller);
-        let frozen = (8_000..self.entries[entry].frozen_until).contains(&at);
-        let at = if frozen { self.entries[entry].frozen_until } else { at };
+        self.schedule(next, FleetEvent::Request);
+        let stalled = (8_000..self.entries[entry].stalled_until).contains(&at);
+        let at = if stalled { self.entries[entry].stalled_until } else { at };
         let now = self.clock(entry, at);
         let priority = u8::from(self.random.random::<f64>() > 0.2) + 1;
         let request = SlotRequest {
@@ -298,15 +299,15 @@
             priority,
             tried: Vec::new(),
             arrival: now,
-            latency_millis: LATENCY,
-            deadline: UnixDeadline::after(now, PATIENCE),
+            latency_millis: TARGET_LATENCY_MILLIS,
+            deadline: UnixDeadline::after(now, CALLER_TIMEOUT_MILLIS),
             class: QueueClass::First,
         };
         let scheduler = &mut self.entries[entry].scheduler;
         match scheduler.decide(&request, now) {
             SlotDecision::Assign(chosen) => self.send(entry, &chosen, priority, at),
             SlotDecision::Wait(_until) => {
-                scheduler.enqueue(request, at + LATENCY);
+                scheduler.enqueue(request, at + TARGET_LATENCY_MILLIS);
                 self.next_turn(entry, at);
             }
             SlotDecision::Refuse(error) => {
@@ -319,7 +320,7 @@
     fn next_turn(&mut self, entry: usize, at: u64) {
         let now = self.clock(entry, at);
         if let Some(turn) = self.entries[entry].scheduler.next_turn(&self.service, now) {
-            self.at(at + turn.0.since(now), FleetEvent::Turn { entry });
+            self.schedule(at + turn.0.since(now), FleetEvent::Turn { entry });
         }
     }
 
@@ -338,41 +339,50 @@
 
     fn send(&mut self, entry: usize, chosen: &ChosenTarget, priority: u8, at: u64) {
         let target = self.targets[&chosen.record.life()];
-        let told = self.entries[entry].told.get(&target).is_some_and(|told| told + 500 <= at);
-        self.report.arrivals[target].push(Arrival { at, told });
+        let limit_known =
+            self.entries[entry].first_announced.get(&target).is_some_and(|first| first + 500 <= at);
+        self.report.arrivals[target].push(Arrival { at, limit_known });
         self.report.served += 1;
         self.report.served_urgent += usize::from(priority == 1);
         let life = self.entries[entry].life;
-        self.at(at + RUN_MILLIS, FleetEvent::Answer { entry, target, life, sent: at });
+        self.schedule(at + RUN_MILLIS, FleetEvent::Answer { entry, target, life, sent: at });
     }
 
     fn answer(&mut self, entry: usize, target: usize, life: u64, sent: u64, at: u64) {
         if self.entries[entry].life != life {
             return;
         }
-        let named = self
+        let announced = self
             .settings
-            .needs
+            .limits
             .iter()
-            .find(|need| need.target == target && (need.from..need.until).contains(&at));
-        let limit = named.map_or(SignalValue::Absent, |need| SignalValue::Present(RequestRate(need.limit)));
+            .find(|limit| limit.target == target && (limit.from..limit.until).contains(&at));
+        let limit =
+            announced.map_or(SignalValue::Absent, |limit| SignalValue::Present(RequestRate(limit.limit)));
         let signals = BackpressureSignals { limit, matches_request: true, ..BackpressureSignals::default() };
         let (clock_sent, now) = (self.clock(entry, sent), self.clock(entry, at));
         let record = self.registry.records().find(|record| self.targets[&record.life()] == target);
         let target_life = record.expect("targets stay").life();
-        let played = &mut self.entries[entry];
-        if named.is_some() {
-            played.told.entry(target).or_insert(at);
+        let simulated = &mut self.entries[entry];
+        if announced.is_some() {
+            simulated.first_announced.entry(target).or_insert(at);
         }
-        let changes = played.scheduler.apply_signals(&target_life, &signals, clock_sent, now);
-        let lifted = changes.iter().any(|noted| matches!(noted.change, BackpressureChange::Lifted(_)));
-        let limit = named.map(|need| RequestRate(need.limit));
+        let changes = simulated.scheduler.apply_signals(&target_life, &signals, clock_sent, now);
+        let lifted = changes.iter().any(|observed| matches!(observed.change, BackpressureChange::Lifted(_)));
+        let limit = announced.map(|limit| RequestRate(limit.limit));
         if limit.is_some() || lifted {
             let as_of = if lifted { clock_sent } else { now };
-            played.notes.insert(TargetNote { life: target_life.clone(), limit, as_of });
+            simulated.notes.insert(TargetNote { life: target_life.clone(), limit, as_of });
         }
         let outcome = SendOutcome::Answered((at - sent) as f64);
-        played.scheduler.ended(&self.service, &target_life, RequestWork::default(), outcome, at - sent, now);
+        simulated.scheduler.ended(
+            &self.service,
+            &target_life,
+            RequestWork::default(),
+            outcome,
+            at - sent,
+            now,
+        );
         self.serve_waiting(entry, at);
     }
 }
--- a/crates/porthoist-policy/tests/policy/cold_start.rs
+++ b/crates/porthoist-policy/tests/policy/cold_start.rs
@@ -1,7 +1,7 @@
 //! Cold targets and emptied zones: the load on targets from all entries together, and the answers to
 //! callers.
 
-use crate::cold_start_simulation::{ALLOWED, ColdSettings, simulate};
+use crate::cold_start_simulation::{ColdSettings, MAX_PER_SECOND, simulate};
 use porthoist_core::{RequestRate, ServiceName, StartMillis, UnixDeadline, UnixMillis, ZoneName};
 use porthoist_policy::proxy::backpressure::{BackpressureSignals, SignalValue};
 use porthoist_policy::proxy::balancer::{BalancerSettings, RequestWork, SendOutcome};
@@ -24,31 +24,47 @@
 #[test_case(42, 4; "a zone before 42 entries")]
 #[test_case(600, 4; "a zone before 600 entries")]
 #[test_case(42, 12; "all targets before 42 entries")]
-fn a_cold_target_gets_no_more_than_it_bears(entries: usize, cold: usize) {
+fn cold_target_gets_no_more_than_permitted(entries: usize, cold: usize) {
     for seed in 1..4 {
         let report = simulate(&ColdSettings::builder().entries(entries).cold(cold).seed(seed).build());
-        assert!(report.most() as f64 <= ALLOWED, "seed {seed}: {} in a second", report.most());
-        assert!(report.used() >= 0.6, "seed {seed}: {} of the rate used", report.used());
+        assert!(
+            report.max_per_second() as f64 <= MAX_PER_SECOND,
+            "seed {seed}: {} in a second",
+            report.max_per_second()
+        );
+        assert!(
+            report.rate_fraction_used() >= 0.6,
+            "seed {seed}: {} of the rate used",
+            report.rate_fraction_used()
+        );
     }
 }
 
 #[test_case(14, 0, 0; "entries are killed")]
 #[test_case(0, 14, 0; "entries are cut off")]
 #[test_case(14, 14, 5_000; "both while clocks are apart")]
-fn it_holds_also_while(killed: usize, cut_off: usize, clocks_apart: u64) {
+fn cold_target_limit_holds_while(killed: usize, cut_off: usize, clock_skew_millis: u64) {
     for seed in 1..4 {
         let settings = ColdSettings::builder().entries(42).cold(4).seed(seed).killed(killed);
-        let report = simulate(&settings.cut_off(cut_off).clocks_apart(clocks_apart).build());
-        assert!(report.most() as f64 <= ALLOWED, "seed {seed}: {} in a second", report.most());
-        assert!(report.used() >= 0.4, "seed {seed}: {} of the rate used", report.used());
+        let report = simulate(&settings.cut_off(cut_off).clock_skew_millis(clock_skew_millis).build());
+        assert!(
+            report.max_per_second() as f64 <= MAX_PER_SECOND,
+            "seed {seed}: {} in a second",
+            report.max_per_second()
+        );
+        assert!(
+            report.rate_fraction_used() >= 0.4,
+            "seed {seed}: {} of the rate used",
+            report.rate_fraction_used()
+        );
     }
 }
 
 #[test]
-fn a_target_whose_connections_broke_counts_as_cold_before_its_row_says_so() {
+fn broken_connections_make_target_cold_before_its_row() {
     // Entries whose connections broke hold back; the others continue at 8 requests a second per target.
     let report = simulate(&ColdSettings::builder().entries(42).cold(4).rate(2.3).rows(false).build());
-    assert!(report.most() as f64 <= ALLOWED, "{} in a second", report.most());
+    assert!(report.max_per_second() as f64 <= MAX_PER_SECOND, "{} in a second", report.max_per_second());
 }
 
 fn service() -> ServiceName {
@@ -73,13 +89,13 @@
 }
 
 /// A process that is the only entry, with one target in each zone. A zone has the name of its target.
-struct Alone {
+struct SingleEntry {
     scheduler: RequestScheduler<()>,
     registry: TargetRegistry,
     zones: EmptiedZones,
 }
 
-impl Alone {
+impl SingleEntry {
     fn new(records: impl IntoIterator<Item = TargetRecord>) -> Self {
         let settings = BalancerSettings::builder().zone(zone("a")).per_rank(3).rank_limit(12).seed(1).build();
         let mut registry = TargetRegistry::default();
@@ -92,12 +108,12 @@
         Self { scheduler, registry, zones: EmptiedZones::default() }
     }
 
-    fn zones(&mut self, update: ZoneUpdate, at: u64) {
+    fn update_zones(&mut self, update: ZoneUpdate, at: u64) {
         self.zones.apply_update(update, UnixMillis(at));
         self.scheduler.set_emptied(&self.zones, UnixMillis(at));
     }
 
-    fn ask(&mut self, at: u64) -> String {
+    fn decide_at(&mut self, at: u64) -> String {
         let request = SlotRequest {
             service: service(),
             ranked: false,
@@ -117,47 +133,50 @@
     }
 
     /// Number of times a target is chosen for a hundred requests within a second.
-    fn count(&mut self, target: &str, from: u64) -> usize {
-        (0..100).filter(|index| self.ask(from + 10 * index) == target).count()
+    fn count_sends(&mut self, target: &str, from: u64) -> usize {
+        (0..100).filter(|index| self.decide_at(from + 10 * index) == target).count()
     }
 }
 
 #[test]
-fn a_zone_that_is_emptied_gets_nothing_and_comes_back_as_cold() {
-    let mut alone = Alone::new([record("a", 0, ColdStatus::Warm), record("b", 0, ColdStatus::Warm)]);
-    let chosen = alone.ask(1_000);
-    let place = alone.registry.records().find(|record| record.id.as_str() == chosen).unwrap().life();
-    assert!(alone.scheduler.is_still_valid(&place, None, UnixMillis(1_000)));
-    alone.zones(ZoneUpdate::Changed(vec![ZoneChange::Emptied(place.id.as_str().parse().unwrap())]), 1_100);
+fn emptied_zone_gets_no_requests_and_is_cold_once_restored() {
+    let mut entry = SingleEntry::new([record("a", 0, ColdStatus::Warm), record("b", 0, ColdStatus::Warm)]);
+    let chosen = entry.decide_at(1_000);
+    let life = entry.registry.records().find(|record| record.id.as_str() == chosen).unwrap().life();
+    assert!(entry.scheduler.is_still_valid(&life, None, UnixMillis(1_000)));
+    entry.update_zones(
+        ZoneUpdate::Changed(vec![ZoneChange::Emptied(life.id.as_str().parse().unwrap())]),
+        1_100,
+    );
     assert!(
-        !alone.scheduler.is_still_valid(&place, None, UnixMillis(1_101)),
+        !entry.scheduler.is_still_valid(&life, None, UnixMillis(1_101)),
         "a slot assigned earlier is no longer valid"
     );
-    assert_eq!(alone.count(&chosen, 1_200), 0);
-    let mut later = Alone::new([record("a", 0, ColdStatus::Warm), record("b", 0, ColdStatus::Warm)]);
-    later.zones(ZoneUpdate::Listed(vec![zone("a")]), 1_000);
-    later.zones(ZoneUpdate::Changed(vec![ZoneChange::Restored(zone("a"))]), 20_000);
-    let cold = later.count("a", 20_010);
+    assert_eq!(entry.count_sends(&chosen, 1_200), 0);
+    let mut restored = SingleEntry::new([record("a", 0, ColdStatus::Warm), record("b", 0, ColdStatus::Warm)]);
+    restored.update_zones(ZoneUpdate::Listed(vec![zone("a")]), 1_000);
+    restored.update_zones(ZoneUpdate::Changed(vec![ZoneChange::Restored(zone("a"))]), 20_000);
+    let cold = restored.count_sends("a", 20_010);
     assert!((1..=4).contains(&cold), "{cold} requests in the first second after its return");
-    assert_eq!(later.scheduler.cold_targets(UnixMillis(22_000)), 1);
-    assert_eq!(later.scheduler.cold_targets(UnixMillis(23_500)), 0);
+    assert_eq!(restored.scheduler.cold_targets(UnixMillis(22_000)), 1);
+    assert_eq!(restored.scheduler.cold_targets(UnixMillis(23_500)), 0);
 }
 
 #[test]
-fn where_all_zones_are_emptied_callers_are_refused_at_once_also_those_that_wait() {
-    let mut alone = Alone::new([record("a", 0, ColdStatus::Warm), record("b", 0, ColdStatus::Warm)]);
-    alone.zones(ZoneUpdate::Listed(vec![zone("a"), zone("b"), zone("unknown")]), 1_000);
-    assert_eq!(alone.ask(1_001), "the targets' zones are emptied");
+fn new_and_waiting_requests_are_refused_while_all_zones_are_emptied() {
+    let mut entry = SingleEntry::new([record("a", 0, ColdStatus::Warm), record("b", 0, ColdStatus::Warm)]);
+    entry.update_zones(ZoneUpdate::Listed(vec![zone("a"), zone("b"), zone("unknown")]), 1_000);
+    assert_eq!(entry.decide_at(1_001), "the targets' zones are emptied");
     assert_eq!(
-        alone.scheduler.refusal(&service(), UnixMillis(1_002)).to_string(),
+        entry.scheduler.refusal(&service(), UnixMillis(1_002)).to_string(),
         "the targets' zones are emptied"
     );
-    alone.zones(ZoneUpdate::Listed(vec![zone("b")]), 2_000);
-    assert!((0..10).any(|step| alone.ask(2_900 + 100 * step) == "a"), "it gets requests again");
+    entry.update_zones(ZoneUpdate::Listed(vec![zone("b")]), 2_000);
+    assert!((0..10).any(|step| entry.decide_at(2_900 + 100 * step) == "a"), "it gets requests again");
 }
 
 #[test]
-fn zones_are_emptied_and_taken_back_once_each() {
+fn each_zone_change_takes_effect_once() {
     let mut zones = EmptiedZones::default();
     let emptied = ZoneChange::Emptied(zone("a"));
     let restored = ZoneChange::Restored(zone("a"));
@@ -171,28 +190,28 @@
 
 /// What makes a target cold, and when it is warm again.
 #[test]
-fn only_time_makes_a_target_warm() {
+fn only_time_makes_target_warm() {
     let until = |at| ColdStatus::Until(UnixDeadline(UnixMillis(at)));
-    let mut alone = Alone::new([record("a", 1, until(2_000))]);
-    let cold = |alone: &Alone, at: u64| alone.scheduler.cold_targets(UnixMillis(at)) == 1;
-    assert_eq!([1_000, 1_999, 2_000].map(|at| cold(&alone, at)), [true, true, false]);
+    let mut entry = SingleEntry::new([record("a", 1, until(2_000))]);
+    let cold = |entry: &SingleEntry, at: u64| entry.scheduler.cold_targets(UnixMillis(at)) == 1;
+    assert_eq!([1_000, 1_999, 2_000].map(|at| cold(&entry, at)), [true, true, false]);
     // The row of the same life says that it became cold again, then that it is warm.
     for (status, cold_until) in
         [(until(6_000), 6_000), (ColdStatus::Warm, 6_000), (ColdStatus::Unknown, 6_000)]
     {
-        alone.registry.apply_changes(vec![record("a", 1, status).into()], None);
-        alone.scheduler.sync(&alone.registry);
-        assert_eq!([cold_until - 1, cold_until].map(|at| cold(&alone, at)), [true, false], "{status:?}");
+        entry.registry.apply_changes(vec![record("a", 1, status).into()], None);
+        entry.scheduler.sync(&entry.registry);
+        assert_eq!([cold_until - 1, cold_until].map(|at| cold(&entry, at)), [true, false], "{status:?}");
     }
     // Its own answer announces a cold time.
     let answer =
         BackpressureSignals { cold_millis: SignalValue::Present(500), ..BackpressureSignals::default() };
     let life = record("a", 1, ColdStatus::Warm).life();
-    alone.scheduler.apply_signals(&life, &answer, UnixMillis(7_000), UnixMillis(7_000));
-    assert_eq!([7_499, 7_500].map(|at| cold(&alone, at)), [true, false]);
+    entry.scheduler.apply_signals(&life, &answer, UnixMillis(7_000), UnixMillis(7_000));
+    assert_eq!([7_499, 7_500].map(|at| cold(&entry, at)), [true, false]);
     // Its connection broke. It may have restarted at any time until it answers, and counts as cold for
     // the whole cold time after that.
-    alone.scheduler.ended(
+    entry.scheduler.ended(
         &service(),
         &life,
         RequestWork::default(),
@@ -201,25 +220,25 @@
         UnixMillis(8_000),
     );
     let answered = BackpressureSignals { matches_request: true, ..BackpressureSignals::default() };
-    assert!(cold(&alone, 60_000));
-    alone.scheduler.apply_signals(&life, &answered, UnixMillis(61_000), UnixMillis(61_000));
-    assert_eq!([63_999, 64_000].map(|at| cold(&alone, at)), [true, false]);
+    assert!(cold(&entry, 60_000));
+    entry.scheduler.apply_signals(&life, &answered, UnixMillis(61_000), UnixMillis(61_000));
+    assert_eq!([63_999, 64_000].map(|at| cold(&entry, at)), [true, false]);
     // Another life whose row says nothing about a cold start.
-    alone.registry.apply_changes(vec![record("a", 2, ColdStatus::Unknown).into()], None);
-    alone.scheduler.sync(&alone.registry);
-    assert!(cold(&alone, 70_000));
+    entry.registry.apply_changes(vec![record("a", 2, ColdStatus::Unknown).into()], None);
+    entry.scheduler.sync(&entry.registry);
+    assert!(cold(&entry, 70_000));
 }
 
 #[test]
-fn a_service_without_a_rule_is_never_cold() {
-    let mut alone = Alone::new([record("a", 1, ColdStatus::Until(UnixDeadline(UnixMillis(9_000))))]);
-    alone.scheduler.set_cold_rules(HashMap::new());
-    assert_eq!(alone.scheduler.cold_targets(UnixMillis(1_000)), 0);
-    assert_eq!(alone.ask(1_000), "a");
+fn service_without_cold_rule_has_no_cold_targets() {
+    let mut entry = SingleEntry::new([record("a", 1, ColdStatus::Until(UnixDeadline(UnixMillis(9_000))))]);
+    entry.scheduler.set_cold_rules(HashMap::new());
+    assert_eq!(entry.scheduler.cold_targets(UnixMillis(1_000)), 0);
+    assert_eq!(entry.decide_at(1_000), "a");
 }
 
 #[test]
-fn numbers_are_bounded() {
+fn cold_time_is_bounded() {
     assert_eq!(ColdStatus::from_remaining(0, UnixMillis(5)), ColdStatus::Warm);
     let huge = ColdStatus::from_remaining(u64::MAX, UnixMillis(5));
     assert_eq!(huge, ColdStatus::Until(UnixDeadline(UnixMillis(600_005))));
--- a/crates/porthoist-policy/tests/policy/cold_start_simulation.rs
+++ b/crates/porthoist-policy/tests/policy/cold_start_simulation.rs
@@ -18,17 +18,17 @@
 /// Requests of one entry that a target runs concurrently.
 const SLOTS: u32 = 1;
 /// Unix time in milliseconds at which the simulation starts.
-const BEGIN: u64 = 1_700_000_000_000;
+const START_UNIX_MILLIS: u64 = 1_700_000_000_000;
 /// When targets restart, in milliseconds since the start.
-pub const START: u64 = 6_000;
+pub const RESTART_MILLIS: u64 = 6_000;
 /// Time in milliseconds for which they are cold.
-pub const COLD: u64 = 3_000;
+pub const COLD_MILLIS: u64 = 3_000;
 /// Requests a second that a cold target can take.
 pub const RATE: f64 = 17.0;
 /// Permitted requests in a second by the users' rule: one and a half times the rate, plus five.
-pub const ALLOWED: f64 = 1.5 * RATE + 5.0;
+pub const MAX_PER_SECOND: f64 = 1.5 * RATE + 5.0;
 /// Longest time in milliseconds until an entry reads a row.
-const ROW_MILLIS: u64 = 800;
+const MAX_ROW_DELAY_MILLIS: u64 = 800;
 
 #[derive(Debug, Clone, bon::Builder)]
 pub struct ColdSettings {
@@ -53,14 +53,15 @@
     pub cut_off: usize,
     /// Maximum difference between the clocks of entries in milliseconds.
     #[builder(default)]
-    pub clocks_apart: u64,
+    pub clock_skew_millis: u64,
     #[builder(default = 1)]
     pub seed: u64,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum ColdEvent {
-    Caller {
+    /// A caller sends a request.
+    Request {
         entry: usize,
     },
     Answer {
@@ -79,7 +80,8 @@
     Kill {
         entry: usize,
     },
-    Place {
+    /// An entry learns its position among the entries of its zone.
+    Position {
         entry: usize,
     },
 }
@@ -89,32 +91,34 @@
 pub struct ColdReport {
     pub served: usize,
     pub refused_cold: usize,
-    pub held_in_vain: usize,
+    pub expired_waiting: usize,
     /// Times of the requests that each restarted target got while it was cold.
     arrivals: BTreeMap<usize, Vec<u64>>,
 }
 
 impl ColdReport {
     /// Maximum number of requests that a cold target got in any second.
-    pub fn most(&self) -> usize {
-        let most = |times: &Vec<u64>| {
+    pub fn max_per_second(&self) -> usize {
+        let max_in_a_second = |times: &Vec<u64>| {
             let within = |from: &u64| times.iter().filter(|at| **at >= *from && **at < from + 1_000).count();
             times.iter().map(within).max().unwrap_or_default()
         };
-        self.arrivals.values().map(most).max().unwrap_or_default()
+        self.arrivals.values().map(max_in_a_second).max().unwrap_or_default()
     }
 
     /// Fraction of the rate that cold targets got in their last two seconds.
-    pub fn used(&self) -> f64 {
-        let late = |times: &Vec<u64>| times.iter().filter(|at| **at >= START + COLD - 2_000).count() as f64;
-        let all: f64 = self.arrivals.values().map(late).sum();
+    pub fn rate_fraction_used(&self) -> f64 {
+        let sent_late = |times: &Vec<u64>| {
+            times.iter().filter(|at| **at >= RESTART_MILLIS + COLD_MILLIS - 2_000).count() as f64
+        };
+        let all: f64 = self.arrivals.values().map(sent_late).sum();
         all / (2.0 * RATE * self.arrivals.len() as f64)
     }
 }
 
 struct SimulatedEntry {
     scheduler: RequestScheduler<u64>,
-    clock_ahead: u64,
+    clock_offset_millis: u64,
     life: u64,
 }
 
@@ -134,10 +138,10 @@
 pub fn simulate(settings: &ColdSettings) -> ColdReport {
     let mut fleet = ColdFleet::new(settings.clone());
     while let Some(Reverse((at, _sequence, event))) = fleet.events.pop() {
-        if at >= START + COLD {
+        if at >= RESTART_MILLIS + COLD_MILLIS {
             break;
         }
-        fleet.take(event, at);
+        fleet.handle(event, at);
     }
     fleet.report
 }
@@ -149,13 +153,13 @@
 impl ColdFleet {
     fn new(settings: ColdSettings) -> Self {
         let service: ServiceName = "s".parse().unwrap();
-        let in_zone = settings.targets / settings.zones;
+        let targets_per_zone = settings.targets / settings.zones;
         let record = |index: usize| TargetRecord {
             id: format!("t{index}").parse().unwrap(),
             born: StartMillis::default(),
             service: service.clone(),
             address: format!("10.0.{}.{}:1", index / 250, index % 250).parse().unwrap(),
-            zone: zone_name(index / in_zone),
+            zone: zone_name(index / targets_per_zone),
             slots: SLOTS,
             state: TargetState::Ready,
             cold: ColdStatus::Warm,
@@ -173,40 +177,41 @@
             settings,
         };
         for index in 0..fleet.settings.entries {
-            let entry = fleet.entry(index, 0);
+            let entry = fleet.new_entry(index, 0);
             fleet.entries.push(entry);
-            fleet.tell_rows(index, 0);
-            fleet.at(0, ColdEvent::Caller { entry: index });
-            fleet.at(0, ColdEvent::Place { entry: index });
-            let learnt = START + fleet.random.random_range(0..ROW_MILLIS);
+            fleet.read_rows(index, 0);
+            fleet.schedule(0, ColdEvent::Request { entry: index });
+            fleet.schedule(0, ColdEvent::Position { entry: index });
+            let row_read_at = RESTART_MILLIS + fleet.random.random_range(0..MAX_ROW_DELAY_MILLIS);
             if index >= fleet.settings.cut_off {
-                fleet.at(learnt, ColdEvent::Row { entry: index });
+                fleet.schedule(row_read_at, ColdEvent::Row { entry: index });
             }
         }
         for index in 0..fleet.settings.killed {
-            fleet.at(START + 1_000 + 40 * index as u64, ColdEvent::Kill { entry: index });
+            fleet.schedule(RESTART_MILLIS + 1_000 + 40 * index as u64, ColdEvent::Kill { entry: index });
         }
         fleet
     }
 
-    fn entry(&mut self, index: usize, life: u64) -> SimulatedEntry {
+    fn new_entry(&mut self, index: usize, life: u64) -> SimulatedEntry {
         let zone = zone_name(index % self.settings.zones);
         let settings = BalancerSettings::builder().zone(zone).per_rank(3).rank_limit(12);
         let mut scheduler = RequestScheduler::new(settings.seed(index as u64).build());
-        let rule = ColdRule { rate: RequestRate(RATE), millis: COLD };
+        let rule = ColdRule { rate: RequestRate(RATE), millis: COLD_MILLIS };
         scheduler.set_cold_rules(HashMap::from([(self.service.clone(), rule)]));
-        let clock_ahead = self.random.random_range(0..=self.settings.clocks_apart);
-        SimulatedEntry { scheduler, clock_ahead, life }
+        let clock_offset_millis = self.random.random_range(0..=self.settings.clock_skew_millis);
+        SimulatedEntry { scheduler, clock_offset_millis, life }
     }
 
     /// Updates an entry with the rows at a time.
-    fn tell_rows(&mut self, entry: usize, at: u64) {
+    fn read_rows(&mut self, entry: usize, at: u64) {
         let now = self.clock(entry, at);
         let mut records = self.records.clone();
-        if at >= START && self.settings.rows {
+        if at >= RESTART_MILLIS && self.settings.rows {
             for record in &mut records[..self.settings.cold] {
                 record.born = StartMillis(1);
-                record.cold = ColdStatus::from_remaining((START + COLD).saturating_sub(at), now);
+                record.cold =
+                    ColdStatus::from_remaining((RESTART_MILLIS + COLD_MILLIS).saturating_sub(at), now);
             }
         }
         let mut registry = TargetRegistry::default();
@@ -214,40 +219,40 @@
         self.entries[entry].scheduler.sync(&registry);
     }
 
-    fn at(&mut self, at: u64, event: ColdEvent) {
+    fn schedule(&mut self, at: u64, event: ColdEvent) {
         self.sequence += 1;
         self.events.push(Reverse((at, self.sequence, event)));
     }
 
     fn clock(&self, entry: usize, at: u64) -> UnixMillis {
-        UnixMillis(BEGIN + at + self.entries[entry].clock_ahead)
+        UnixMillis(START_UNIX_MILLIS + at + self.entries[entry].clock_offset_millis)
     }
 
-    fn take(&mut self, event: ColdEvent, at: u64) {
+    fn handle(&mut self, event: ColdEvent, at: u64) {
         match event {
-            ColdEvent::Caller { entry } => self.caller(entry, at),
+            ColdEvent::Request { entry } => self.request_arrives(entry, at),
             ColdEvent::Answer { entry, target, life, lost } => self.answer(entry, target, life, lost, at),
             ColdEvent::Turn { entry } => self.serve_waiting(entry, at),
-            ColdEvent::Row { entry } => self.tell_rows(entry, at),
-            ColdEvent::Place { entry } => {
+            ColdEvent::Row { entry } => self.read_rows(entry, at),
+            ColdEvent::Position { entry } => {
                 let (zones, entries) = (self.settings.zones, self.settings.entries);
-                let in_zone = (entries - entry % zones).div_ceil(zones) as u32;
-                let position = EntryPosition { index: (entry / zones) as u32, entries: in_zone };
+                let zone_entries = (entries - entry % zones).div_ceil(zones) as u32;
+                let position = EntryPosition { index: (entry / zones) as u32, entries: zone_entries };
                 self.entries[entry].scheduler.set_entry_position(Some(position));
             }
             ColdEvent::Kill { entry } => {
                 let life = self.entries[entry].life + 1;
-                self.entries[entry] = self.entry(entry, life);
-                self.tell_rows(entry, at);
-                self.at(at + 1_000, ColdEvent::Place { entry });
+                self.entries[entry] = self.new_entry(entry, life);
+                self.read_rows(entry, at);
+                self.schedule(at + 1_000, ColdEvent::Position { entry });
             }
         }
     }
 
-    fn caller(&mut self, entry: usize, at: u64) {
+    fn request_arrives(&mut self, entry: usize, at: u64) {
         let pause = -(1_000.0 / self.settings.rate) * (1.0 - self.random.random::<f64>()).ln();
         let next = at as f64 + pause + self.random.random::<f64>();
-        self.at(next as u64, ColdEvent::Caller { entry });
+        self.schedule(next as u64, ColdEvent::Request { entry });
         let now = self.clock(entry, at);
         let request = SlotRequest {
             service: self.service.clone(),
@@ -271,23 +276,23 @@
         }
     }
 
-    fn place(&self, life: &TargetLife) -> usize {
-        let place = self.records.iter().position(|record| record.id == life.id);
-        place.expect("targets stay")
+    fn target_index(&self, life: &TargetLife) -> usize {
+        let index = self.records.iter().position(|record| record.id == life.id);
+        index.expect("targets stay")
     }
 
     fn next_turn(&mut self, entry: usize, at: u64) {
         let now = self.clock(entry, at);
         if let Some(turn) = self.entries[entry].scheduler.next_turn(&self.service, now) {
-            self.at(at + turn.0.since(now), ColdEvent::Turn { entry });
+            self.schedule(at + turn.0.since(now), ColdEvent::Turn { entry });
         }
     }
 
     fn serve_waiting(&mut self, entry: usize, at: u64) {
         let now = self.clock(entry, at);
-        let vain = std::cell::Cell::new(0);
+        let expired = std::cell::Cell::new(0);
         let waits = |until: &u64| {
-            vain.set(vain.get() + usize::from(*until <= at));
+            expired.set(expired.get() + usize::from(*until <= at));
             *until > at
         };
         while let Some((_until, chosen, _work)) =
@@ -295,25 +300,25 @@
         {
             self.send(entry, &chosen, at);
         }
-        self.report.held_in_vain += vain.get();
+        self.report.expired_waiting += expired.get();
         if self.entries[entry].scheduler.waiting() > 0 {
             self.next_turn(entry, at);
         }
     }
 
     fn send(&mut self, entry: usize, chosen: &ChosenTarget, at: u64) {
-        let target = self.place(&chosen.record.life());
-        let starts = target < self.settings.cold;
+        let target = self.target_index(&chosen.record.life());
+        let restarts = target < self.settings.cold;
         // Requests that run when a target ends are lost, as are those sent to the life that has ended.
-        let newest = chosen.record.born == StartMillis(u64::from(starts && self.settings.rows));
-        let ends = if at < START { at + RUN_MILLIS >= START } else { !newest };
-        let lost = starts && ends;
-        if starts && at >= START && newest {
+        let is_newest_life = chosen.record.born == StartMillis(u64::from(restarts && self.settings.rows));
+        let life_ends = if at < RESTART_MILLIS { at + RUN_MILLIS >= RESTART_MILLIS } else { !is_newest_life };
+        let lost = restarts && life_ends;
+        if restarts && at >= RESTART_MILLIS && is_newest_life {
             self.report.arrivals.entry(target).or_default().push(at);
         }
         self.report.served += usize::from(!lost);
         let life = self.entries[entry].life;
-        self.at(at + RUN_MILLIS, ColdEvent::Answer { entry, target, life, lost });
+        self.schedule(at + RUN_MILLIS, ColdEvent::Answer { entry, target, life, lost });
     }
 
     fn answer(&mut self, entry: usize, target: usize, life: u64, lost: bool, at: u64) {
--- a/crates/porthoist-policy/tests/policy/copy_times.rs
+++ b/crates/porthoist-policy/tests/policy/copy_times.rs
@@ -15,17 +15,17 @@
 #[test_case(400.0, 150.0, 1; "a slow link")]
 #[test_case(100.0, 200.0, 3; "a link four times faster")]
 #[test_case(10.0, 200.0, 4; "copies that take next to nothing")]
-fn a_plan_gives_a_rank_as_many_copies_as_pay(copy_millis: f64, switch_millis: f64, expected: usize) {
+fn copies_per_rank_follow_observed_times(copy_millis: f64, switch_millis: f64, expected: usize) {
     assert_eq!(times(copy_millis, switch_millis).copies_per_rank(4), expected);
 }
 
 #[test]
-fn the_first_plan_is_the_shortest() {
+fn first_plan_has_one_copy_per_rank() {
     assert_eq!(CopyTimes::default().copies_per_rank(4), 1);
 }
 
 #[test]
-fn a_copy_that_waited_for_a_lost_order_does_not_count() {
+fn copy_delayed_by_lost_order_is_ignored() {
     let mut times = times(400.0, 150.0);
     times.record_copies(1, 6_000.0);
     assert_eq!(times.copy_millis(), Some(400.0));
--- a/crates/porthoist-policy/tests/policy/demand.rs
+++ b/crates/porthoist-policy/tests/policy/demand.rs
@@ -20,8 +20,8 @@
     for _request in 0..REQUESTS {
         for set in 0..SETS {
             for _choice in 0..CHOSEN {
-                let spread = random.random_range(0..EXPERTS / 4) + random.random_range(0..EXPERTS / 4);
-                let expert = (centre + spread) % EXPERTS;
+                let offset = random.random_range(0..EXPERTS / 4) + random.random_range(0..EXPERTS / 4);
+                let expert = (centre + offset) % EXPERTS;
                 counts[set * EXPERTS + expert] += COUNTS_PER_CHOICE;
             }
         }
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_shift_is_seen_in_the_window_after_the_first_that_shows_it() {
+fn shift_is_confirmed_by_next_window() {
     let mut random = Pcg64Mcg::seed_from_u64(2);
     let mut estimator = DemandEstimator::new(SETS, EXPERTS);
     for shift in 1..20 {
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn after_a_shift_the_estimate_is_the_mean_of_what_came_since() {
+fn estimate_after_shift_is_mean_of_later_windows() {
     let mut random = Pcg64Mcg::seed_from_u64(3);
     let mut estimator = DemandEstimator::new(SETS, EXPERTS);
     for _window in 0..20 {
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn counts_of_another_shape_change_nothing() {
+fn counts_of_other_shape_are_ignored() {
     let mut estimator = DemandEstimator::new(SETS, EXPERTS);
     let before = estimator.demand().to_vec();
     assert_eq!(estimator.add_window(&[5; EXPERTS]), DemandChange::Steady);
@@ -100,18 +100,18 @@
 
 /// A shift before the usual deviation is learned must not be learned as noise, which would hide later shifts.
 #[test]
-fn a_shift_in_the_first_windows_does_not_hide_the_next() {
+fn early_shift_does_not_hide_later_shifts() {
     let mut random = Pcg64Mcg::seed_from_u64(4);
     let mut estimator = DemandEstimator::new(SETS, EXPERTS);
     for centre in [0, 30, 30, 30] {
         estimator.add_window(&window(&mut random, centre));
     }
-    let mut seen = 0;
+    let mut shifts = 0;
     for shift in 2..8 {
         for _window in 0..12 {
             let changes = estimator.add_window(&window(&mut random, shift * 30));
-            seen += u32::from(changes == DemandChange::Shifted);
+            shifts += u32::from(changes == DemandChange::Shifted);
         }
     }
-    assert_eq!(seen, 6);
+    assert_eq!(shifts, 6);
 }
--- a/crates/porthoist-policy/tests/policy/equal_shares.rs
+++ b/crates/porthoist-policy/tests/policy/equal_shares.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_skewed_demand_is_evened_out_in_a_few_plans() {
+fn skewed_demand_is_balanced_in_few_plans() {
     let demand = vec![skewed(3), skewed(11)];
     let mut map = first_map(2);
     let before = skew(&map, &demand);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn an_even_demand_moves_nothing() {
+fn even_demand_moves_no_experts() {
     let demand = vec![vec![1.0 / EXPERTS as f64; EXPERTS]];
     let even = EqualShareMap::new(vec![
         (0..RANKS)
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn changes_to_a_map_make_the_next_one() {
+fn changes_reproduce_next_map() {
     let first = improve(&first_map(2), &[skewed(3), skewed(11)], &[], &bounds(2, 3)).map;
     let next = improve(&first, &[skewed(4), skewed(11)], &[], &bounds(2, 3)).map;
     assert_ne!(next, first);
@@ -71,7 +71,7 @@
 
 proptest! {
     #[test]
-    fn a_plan_keeps_every_expert_and_every_bound(
+    fn plan_keeps_every_expert_and_bound(
         weights in prop::collection::vec(0.0_f64..1.0, EXPERTS),
         max_new_experts in 0_usize..3,
         max_new_per_rank in 0_usize..5,
@@ -98,7 +98,7 @@
 
 /// All ranks wait for a slow one, so it must end up with almost no work. After it recovers, it gets its share back.
 #[test]
-fn a_slow_rank_is_emptied_and_filled_again() {
+fn slow_rank_is_relieved_and_refilled() {
     let demand = [skewed(3), skewed(11)];
     let ranks = first_map(2).sets()[0].len();
     let slow: Vec<RankPace> =
@@ -111,9 +111,9 @@
     };
     let healthy = settled(first_map(2), &[]);
     let before = improve(&healthy, &demand, &slow, &bounds(2, 1)).skew_before;
-    let spared = settled(healthy, &slow);
-    let plan = improve(&spared, &demand, &slow, &bounds(2, 1));
+    let relieved = settled(healthy, &slow);
+    let plan = improve(&relieved, &demand, &slow, &bounds(2, 1));
     assert!(before > 8.0, "{before}");
     assert!(plan.skew_before < 2.2, "{}", plan.skew_before);
-    assert!(skew(&settled(spared, &[]), &demand) < 1.5);
+    assert!(skew(&settled(relieved, &[]), &demand) < 1.5);
 }
--- a/crates/porthoist-policy/tests/policy/gate.rs
+++ b/crates/porthoist-policy/tests/policy/gate.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_ticket_runs_once_and_is_replayed() {
+fn ticket_runs_once_and_answer_is_replayed() {
     let mut gate = GateMachine::new(INCARNATION, 10);
     let ticket = gate.mint(UnixMillis(0), DEADLINE).unwrap();
     assert_eq!(gate.offer(UnixMillis(1), offer(ticket), || Ok(())), GateDecision::Run);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_refusal_spends_the_ticket() {
+fn refusal_spends_ticket() {
     let mut gate = GateMachine::new(INCARNATION, 10);
     let ticket = gate.mint(UnixMillis(0), DEADLINE).unwrap();
     let refused = gate.offer(UnixMillis(1), offer(ticket), || Err(RefusalReason::Overloaded));
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn another_life_another_body_or_a_passed_deadline_may_have_run() {
+fn foreign_mismatched_and_expired_offers_may_have_run() {
     let mut gate = GateMachine::new(INCARNATION, 10);
     let ticket = gate.mint(UnixMillis(0), DEADLINE).unwrap();
     let foreign = GateOffer { incarnation: IncarnationId(8), ..offer(ticket) };
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn memory_is_bounded_and_tickets_reserve_theirs() {
+fn records_are_bounded_and_tickets_reserve_theirs() {
     let mut gate = GateMachine::new(INCARNATION, 2);
     assert!(gate.mint(UnixMillis(0), DEADLINE).is_some());
     assert!(gate.mint(UnixMillis(0), DEADLINE).is_some());
--- a/crates/porthoist-policy/tests/policy/group_loads.rs
+++ b/crates/porthoist-policy/tests/policy/group_loads.rs
@@ -61,33 +61,34 @@
 }
 
 /// Sends one request; returns its rank.
-fn place(balancer: &mut LoadBalancer, now: u64) -> Option<usize> {
+fn choose_rank(balancer: &mut LoadBalancer, now: u64) -> Option<usize> {
     let chosen = balancer.choose(&service(), true, RequestWork::default(), &[], UnixMillis(now))?;
     chosen.record.id.as_str().trim_start_matches('t').parse().ok()
 }
 
 #[test]
-fn a_rank_that_others_fill_gets_nothing() {
+fn rank_filled_by_others_gets_no_requests() {
     let mut balancer = balancer(3, 1);
     balancer.update_loads(&loads(&[RANK_LIMIT, 0, RANK_LIMIT]), UnixMillis(0));
-    let placed: Vec<Option<usize>> = (0..=RANK_LIMIT).map(|_request| place(&mut balancer, 10)).collect();
+    let placed: Vec<Option<usize>> =
+        (0..=RANK_LIMIT).map(|_request| choose_rank(&mut balancer, 10)).collect();
     assert_eq!(placed[..8], [Some(1); 8], "more than the process would send of itself");
     assert_eq!(placed[8], None, "all are full");
 }
 
 #[test]
-fn own_requests_in_a_report_count_once() {
+fn own_requests_in_report_count_once() {
     let mut balancer = balancer(1, 1);
-    assert_eq!(place(&mut balancer, 0), Some(0));
+    assert_eq!(choose_rank(&mut balancer, 0), Some(0));
     balancer.update_loads(&loads(&[RANK_LIMIT]), UnixMillis(10));
-    assert_eq!(place(&mut balancer, 10), None);
+    assert_eq!(choose_rank(&mut balancer, 10), None);
     balancer.ended(&life("t0"), RequestWork::default(), SendOutcome::Answered(1.0), UnixMillis(20));
-    assert_eq!(place(&mut balancer, 20), Some(0), "the others have seven there");
-    assert_eq!(place(&mut balancer, 20), None);
+    assert_eq!(choose_rank(&mut balancer, 20), Some(0), "the others have seven there");
+    assert_eq!(choose_rank(&mut balancer, 20), None);
 }
 
 #[test]
-fn a_choice_tells_what_was_reported_and_how_old_it_is() {
+fn choice_contains_reported_load_and_its_age() {
     let mut balancer = balancer(1, 1);
     balancer.update_loads(&loads(&[4]), UnixMillis(100));
     let mut chosen = |now| balancer.choose(&service(), true, RequestWork::default(), &[], UnixMillis(now));
@@ -98,17 +99,20 @@
 }
 
 #[test]
-fn an_old_report_counts_no_more() {
+fn expired_report_is_ignored() {
     let mut balancer = balancer(2, 1);
     balancer.update_loads(&loads(&[RANK_LIMIT, RANK_LIMIT]), UnixMillis(0));
-    assert_eq!(place(&mut balancer, REPORT_VALIDITY_MILLIS - 1), None);
-    assert!(place(&mut balancer, REPORT_VALIDITY_MILLIS).is_some(), "it uses only its own requests again");
+    assert_eq!(choose_rank(&mut balancer, REPORT_VALIDITY_MILLIS - 1), None);
+    assert!(
+        choose_rank(&mut balancer, REPORT_VALIDITY_MILLIS).is_some(),
+        "it uses only its own requests again"
+    );
 }
 
 /// Guards against processes that all choose the least loaded rank: forty processes see the same report
 /// and send two requests each, and every rank must end near the common level.
 #[test]
-fn processes_that_see_the_same_report_do_not_choose_the_same_rank() {
+fn processes_with_same_report_choose_different_ranks() {
     let ranks = 63;
     let before: Vec<u32> = (0..ranks as u32).map(|rank| if rank == 0 { 0 } else { 4 + rank % 3 }).collect();
     let mut after = before.clone();
@@ -116,7 +120,7 @@
         let mut balancer = balancer(ranks, process);
         balancer.update_loads(&loads(&before), UnixMillis(0));
         for _request in 0..2 {
-            after[place(&mut balancer, 10).expect("there is room")] += 1;
+            after[choose_rank(&mut balancer, 10).expect("there is room")] += 1;
         }
     }
     let most = after.iter().max().copied().unwrap_or_default();
@@ -127,71 +131,71 @@
 }
 
 #[test]
-fn a_rank_without_a_report_counts_as_the_mean_of_the_others() {
+fn rank_without_report_counts_as_mean_of_others() {
     let mut balancer = balancer(4, 1);
     balancer
         .update_loads(&GroupLoads { ranks: loads(&[4, 2]).ranks, ..GroupLoads::default() }, UnixMillis(0));
     let mut placed = [0; 4];
-    while let Some(rank) = place(&mut balancer, 10) {
+    while let Some(rank) = choose_rank(&mut balancer, 10) {
         placed[rank] += 1;
     }
-    let taken = |others: u32| (RANK_LIMIT - others) as usize;
-    assert_eq!(placed, [taken(4), taken(2), taken(3), taken(3)]);
+    let room = |others: u32| (RANK_LIMIT - others) as usize;
+    assert_eq!(placed, [room(4), room(2), room(3), room(3)]);
 }
 
 #[test]
-fn a_rank_whose_process_is_not_heard_gets_requests_only_where_the_others_are_full() {
+fn silent_rank_gets_requests_only_when_others_are_full() {
     let mut balancer = balancer(2, 1);
     let silent = RankLoad { silent: true, ..loads(&[0]).ranks[0] };
     let ranks = vec![silent, loads(&[0, 0]).ranks[1]];
     balancer.update_loads(&GroupLoads { ranks, ..GroupLoads::default() }, UnixMillis(0));
-    let placed: Vec<Option<usize>> = (0..3).map(|_request| place(&mut balancer, 10)).collect();
+    let placed: Vec<Option<usize>> = (0..3).map(|_request| choose_rank(&mut balancer, 10)).collect();
     assert_eq!(placed, [Some(1); 3]);
-    let rest: Vec<Option<usize>> = (0..13).map(|_request| place(&mut balancer, 10)).collect();
-    assert_eq!(rest.iter().filter(|rank| **rank == Some(0)).count(), RANK_LIMIT as usize);
+    let later: Vec<Option<usize>> = (0..13).map(|_request| choose_rank(&mut balancer, 10)).collect();
+    assert_eq!(later.iter().filter(|rank| **rank == Some(0)).count(), RANK_LIMIT as usize);
 }
 
 #[test]
-fn a_rank_that_says_it_is_full_gets_nothing_until_its_next_report() {
+fn rank_that_sheds_gets_no_requests_until_next_report() {
     let mut balancer = balancer(2, 1);
     balancer.update_loads(&loads(&[0, 5]), UnixMillis(0));
-    assert_eq!(place(&mut balancer, 10), Some(0));
+    assert_eq!(choose_rank(&mut balancer, 10), Some(0));
     balancer.ended(&life("t0"), RequestWork::default(), SendOutcome::Shed, UnixMillis(20));
-    assert_eq!([place(&mut balancer, 30), place(&mut balancer, 30)], [Some(1); 2]);
+    assert_eq!([choose_rank(&mut balancer, 30), choose_rank(&mut balancer, 30)], [Some(1); 2]);
     balancer.update_loads(&loads(&[0, 8]), UnixMillis(100));
-    assert_eq!(place(&mut balancer, 110), Some(0));
+    assert_eq!(choose_rank(&mut balancer, 110), Some(0));
 }
 
 /// Guards against counting the last loads of a broken group as new: its reports repeat the last known
 /// loads.
 #[test]
-fn the_end_of_a_group_makes_its_last_loads_no_fresher() {
+fn report_of_broken_group_does_not_refresh_its_loads() {
     let mut balancer = balancer(1, 1);
     balancer.update_loads(&loads(&[RANK_LIMIT - 1]), UnixMillis(0));
-    assert_eq!(place(&mut balancer, 10), Some(0));
+    assert_eq!(choose_rank(&mut balancer, 10), Some(0));
     let broken = GroupLoads { pass: GroupPass::Broken, ..loads(&[RANK_LIMIT - 1]) };
     balancer.update_loads(&broken, UnixMillis(20));
-    assert_eq!(place(&mut balancer, 30), None, "the reported loads don't include the own request");
+    assert_eq!(choose_rank(&mut balancer, 30), None, "the reported loads don't include the own request");
 }
 
 /// One of six processes, whose group has stalled: it sends no more than its share until reports resume.
 #[test]
-fn without_reports_a_process_keeps_to_its_usual_part() {
+fn process_without_reports_keeps_to_its_usual_share() {
     let mut balancer = balancer(2, 1);
     for _request in 0..4 {
-        place(&mut balancer, 0);
+        choose_rank(&mut balancer, 0);
     }
     for report in 0..100 {
         balancer.update_loads(&loads(&[12, 12]), UnixMillis(report * 100));
     }
-    let gone = UnixMillis(10_000 + REPORT_VALIDITY_MILLIS);
+    let expired = UnixMillis(10_000 + REPORT_VALIDITY_MILLIS);
     assert_eq!(
-        place(&mut balancer, gone.0),
+        choose_rank(&mut balancer, expired.0),
         None,
         "a sixth of {RANK_LIMIT} is two at each, and four are there"
     );
-    balancer.ended(&life("t0"), RequestWork::default(), SendOutcome::Abandoned, gone);
-    assert_eq!(place(&mut balancer, gone.0), Some(0));
+    balancer.ended(&life("t0"), RequestWork::default(), SendOutcome::Abandoned, expired);
+    assert_eq!(choose_rank(&mut balancer, expired.0), Some(0));
 }
 
 /// The load of a slow rank, where an empty step takes as long as five requests.
@@ -199,6 +203,6 @@
 #[test_case(0, 1_600, 3; "somewhat slow")]
 #[test_case(4, 1_600, 9; "somewhat slow and busy")]
 #[test_case(0, 12_000, 55; "so slow that it gets nothing")]
-fn a_slow_rank_counts_as_fuller(requests: u32, pace: u32, expected: u32) {
+fn slow_rank_counts_as_more_loaded(requests: u32, pace: u32, expected: u32) {
     assert_eq!(equivalent_requests(requests, 5.0, RankPace(pace)), expected);
 }
--- a/crates/porthoist-policy/tests/policy/group_selection.rs
+++ b/crates/porthoist-policy/tests/policy/group_selection.rs
@@ -12,7 +12,7 @@
 const RANKS: usize = 8;
 const RANK_LIMIT: u32 = 10;
 /// A typical pass time.
-const USUAL: GroupPass = GroupPass::Millis(50);
+const TYPICAL_PASS: GroupPass = GroupPass::Millis(50);
 
 fn service() -> ServiceName {
     "s".parse().expect("a name")
@@ -43,8 +43,8 @@
 /// A balancer with reports from all groups at time 0.
 fn balancer(seed: u64, passes: [GroupPass; GROUPS]) -> LoadBalancer {
     let mut registry = TargetRegistry::default();
-    let places = (0..GROUPS).flat_map(|group| (0..RANKS).map(move |rank| (group, rank)));
-    registry.apply_listing(places.map(|(group, rank)| record(group, rank)), None);
+    let ranks = (0..GROUPS).flat_map(|group| (0..RANKS).map(move |rank| (group, rank)));
+    registry.apply_listing(ranks.map(|(group, rank)| record(group, rank)), None);
     let settings = BalancerSettings::builder()
         .zone("a".parse().expect("a name"))
         .per_rank(3)
@@ -60,7 +60,7 @@
 }
 
 /// Sends one request and ends it at once; returns its group.
-fn place(balancer: &mut LoadBalancer, now: u64) -> usize {
+fn send_one(balancer: &mut LoadBalancer, now: u64) -> usize {
     let chosen = balancer.choose(&service(), true, RequestWork::default(), &[], UnixMillis(now));
     let record = chosen.expect("there is room").record;
     balancer.ended(&record.life(), RequestWork::default(), SendOutcome::Answered(10.0), UnixMillis(now));
@@ -69,124 +69,124 @@
 }
 
 /// Number of requests by group: 30 from each of 20 processes.
-fn placed(passes: [GroupPass; GROUPS], now: u64) -> [usize; GROUPS] {
+fn requests_by_group(passes: [GroupPass; GROUPS], now: u64) -> [usize; GROUPS] {
     let mut counts = [0; GROUPS];
     for seed in 0..20 {
         let mut balancer = balancer(seed, passes);
         for _request in 0..30 {
-            counts[place(&mut balancer, now)] += 1;
+            counts[send_one(&mut balancer, now)] += 1;
         }
     }
     counts
 }
 
 #[test]
-fn groups_that_do_alike_get_alike() {
-    let counts = placed([USUAL; GROUPS], 10);
+fn equal_groups_get_equal_load() {
+    let counts = requests_by_group([TYPICAL_PASS; GROUPS], 10);
     assert!(counts.iter().all(|count| (150..250).contains(count)), "{counts:?}");
 }
 
 #[test]
-fn a_group_whose_passes_take_twelve_times_as_long_gets_nothing() {
-    let counts = placed([USUAL, GroupPass::Millis(600), USUAL], 10);
+fn group_slower_by_factor_12_gets_no_requests() {
+    let counts = requests_by_group([TYPICAL_PASS, GroupPass::Millis(600), TYPICAL_PASS], 10);
     assert_eq!(counts[1], 0, "{counts:?}");
 }
 
 #[test]
-fn a_group_that_is_somewhat_slow_gets_less() {
-    let counts = placed([USUAL, GroupPass::Millis(90), USUAL], 10);
+fn slightly_slow_group_gets_fewer_requests() {
+    let counts = requests_by_group([TYPICAL_PASS, GroupPass::Millis(90), TYPICAL_PASS], 10);
     assert!(counts[1] > 0 && counts[1] < counts[0], "{counts:?}");
 }
 
 /// A rank that is slower by a factor of 12 stretches the passes of a lightly loaded group to some
 /// 270 ms, which makes all its streams late.
 #[test]
-fn a_group_that_makes_its_streams_late_gets_nothing_while_others_have_room() {
-    assert_eq!(placed([USUAL, GroupPass::Millis(270), USUAL], 10)[1], 0);
+fn late_group_gets_no_requests_while_others_have_room() {
+    assert_eq!(requests_by_group([TYPICAL_PASS, GroupPass::Millis(270), TYPICAL_PASS], 10)[1], 0);
 }
 
 /// Both pass times are in time, and their measurement has errors.
 #[test]
-fn groups_with_good_passes_are_not_told_apart() {
-    let counts = placed([USUAL, GroupPass::Millis(75), USUAL], 10);
+fn groups_with_good_pass_times_are_equal() {
+    let counts = requests_by_group([TYPICAL_PASS, GroupPass::Millis(75), TYPICAL_PASS], 10);
     assert!(counts.iter().all(|count| (150..250).contains(count)), "{counts:?}");
 }
 
 #[test]
-fn a_group_that_is_not_formed_gets_nothing() {
-    assert_eq!(placed([USUAL, USUAL, GroupPass::Broken], 10)[2], 0);
+fn broken_group_gets_no_requests() {
+    assert_eq!(requests_by_group([TYPICAL_PASS, TYPICAL_PASS, GroupPass::Broken], 10)[2], 0);
 }
 
 #[test]
-fn where_no_group_goes_on_all_get_requests_as_if_nothing_was_known() {
-    let counts = placed([GroupPass::Millis(900); GROUPS], 10);
+fn all_groups_get_requests_if_all_have_stalled() {
+    let counts = requests_by_group([GroupPass::Millis(900); GROUPS], 10);
     assert!(counts.iter().all(|count| *count > 100), "{counts:?}");
 }
 
 /// Nothing is heard from groups 1 and 2: their link is cut, or they have stalled.
 #[test]
-fn a_group_that_nothing_is_heard_of_gets_nothing() {
+fn silent_group_gets_no_requests() {
     for seed in 0..20 {
-        let mut balancer = balancer(seed, [USUAL; GROUPS]);
-        balancer.update_loads(&loads(0, 4, USUAL), UnixMillis(700));
-        let groups: Vec<usize> = (0..30).map(|_request| place(&mut balancer, 700)).collect();
+        let mut balancer = balancer(seed, [TYPICAL_PASS; GROUPS]);
+        balancer.update_loads(&loads(0, 4, TYPICAL_PASS), UnixMillis(700));
+        let groups: Vec<usize> = (0..30).map(|_request| send_one(&mut balancer, 700)).collect();
         assert_eq!(groups, [0; 30]);
     }
 }
 
 #[test]
-fn groups_stay_apart_when_a_rank_moves_from_one_to_another() {
-    let mut balancer = balancer(1, [USUAL; GROUPS]);
-    let mut grown = loads(1, 4, USUAL);
+fn groups_stay_distinct_when_rank_moves() {
+    let mut balancer = balancer(1, [TYPICAL_PASS; GROUPS]);
+    let mut grown = loads(1, 4, TYPICAL_PASS);
     grown.ranks.insert(0, RankLoad { host: host(0, 0), requests: 4, silent: false });
     let mut shrunk = loads(0, 4, GroupPass::Broken);
     shrunk.ranks.remove(0);
     balancer.update_loads(&grown, UnixMillis(10));
     balancer.update_loads(&shrunk, UnixMillis(10));
-    let groups: Vec<usize> = (0..60).map(|_request| place(&mut balancer, 20)).collect();
+    let groups: Vec<usize> = (0..60).map(|_request| send_one(&mut balancer, 20)).collect();
     assert!(groups.contains(&1) && groups.contains(&2), "{groups:?}");
     assert!(groups.iter().filter(|group| **group == 0).count() < 20, "only the rank that moved: {groups:?}");
 }
 
 /// An event from one target describes its group, even if the reporting process has gone.
 #[test]
-fn events_show_that_a_group_without_reports_goes_on() {
-    let mut balancer = balancer(1, [USUAL; GROUPS]);
+fn events_show_that_group_without_reports_works() {
+    let mut balancer = balancer(1, [TYPICAL_PASS; GROUPS]);
     for group in 0..2 {
-        balancer.update_loads(&loads(group, 4, USUAL), UnixMillis(700));
+        balancer.update_loads(&loads(group, 4, TYPICAL_PASS), UnixMillis(700));
     }
     balancer.event_received(&record(2, 5), UnixMillis(690));
-    let groups: Vec<usize> = (0..60).map(|_request| place(&mut balancer, 700)).collect();
+    let groups: Vec<usize> = (0..60).map(|_request| send_one(&mut balancer, 700)).collect();
     assert!(groups.contains(&2), "{groups:?}");
 }
 
 /// The reports of a group may never resume, because the process that made them has gone.
 #[test]
-fn one_request_now_and_then_tries_a_group_that_nothing_is_heard_of() {
-    let mut balancer = balancer(1, [USUAL; GROUPS]);
-    let mut tried = 0;
+fn silent_group_gets_occasional_probes() {
+    let mut balancer = balancer(1, [TYPICAL_PASS; GROUPS]);
+    let mut probes = 0;
     for now in (2_000..8_000).step_by(50) {
         for group in 0..2 {
-            balancer.update_loads(&loads(group, 4, USUAL), UnixMillis(now));
+            balancer.update_loads(&loads(group, 4, TYPICAL_PASS), UnixMillis(now));
         }
-        tried += usize::from(place(&mut balancer, now) == 2);
+        probes += usize::from(send_one(&mut balancer, now) == 2);
     }
-    assert!((1..=3).contains(&tried), "{tried} in 6 s");
+    assert!((1..=3).contains(&probes), "{probes} in 6 s");
 }
 
 #[test]
-fn a_change_of_a_group_is_told_once() {
-    let mut balancer = balancer(1, [USUAL; GROUPS]);
-    place(&mut balancer, 10);
+fn group_change_is_reported_once() {
+    let mut balancer = balancer(1, [TYPICAL_PASS; GROUPS]);
+    send_one(&mut balancer, 10);
     balancer.choose(&service(), true, RequestWork::default(), &[], UnixMillis(10)).expect("there is room");
     let mut changes = |pass, at| {
-        (0..GROUPS).for_each(|group| balancer.update_loads(&loads(group, 4, USUAL), UnixMillis(at)));
+        (0..GROUPS).for_each(|group| balancer.update_loads(&loads(group, 4, TYPICAL_PASS), UnixMillis(at)));
         balancer.update_loads(&loads(1, 4, pass), UnixMillis(at));
         let changes = balancer.group_changes(&service(), UnixMillis(at));
         changes.iter().map(|group| (group.index.as_usize(), group.status.stalled)).collect::<Vec<_>>()
     };
-    assert_eq!(changes(USUAL, 20), []);
+    assert_eq!(changes(TYPICAL_PASS, 20), []);
     assert_eq!(changes(GroupPass::Broken, 30), [(1, true)]);
     assert_eq!(changes(GroupPass::Broken, 40), []);
-    assert_eq!(changes(USUAL, 50), [(1, false)]);
+    assert_eq!(changes(TYPICAL_PASS, 50), [(1, false)]);
 }
--- a/crates/porthoist-policy/tests/policy/limits.rs
+++ b/crates/porthoist-policy/tests/policy/limits.rs
@@ -13,7 +13,7 @@
 }
 
 /// Sends more requests than the limit allows for some seconds, a tenth of them through the second of two entries.
-fn admitted_through_two(coordinator_heard: bool, seconds: u64) -> u64 {
+fn admitted_by_two_entries(coordinator_reachable: bool, seconds: u64) -> u64 {
     let limit = limit(100.0, 1000);
     let mut entries = [EntryLimiter::new(2), EntryLimiter::new(2)];
     let mut coordinator = LimitCoordinator::new();
@@ -27,7 +27,7 @@
         }
         for limiter in &mut entries {
             for (name, ask) in limiter.due(now) {
-                if coordinator_heard {
+                if coordinator_reachable {
                     let reply = coordinator.settle(now, ask, limit);
                     limiter.settled(now, &name, ask, reply);
                 } else {
@@ -40,26 +40,26 @@
 }
 
 #[test]
-fn a_skewed_team_gets_its_limit_and_no_more() {
-    let admitted = admitted_through_two(true, 20);
+fn unevenly_spread_team_gets_its_limit_and_no_more() {
+    let admitted = admitted_by_two_entries(true, 20);
     assert!((1980..=2150).contains(&admitted), "{admitted} of 2000");
 }
 
 #[test]
-fn without_its_coordinator_an_entry_uses_its_fair_share() {
-    let admitted = admitted_through_two(false, 20);
+fn entry_without_coordinator_uses_its_fair_share() {
+    let admitted = admitted_by_two_entries(false, 20);
     assert!((1000..=2100).contains(&admitted), "{admitted} of 2000");
 }
 
 #[test]
-fn a_team_without_a_rate_gets_nothing() {
+fn team_with_rate_zero_is_refused() {
     let mut entry = EntryLimiter::new(1);
     let refused = entry.admit(UnixMillis(0), &team(), limit(0.0, 10)).unwrap_err();
     assert_eq!(refused.reason, RefusalReason::RateLimit);
 }
 
 #[test]
-fn concurrency_is_shared_between_entries_and_given_back() {
+fn concurrency_is_shared_between_entries_and_released() {
     let mut entry = EntryLimiter::new(2);
     let limit = limit(1000.0, 3);
     entry.admit(UnixMillis(0), &team(), limit).unwrap();
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn idle_teams_are_forgotten() {
+fn idle_teams_are_dropped() {
     let mut entry = EntryLimiter::new(1);
     entry.admit(UnixMillis(0), &team(), limit(10.0, 3)).unwrap();
     entry.release(&team());
--- a/crates/porthoist-policy/tests/policy/moving.rs
+++ b/crates/porthoist-policy/tests/policy/moving.rs
@@ -48,24 +48,24 @@
 #[test_case(5, 900.0, OTHER, 600 => None; "a long pass that may be the only one")]
 #[test_case(5, USUAL_PASS, OTHER, 600 => None; "a pause")]
 #[test_case(5, USUAL_PASS, OTHER, 801 => Some(MoveCause::TargetSilent); "a pause that callers don't bear")]
-fn leaves(events: u64, here: f64, elsewhere: Option<f64>, now: u64) -> Option<MoveCause> {
+fn request_leaves_target(events: u64, here: f64, elsewhere: Option<f64>, now: u64) -> Option<MoveCause> {
     move_cause(&send(events), &options(here, elsewhere), UnixMillis(now))
 }
 
 #[test_case(300, 600.0 => None; "one long pass")]
 #[test_case(900, 600.0 => Some(MoveCause::GroupSlow); "an answer that would not end in time")]
 #[test_case(900, 410.0 => None; "an answer that ends in time")]
-fn leaves_a_group_that_is_slow_for(slow_for_millis: u64, here: f64) -> Option<MoveCause> {
-    let usual = options(here, OTHER);
-    let here = GroupStatus { slow_for_millis, ..usual.here };
-    move_cause(&send(5), &MoveOptions { here, ..usual }, UnixMillis(600))
+fn request_leaves_slow_group(slow_for_millis: u64, here: f64) -> Option<MoveCause> {
+    let typical = options(here, OTHER);
+    let here = GroupStatus { slow_for_millis, ..typical.here };
+    move_cause(&send(5), &MoveOptions { here, ..typical }, UnixMillis(600))
 }
 
 /// Guards against requests that stay at stalled hosts of a busy group until their callers leave after
 /// two seconds.
 #[test_case(200.0, 300 => None; "a usual wait in a busy group")]
 #[test_case(200.0, 400 => Some(MoveCause::TargetSilent); "far longer")]
-fn leaves_a_host_that_is_not_heard(here: f64, now: u64) -> Option<MoveCause> {
+fn request_leaves_silent_host(here: f64, now: u64) -> Option<MoveCause> {
     move_cause(&send(0), &MoveOptions { host_silent: true, ..options(here, OTHER) }, UnixMillis(now))
 }
 
@@ -75,7 +75,7 @@
 #[test_case(0, 200, 0.9 => None; "a request that can be in time, and no room")]
 #[test_case(5, 1_000, 0.5 => Some(MoveCause::GroupStalled); "a stream")]
 #[test_case(5, 1_000, 0.75 => None; "a stream, and little room")]
-fn leaves_a_group_that_stands_where_others_have_room(
+fn request_leaves_stalled_group_if_others_have_room(
     events: u64,
     now: u64,
     occupancy: f64,
@@ -86,22 +86,25 @@
 /// An answer of 40 events in a group whose passes take 270 ms, with a deadline 8 s after arrival.
 #[test_case(5_000 => None; "time for a usual rest")]
 #[test_case(5_600 => Some(MoveCause::GroupSlow); "the last time for a long rest elsewhere")]
-fn leaves_a_slow_group_while_a_long_answer_can_end_elsewhere(now: u64) -> Option<MoveCause> {
-    let usual = options(270.0, OTHER);
-    let here = GroupStatus { slow_for_millis: 900, ..usual.here };
+fn request_leaves_slow_group_while_long_answer_can_finish_elsewhere(now: u64) -> Option<MoveCause> {
+    let typical = options(270.0, OTHER);
+    let here = GroupStatus { slow_for_millis: 900, ..typical.here };
     let long = PendingSend { since: UnixMillis(now - 100), ..send(18) };
-    move_cause(&long, &MoveOptions { here, ..usual }, UnixMillis(now))
+    move_cause(&long, &MoveOptions { here, ..typical }, UnixMillis(now))
 }
 
 #[test]
-fn moves_are_spread() {
-    let later = PendingSend { jitter_millis: 300, ..send(5) };
-    assert_eq!(move_cause(&later, &options(900.0, OTHER), UnixMillis(1_000)), None);
-    assert_eq!(move_cause(&later, &options(900.0, OTHER), UnixMillis(1_100)), Some(MoveCause::GroupStalled));
+fn moves_are_delayed_by_jitter() {
+    let delayed = PendingSend { jitter_millis: 300, ..send(5) };
+    assert_eq!(move_cause(&delayed, &options(900.0, OTHER), UnixMillis(1_000)), None);
+    assert_eq!(
+        move_cause(&delayed, &options(900.0, OTHER), UnixMillis(1_100)),
+        Some(MoveCause::GroupStalled)
+    );
 }
 
 #[test]
-fn nothing_is_moved_that_cannot_begin_elsewhere_before_its_deadline() {
-    let short = PendingSend { deadline: UnixDeadline(UnixMillis(400)), ..send(0) };
-    assert_eq!(move_cause(&short, &options(USUAL_PASS, OTHER), UnixMillis(300)), None);
+fn request_stays_if_it_cannot_begin_elsewhere_in_time() {
+    let short_deadline = PendingSend { deadline: UnixDeadline(UnixMillis(400)), ..send(0) };
+    assert_eq!(move_cause(&short_deadline, &options(USUAL_PASS, OTHER), UnixMillis(300)), None);
 }
--- a/crates/porthoist-policy/tests/policy/pass_time.rs
+++ b/crates/porthoist-policy/tests/policy/pass_time.rs
@@ -10,40 +10,40 @@
 }
 
 /// A timer that has observed these steps of one formation, each at its time.
-fn timer(readings: &[(u32, u64)]) -> PassTimer {
+fn timer(observations: &[(u32, u64)]) -> PassTimer {
     let mut timer = PassTimer::default();
-    for (step, at) in readings {
+    for (step, at) in observations {
         timer.observe(sample(1, *step, true), UnixMillis(*at));
     }
     timer
 }
 
 #[test]
-fn a_pass_takes_the_time_between_readings_by_the_passes_begun() {
+fn pass_time_is_elapsed_time_per_pass() {
     let timer = timer(&[(10, 0), (12, 100), (14, 200)]);
     assert_eq!(timer.pass(UnixMillis(200)), GroupPass::Millis(50));
 }
 
 #[test]
-fn nothing_is_known_before_a_second_pass() {
+fn pass_time_is_unknown_before_second_pass() {
     assert_eq!(timer(&[(10, 0), (10, 80)]).pass(UnixMillis(500)), GroupPass::Unknown);
 }
 
 #[test]
-fn the_pass_under_way_counts_once_it_takes_longer() {
+fn running_pass_counts_once_longer_than_mean() {
     let timer = timer(&[(10, 0), (11, 50), (12, 100), (12, 480)]);
     assert_eq!(timer.pass(UnixMillis(500)), GroupPass::Millis(400));
 }
 
 #[test]
-fn a_group_that_turns_slow_shows_it_within_two_passes() {
+fn slowdown_is_detected_within_two_passes() {
     let timer = timer(&[(10, 0), (11, 50), (12, 650), (13, 1_250)]);
     let GroupPass::Millis(millis) = timer.pass(UnixMillis(1_250)) else { panic!("passes were seen") };
     assert!(millis > 400, "{millis}");
 }
 
 #[test]
-fn an_idle_group_is_not_taken_for_a_slow_one() {
+fn idle_time_does_not_count_as_pass() {
     let mut timer = timer(&[(10, 0), (11, 50)]);
     timer.observe(sample(1, 11, false), UnixMillis(100));
     timer.observe(sample(1, 11, true), UnixMillis(5_000));
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_new_formation_counts_anew() {
+fn time_between_formations_does_not_count_as_pass() {
     let mut timer = timer(&[(10, 0), (11, 50)]);
     timer.observe(sample(2, 1, true), UnixMillis(4_000));
     assert_eq!(timer.pass(UnixMillis(4_010)), GroupPass::Millis(50));
@@ -61,7 +61,7 @@
 /// Guards against a group that lost all its requests while it stalled and then counts as stalled until
 /// it gets some again.
 #[test]
-fn a_group_that_was_held_and_left_is_as_good_as_usual() {
+fn idle_group_is_not_slow_after_long_pass() {
     let mut timer = timer(&[(10, 0), (11, 50), (12, 100), (13, 4_100)]);
     timer.observe(sample(1, 13, false), UnixMillis(4_200));
     let GroupPass::Millis(millis) = timer.pass(UnixMillis(4_200)) else { panic!("passes were seen") };
@@ -70,7 +70,7 @@
 
 /// New requests would find it as slow as before.
 #[test]
-fn an_idle_group_with_a_slow_rank_counts_as_slow() {
+fn idle_group_with_slow_rank_counts_as_slow() {
     let mut timer = timer(&[(10, 0), (11, 50), (12, 100)]);
     timer.observe(GroupSample { slowest: RankPace(12_000), ..sample(1, 12, false) }, UnixMillis(150));
     assert_eq!(timer.pass(UnixMillis(150)), GroupPass::Millis(600));
--- a/crates/porthoist-policy/tests/policy/placement.rs
+++ b/crates/porthoist-policy/tests/policy/placement.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn every_expert_has_a_place_and_shares_sum_to_one() {
+fn every_expert_is_placed_and_shares_sum_to_one() {
     let map = place_from_scratch(&estimate(0), 8, 5);
     for expert in 0..32 {
         let total: f64 = map.replicas(ExpertId(expert)).iter().map(|replica| replica.share).sum();
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn shares_alone_help_a_group_with_a_straggler() {
+fn new_shares_alone_relieve_slow_rank() {
     let map = place_from_scratch(&estimate(0), 8, 5);
     let mut slow = estimate(0);
     slow.speed[2] = 0.6;
@@ -38,18 +38,18 @@
 }
 
 #[test]
-fn a_jump_is_answered_by_few_moves() {
+fn demand_shift_is_answered_by_few_moves() {
     let map = place_from_scratch(&estimate(0), 8, 5);
-    let jumped = estimate(17);
+    let shifted = estimate(17);
     let settings = PlannerSettings::builder().skew_weight(4.0).move_weight(1.0).build();
-    let plan = plan(&map, &jumped, &settings);
+    let plan = plan(&map, &shifted, &settings);
     assert!(plan.peak_after < plan.peak_before);
     assert_eq!(plan.map.replicas_missing_in(&map), plan.moves.len());
     assert!(plan.moves.len() <= settings.max_moves);
 }
 
 #[test]
-fn a_high_price_of_moves_keeps_the_map() {
+fn high_move_weight_keeps_map() {
     let map = place_from_scratch(&estimate(0), 8, 5);
     let settings = PlannerSettings::builder().skew_weight(1.0).move_weight(1_000_000.0).build();
     assert_eq!(plan(&map, &estimate(17), &settings).moves, []);
--- a/crates/porthoist-policy/tests/policy/proxy.rs
+++ b/crates/porthoist-policy/tests/policy/proxy.rs
@@ -50,7 +50,7 @@
 #[test_case("host.example", "/" => Ok("/".to_owned()); "the whole prefix")]
 #[test_case("other.example", "/a/" => Err(RouteError::NoRoute); "unknown host")]
 #[test_case("host.example", "a" => Err(RouteError::NoRoute); "no prefix")]
-fn route(host: &str, path: &str) -> Result<String, RouteError> {
+fn host_and_path_select_route(host: &str, path: &str) -> Result<String, RouteError> {
     table().route(host, path).map(|rule| rule.prefix.to_string())
 }
 
@@ -59,14 +59,14 @@
 #[test_case("/a/", None => Err(RouteError::UnknownKey); "missing")]
 #[test_case("/public/", None => Ok(false); "public")]
 #[test_case("/public/", Some("old") => Ok(false); "public with an unknown key")]
-fn team(path: &str, key: Option<&str>) -> Result<bool, RouteError> {
+fn key_selects_team(path: &str, key: Option<&str>) -> Result<bool, RouteError> {
     let table = table();
     let rule = table.route("host.example", path)?;
     table.team(&rule, key).map(|grant| grant.is_some())
 }
 
 #[test]
-fn a_split_follows_its_weights_and_a_hash_keeps_its_service() {
+fn services_are_chosen_by_weight_and_hash() {
     let rule = rule("/", &[("left", 90), ("right", 10), ("none", 0)]);
     let counts = (0..1_000).fold(HashMap::new(), |mut counts: HashMap<String, u32>, hash| {
         *counts.entry(rule.service(hash).unwrap().to_string()).or_default() += 1;
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_long_wait_proves_freshness_up_to_its_end() {
+fn long_poll_proves_freshness_up_to_its_end() {
     let mut proof = FreshnessProof::default();
     assert_eq!(proof.age(UnixMillis(5_000)), None);
     proof.record_answer(answer(1_000, 1_004, 50));
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn an_answer_that_was_long_on_its_way_proves_no_more_than_it_may() {
+fn delayed_answer_proves_freshness_only_up_to_its_stamp() {
     let mut proof = FreshnessProof::default();
     proof.record_answer(answer(1_000, 1_004, 50));
     // The process was suspended between the service's answer and reading it.
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_service_whose_clock_began_anew_is_trusted_from_the_question_on() {
+fn answer_after_clock_reset_proves_freshness_from_its_request() {
     let mut proof = FreshnessProof::default();
     proof.record_answer(answer(10_000, 10_004, 9_000));
     proof.record_answer(answer(20_000, 20_004, 5));
@@ -109,12 +109,12 @@
 }
 
 #[test]
-fn repeats_stay_within_the_share_of_a_sliding_window() {
+fn retries_stay_within_share_of_sliding_window() {
     let mut share = RetryShare::new(RetryShareSettings { ratio: 0.1, slack: 1.0, window_millis: 1_000 });
     for millis in 0..20 {
         share.record_first_send(UnixMillis(millis));
     }
-    let taken = (0..10).filter(|_repeat| share.try_take(UnixMillis(20))).count();
+    let taken = (0..10).filter(|_retry| share.try_take(UnixMillis(20))).count();
     assert_eq!(taken, 3);
     // Sends and retries that are older than the window no longer count.
     assert!(share.try_take(UnixMillis(1_500)));
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_newer_life_at_an_address_ends_the_older_one() {
+fn newer_row_at_address_ends_older_target() {
     let row = |id: &str| TargetRecord { id: name(id), ..record("t1", TargetState::Ready) };
     let mut registry = TargetRegistry::default();
     registry.apply_listing(vec![row("old"), row("newer"), record("t2", TargetState::Ready)], None);
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn a_row_that_is_missing_is_gone_at_once_in_calm_times() {
+fn missing_row_is_dropped_at_once_without_outage() {
     let mut registry = TargetRegistry::default();
     registry.apply_listing(vec![record("t1", TargetState::Ready), record("t2", TargetState::Ready)], None);
     registry.apply_listing(vec![record("t1", TargetState::Ready)], None);
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn a_row_that_is_missing_after_an_outage_has_a_grace() {
+fn missing_row_has_grace_period_after_outage() {
     let grace = Some(UnixDeadline(UnixMillis(100)));
     let mut registry = TargetRegistry::default();
     registry.apply_listing(["t1", "t2", "t3"].map(|id| record(id, TargetState::Ready)), None);
@@ -210,7 +210,7 @@
 #[test_case(10_800 => Some(11_700); "removed just after the return")]
 #[test_case(11_699 => Some(11_700); "removed at its end")]
 #[test_case(11_700 => None; "removed later")]
-fn grace_after_an_outage_counts_from_the_return(now: u64) -> Option<u64> {
+fn grace_period_counts_from_return_of_table_service(now: u64) -> Option<u64> {
     let gap = AnswerGap { asked: UnixMillis(9_500), returned: UnixMillis(10_000) };
     gap.grace(StalenessBound::default(), UnixMillis(now)).map(|end| end.0.0)
 }
@@ -219,7 +219,7 @@
 /// A target that left at 9 s must get nothing new after 11 s, of which a new connection may take 0.4 s.
 #[test_case(10_000 => Some(10_400); "missing in the first listing")]
 #[test_case(10_400 => None; "removed later")]
-fn grace_ends_when_a_belief_from_before_the_gap_would_be_too_old(now: u64) -> Option<u64> {
+fn grace_period_ends_at_staleness_bound(now: u64) -> Option<u64> {
     let gap = AnswerGap { asked: UnixMillis(6_000), returned: UnixMillis(10_000) };
     gap.grace(StalenessBound::default(), UnixMillis(now)).map(|end| end.0.0)
 }
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn work_spreads_until_all_targets_are_full() {
+fn requests_spread_until_all_targets_are_full() {
     let mut balancer = balancer(vec![record("t1", TargetState::Ready), record("t2", TargetState::Ready)]);
     let mut chosen: Vec<String> = (0..4).filter_map(|_request| choose(&mut balancer, 0)).collect();
     chosen.sort();
@@ -251,27 +251,27 @@
 }
 
 #[test]
-fn a_target_whose_address_another_one_has_gets_nothing_more() {
+fn target_whose_address_is_taken_gets_no_requests() {
     let mut balancer = balancer(vec![record("t1", TargetState::Ready), record("t2", TargetState::Ready)]);
     let work = RequestWork::default();
     assert!(choose(&mut balancer, 0).is_some() && choose(&mut balancer, 0).is_some());
     assert!(balancer.ended(&life("t1"), work, SendOutcome::Gone, UnixMillis(1)));
     balancer.ended(&life("t2"), work, SendOutcome::Answered(1.0), UnixMillis(1));
-    let later = |balancer: &mut LoadBalancer| choose(balancer, 60_000);
+    let choose_later = |balancer: &mut LoadBalancer| choose(balancer, 60_000);
     assert_eq!(
-        [later(&mut balancer), later(&mut balancer), later(&mut balancer)],
+        [choose_later(&mut balancer), choose_later(&mut balancer), choose_later(&mut balancer)],
         [Some("t2".into()), Some("t2".into()), None]
     );
 }
 
 #[test]
-fn a_draining_target_gets_nothing() {
+fn draining_target_gets_no_requests() {
     let mut balancer = balancer(vec![record("t1", TargetState::Draining)]);
     assert_eq!(choose(&mut balancer, 0), None);
 }
 
 #[test]
-fn a_target_that_fails_in_a_row_rests_and_is_tried_again() {
+fn failing_target_is_ejected_and_probed() {
     let mut balancer = balancer(vec![record("t1", TargetState::Ready)]);
     let fail = |balancer: &mut LoadBalancer, now: u64| {
         assert!(choose(balancer, now).is_some());
@@ -299,7 +299,7 @@
 #[test_case(SendOutcome::Failed; "after failures")]
 #[test_case(SendOutcome::Gone; "after another target was found at its address")]
 #[test_case(SendOutcome::Answered(9_000.0); "after slow answers")]
-fn a_new_life_under_the_same_identifier_begins_with_nothing(outcome: SendOutcome) {
+fn new_life_inherits_no_state(outcome: SendOutcome) {
     let mut registry = TargetRegistry::default();
     registry.apply_listing([born("t1", 100)], None);
     let settings = BalancerSettings::builder().zone(name("a")).per_rank(3).rank_limit(12).seed(1).build();
@@ -314,11 +314,11 @@
         balancer.ended(&old, RequestWork::default(), outcome, UnixMillis(0));
     }
     // One more request is still in flight there.
-    let open = choose(&mut balancer, 0).is_some();
+    let in_flight = choose(&mut balancer, 0).is_some();
     registry.apply_changes([TargetChange::Put(born("t1", 200))].into(), None);
     balancer.sync(&registry);
     let new = born("t1", 200).life();
-    assert_eq!((balancer.in_flight(&old), balancer.in_flight(&new)), (u32::from(open), 0));
+    assert_eq!((balancer.in_flight(&old), balancer.in_flight(&new)), (u32::from(in_flight), 0));
     assert!((0..2).all(|_slot| choose(&mut balancer, 1).is_some()), "both slots are free");
     assert_eq!(choose(&mut balancer, 1), None);
     balancer.ended(&old, RequestWork::default(), SendOutcome::Failed, UnixMillis(2));
@@ -328,7 +328,7 @@
 /// Once services are known, a row of an unknown service ends no target, while a row of a known service
 /// does.
 #[test]
-fn a_row_of_an_unknown_service_ends_nobody() {
+fn row_of_unknown_service_ends_no_target() {
     let foreign =
         TargetRecord { id: name("x"), service: name("unnamed"), ..record("t1", TargetState::Ready) };
     let mut registry = TargetRegistry::default();
@@ -348,7 +348,7 @@
 }
 
 #[test]
-fn a_row_that_became_unusable_has_no_grace() {
+fn unusable_row_has_no_grace_period() {
     let grace = Some(UnixDeadline(UnixMillis(100)));
     let mut registry = TargetRegistry::default();
     registry.apply_listing(["t1", "t2", "t3"].map(|id| record(id, TargetState::Ready)), None);
@@ -361,7 +361,7 @@
 }
 
 #[test]
-fn who_waits_is_served_by_priority_then_turn_then_arrival() {
+fn waiting_requests_are_served_by_priority_class_and_arrival() {
     let mut queue = WaitQueue::default();
     queue.add(2, QueueClass::First, "low");
     queue.add(1, QueueClass::CallerRetry, "returned");
--- a/crates/porthoist-policy/tests/policy/quarantine.rs
+++ b/crates/porthoist-policy/tests/policy/quarantine.rs
@@ -27,7 +27,7 @@
 }
 
 fn level(tracker: &QuarantineTracker, body: &str, millis: u64) -> Option<SuspicionLevel> {
-    tracker.status(&mark(body), at(millis)).map(|kept| kept.level)
+    tracker.status(&mark(body), at(millis)).map(|block| block.level)
 }
 
 #[test_case(false, 0, None, 0; "nothing is known")]
@@ -36,7 +36,7 @@
 #[test_case(false, 2, Some(SuspicionLevel::Held), HOLD_MILLIS; "two targets")]
 #[test_case(false, 3, Some(SuspicionLevel::Quarantined), QUARANTINE_MILLIS; "three targets")]
 #[test_case(true, 4, Some(SuspicionLevel::Quarantined), 2 * QUARANTINE_MILLIS; "four ranks")]
-fn deaths_keep_a_request_back(ranked: bool, deaths: usize, expected: Option<SuspicionLevel>, kept: u64) {
+fn deaths_block_request(ranked: bool, deaths: usize, expected: Option<SuspicionLevel>, hold: u64) {
     let mut tracker = QuarantineTracker::default();
     for index in 0..deaths {
         tracker.died(&key("x", &format!("t{index}")), report(0, ranked), at(0));
@@ -45,26 +45,26 @@
     assert_eq!(level(&tracker, "another", 0), None);
     let until = tracker.status(&mark("x"), at(0)).map_or(0, |block| block.until.0.since(at(0)));
     if expected == Some(SuspicionLevel::Held) {
-        assert!((kept..=kept + kept / 2).contains(&until), "{until}");
+        assert!((hold..=hold + hold / 2).contains(&until), "{until}");
     } else {
-        assert_eq!(until, kept);
+        assert_eq!(until, hold);
     }
     if until > 0 {
         assert!(tracker.begin(&mark("x"), at(until - 1)).is_err(), "blocked until the end");
     }
-    let kept = until;
-    let after = tracker.begin(&mark("x"), at(kept));
+    let hold_end = until;
+    let after = tracker.begin(&mark("x"), at(hold_end));
     assert!(after.is_ok(), "{after:?}");
     if expected.is_some() {
         assert_eq!(after, Ok(SendPermit::Suspected));
-        assert!(tracker.begin(&mark("x"), at(kept)).is_err(), "one send at a time");
+        assert!(tracker.begin(&mark("x"), at(hold_end)).is_err(), "one send at a time");
         tracker.ended(&mark("x"));
-        assert_eq!(tracker.begin(&mark("x"), at(kept)), Ok(SendPermit::Suspected));
+        assert_eq!(tracker.begin(&mark("x"), at(hold_end)), Ok(SendPermit::Suspected));
     }
 }
 
 #[test]
-fn one_whole_answer_clears_and_trusts_some_time() {
+fn complete_answer_clears_and_protects_request() {
     let mut tracker = QuarantineTracker::default();
     tracker.died(&key("hot", "t0"), report(0, true), at(0));
     assert_eq!(tracker.answered(&mark("hot"), at(10)), [key("hot", "t0")]);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn what_others_saw_counts_and_a_removed_row_lifts_it() {
+fn deaths_from_table_count_until_rows_are_removed() {
     let mut tracker = QuarantineTracker::default();
     let mut rows: CrashRows = CrashRows::new();
     for target in ["t0", "t1", "t2"] {
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn an_own_death_stands_until_the_table_has_shown_it() {
+fn own_death_counts_until_its_row_is_removed() {
     let mut tracker = QuarantineTracker::default();
     tracker.died(&key("x", "t0"), report(0, true), at(0));
     tracker.apply_rows(&CrashRows::new(), true, at(10));
@@ -104,33 +104,33 @@
 #[test_case(true, 999_000, 999_000 + HOLD_MILLIS; "at the start, the time of the other host counts")]
 #[test_case(true, 9_999_999_999, 1_000_500 + HOLD_MILLIS; "but not where it lies ahead")]
 #[test_case(false, 5, 1_000_500 + HOLD_MILLIS; "later, news are of now")]
-fn clocks_of_other_hosts_shift_little(first: bool, died: u64, until: u64) {
+fn clocks_of_other_hosts_barely_shift_holds(first: bool, died: u64, until: u64) {
     let mut tracker = QuarantineTracker::default();
     let report = CrashReport { died: UnixMillis(died), ..report(0, true) };
     tracker.apply_rows(&CrashRows::from([(key("x", "t0"), report)]), first, at(500));
-    let kept = tracker.status(&mark("x"), at(500)).unwrap();
-    let spread = kept.until.0.since(UnixMillis(until));
-    assert!(kept.until.0 >= UnixMillis(until) && spread <= HOLD_MILLIS / 2, "{kept:?}");
+    let block = tracker.status(&mark("x"), at(500)).unwrap();
+    let spread = block.until.0.since(UnixMillis(until));
+    assert!(block.until.0 >= UnixMillis(until) && spread <= HOLD_MILLIS / 2, "{block:?}");
 }
 
 #[test]
-fn what_no_longer_counts_is_removed_by_its_writer_and_later_by_others() {
+fn expired_rows_are_removed_by_writer_then_by_others() {
     let mut tracker = QuarantineTracker::default();
     let rows = CrashRows::from([(key("x", "t0"), report(0, true))]);
     tracker.apply_rows(&rows, true, at(0));
-    let forgotten = 2 * tracker.status(&mark("x"), at(0)).unwrap().until.0.since(at(0));
-    assert_eq!(tracker.take_expired("a", 0.5, at(forgotten - 1)), []);
-    assert_eq!(tracker.begin(&mark("x"), at(forgotten)), Ok(SendPermit::Clear));
-    assert_eq!(tracker.take_expired("b", 0.5, at(forgotten + 29_999)), []);
-    assert_eq!(tracker.take_expired("a", 0.5, at(forgotten)), [key("x", "t0")]);
-    assert_eq!(tracker.take_expired("a", 0.5, at(forgotten + 1)), [], "once");
+    let expiry = 2 * tracker.status(&mark("x"), at(0)).unwrap().until.0.since(at(0));
+    assert_eq!(tracker.take_expired("a", 0.5, at(expiry - 1)), []);
+    assert_eq!(tracker.begin(&mark("x"), at(expiry)), Ok(SendPermit::Clear));
+    assert_eq!(tracker.take_expired("b", 0.5, at(expiry + 29_999)), []);
+    assert_eq!(tracker.take_expired("a", 0.5, at(expiry)), [key("x", "t0")]);
+    assert_eq!(tracker.take_expired("a", 0.5, at(expiry + 1)), [], "once");
     let mut other = QuarantineTracker::default();
     other.apply_rows(&rows, true, at(0));
-    assert_eq!(other.take_expired("b", 0.5, at(forgotten + 45_000)), [key("x", "t0")]);
+    assert_eq!(other.take_expired("b", 0.5, at(expiry + 45_000)), [key("x", "t0")]);
 }
 
 #[test]
-fn the_book_is_bounded_and_keeps_what_is_certain() {
+fn tracker_is_bounded_and_keeps_quarantined_requests() {
     let mut tracker = QuarantineTracker::default();
     for target in ["t0", "t1", "t2"] {
         tracker.died(&key("killer", target), report(0, true), at(0));
@@ -151,10 +151,10 @@
 #[test_case("0123456789abcdef0123456789abcdef0123456789abcdef/", false; "no target")]
 #[test_case("0123456789abcdef0123456789abcdef0123456789abcdef", false; "no slash")]
 #[test_case("0123456789abcdef0123456789abcdef0123456789abcdef/i-1@7", true; "a key")]
-fn keys_of_rows_are_read_as_written(text: &str, legal: bool) {
-    let read = text.parse::<CrashKey>();
-    assert_eq!(read.is_ok(), legal);
-    if let Ok(key) = read {
+fn row_keys_are_parsed_as_written(text: &str, valid: bool) {
+    let parsed = text.parse::<CrashKey>();
+    assert_eq!(parsed.is_ok(), valid);
+    if let Ok(key) = parsed {
         assert_eq!(key.to_string(), text);
     }
 }
@@ -164,8 +164,8 @@
 struct Simulation {
     random: Pcg64Mcg,
     trackers: Vec<QuarantineTracker>,
-    /// When each host reads the table again, at most [`HEAR_MILLIS`] after a change.
-    hears: Vec<u64>,
+    /// When each host reads the table again, at most [`MAX_READ_DELAY_MILLIS`] after a change.
+    next_reads: Vec<u64>,
     rows: CrashRows,
     /// When the target at each index is back, and the number of its life.
     targets: Vec<(u64, u32)>,
@@ -178,7 +178,7 @@
 /// Numbers of hosts and targets, and the longest time in milliseconds until a host reads a row.
 const HOSTS: usize = 4;
 const TARGETS: usize = 6;
-const HEAR_MILLIS: u64 = 1_000;
+const MAX_READ_DELAY_MILLIS: u64 = 1_000;
 /// Simulated time in milliseconds; shorter than a quarantine.
 const SIMULATED_MILLIS: u64 = 400_000;
 /// Maximum number of deaths that the request that kills may cause in one simulation.
@@ -189,7 +189,7 @@
         Self {
             random: Pcg64Mcg::seed_from_u64(seed),
             trackers: (0..HOSTS).map(|_host| QuarantineTracker::new(rules)).collect(),
-            hears: vec![0; HOSTS],
+            next_reads: vec![0; HOSTS],
             rows: CrashRows::new(),
             targets: vec![(0, 0); TARGETS],
             now: 0,
@@ -199,9 +199,9 @@
         }
     }
 
-    fn tell(&mut self) {
+    fn read_rows(&mut self) {
         for host in 0..HOSTS {
-            if self.hears[host] <= self.now {
+            if self.next_reads[host] <= self.now {
                 let changes = self.trackers[host].apply_rows(&self.rows, false, at(self.now));
                 for row in changes.remove {
                     self.rows.remove(&row);
@@ -209,7 +209,7 @@
                 for row in self.trackers[host].take_expired("a", 0.0, at(self.now)) {
                     self.rows.remove(&row);
                 }
-                self.hears[host] = self.now + self.random.random_range(0..HEAR_MILLIS);
+                self.next_reads[host] = self.now + self.random.random_range(0..MAX_READ_DELAY_MILLIS);
             }
         }
     }
@@ -218,8 +218,8 @@
     fn try_begin(&mut self, host: usize, body: &str) -> Option<bool> {
         match self.trackers[host].begin(&mark(body), at(self.now)) {
             Ok(permit) => Some(permit == SendPermit::Suspected),
-            Err(kept) => {
-                if kept.level == SuspicionLevel::Quarantined && body != "killer" {
+            Err(block) => {
+                if block.level == SuspicionLevel::Quarantined && body != "killer" {
                     self.accused.insert(body.to_owned());
                 }
                 None
@@ -229,12 +229,12 @@
 
     /// Sends some requests to a target. It dies if one of them kills it, or at random.
     fn round(&mut self) {
-        self.tell();
-        let place = self.random.random_range(0..TARGETS);
-        if self.targets[place].0 > self.now {
+        self.read_rows();
+        let index = self.random.random_range(0..TARGETS);
+        if self.targets[index].0 > self.now {
             return;
         }
-        let life = format!("t{place}-{}", self.targets[place].1);
+        let life = format!("t{index}-{}", self.targets[index].1);
         let mut sent = Vec::new();
         for _request in 0..self.random.random_range(1..6) {
             let host = self.random.random_range(0..HOSTS);
@@ -247,9 +247,9 @@
                 sent.push((host, body, suspected));
             }
         }
-        let kills = sent.iter().any(|(_host, body, _again)| body == "killer");
+        let kills = sent.iter().any(|(_host, body, _suspected)| body == "killer");
         let third = self.killed.get(CERTAIN_DEATHS - 1);
-        if kills && third.is_some_and(|third| self.now > third + 3 * HEAR_MILLIS) {
+        if kills && third.is_some_and(|third| self.now > third + 3 * MAX_READ_DELAY_MILLIS) {
             self.sent_late += 1;
         }
         let dies = kills || self.random.random_range(0..60) == 0;
@@ -274,8 +274,8 @@
             self.killed.push(self.now);
         }
         if dies {
-            let (back, life) = &mut self.targets[place];
-            (*back, *life) = (self.now + 3_000, *life + 1);
+            let (returns_at, life) = &mut self.targets[index];
+            (*returns_at, *life) = (self.now + 3_000, *life + 1);
         }
         // A host may restart; it then knows only what the table contains.
         if self.random.random_range(0..400) == 0 {
@@ -316,30 +316,30 @@
 }
 
 #[test]
-fn hosts_agree_in_any_order_and_accuse_no_bystander() {
-    let usual = outcome(QuarantineRules::default());
-    assert_eq!((usual.sent_late, usual.hot_accused, usual.others_accused), (0, 0, 0), "{usual:?}");
+fn only_cause_is_quarantined_in_any_order_of_events() {
+    let result = outcome(QuarantineRules::default());
+    assert_eq!((result.sent_late, result.hot_accused, result.others_accused), (0, 0, 0), "{result:?}");
     // Other hosts may send it once more before they learn of a death.
-    assert!(usual.deaths <= MAX_KILLED, "{usual:?}");
+    assert!(result.deaths <= MAX_KILLED, "{result:?}");
 }
 
 /// The same simulations detect each relaxed rule.
 #[test_case(QuarantineRules { certain_deaths: 9, hold_millis: 0, trust: true }, |without| without.deaths > MAX_KILLED; "one that is lenient lets more die")]
 #[test_case(QuarantineRules { trust: false, certain_deaths: 2, ..QuarantineRules::default() }, |without| without.hot_accused > 0; "one that forgets answers accuses a hot request")]
 #[test_case(QuarantineRules { certain_deaths: 2, hold_millis: 0, ..QuarantineRules::default() }, |without| without.others_accused > 0; "one that is certain too early accuses bystanders")]
-fn a_book_that_breaks_a_rule_is_found_out(rules: QuarantineRules, worse: fn(&Outcome) -> bool) {
+fn relaxed_rule_is_detected(rules: QuarantineRules, worse: fn(&Outcome) -> bool) {
     let without = outcome(rules);
     assert!(worse(&without), "{without:?}");
 }
 
 /// Guards against lost rows that no process rewrites, or that all processes rewrite at once.
 #[test]
-fn rows_lost_in_a_restore_are_rewritten_by_their_writer_and_later_by_others() {
+fn rows_lost_in_restore_are_rewritten_by_writer_then_by_others() {
     let rows: CrashRows = [(key("x", "t0"), report(0, true))].into();
-    let mut trackers = ["a", "b", "c"].map(|own| {
+    let mut trackers = ["a", "b", "c"].map(|own_host| {
         let mut tracker = QuarantineTracker::default();
         tracker.apply_rows(&rows, true, at(0));
-        tracker.schedule_rewrites(&CrashRows::new(), own, 0.5, at(10));
+        tracker.schedule_rewrites(&CrashRows::new(), own_host, 0.5, at(10));
         tracker.apply_rows(&CrashRows::new(), true, at(10));
         assert_eq!(level(&tracker, "x", 10), Some(SuspicionLevel::Held));
         tracker
--- a/crates/porthoist-policy/tests/policy/retry.rs
+++ b/crates/porthoist-policy/tests/policy/retry.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn the_budget_is_a_share_of_first_attempts() {
+fn budget_is_share_of_first_attempts() {
     let mut budget = RetryBudget::new(0.1, 2.0);
     assert!(budget.try_spend() && budget.try_spend() && !budget.try_spend());
     for _ in 0..11 {
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn hedges_wait_until_enough_is_known() {
+fn hedges_wait_for_enough_observations() {
     let mut hedges = HedgePolicy::default();
     for millis in 1..=199 {
         hedges.observe(millis);
--- a/crates/porthoist-policy/tests/policy/roll_forward.rs
+++ b/crates/porthoist-policy/tests/policy/roll_forward.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_switch_goes_forward_step_by_step() {
+fn switch_proceeds_after_each_confirmation() {
     let (mut driver, mut views) = ready_driver();
     let version = driver.begin(&views, MapVersion(40));
     assert_eq!(version, MapVersion(40));
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_hold_that_came_too_late_is_given_for_a_later_pass() {
+fn late_hold_is_repeated_for_later_pass() {
     let (mut driver, mut views) = ready_driver();
     let version = driver.begin(&views, MapVersion(1));
     for rank in &mut views {
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_new_life_goes_on_with_the_hold_it_finds() {
+fn new_driver_continues_from_existing_hold() {
     let armed = ArmedMap { version: MapVersion(3), step: StepNumber(8) };
     let mut views = vec![view(7), view(7), view(7)];
     for rank in &mut views {
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_new_formation_ends_a_switch() {
+fn new_formation_ends_switch() {
     let (mut driver, mut views) = ready_driver();
     driver.begin(&views, MapVersion(1));
     for rank in &mut views {
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_refused_version_is_skipped_by_far() {
+fn version_skips_ahead_after_refusal() {
     let (mut driver, views) = ready_driver();
     let first = driver.begin(&views, MapVersion(1));
     driver.version_refused();
--- a/crates/porthoist-policy/tests/policy/router.rs
+++ b/crates/porthoist-policy/tests/policy/router.rs
@@ -58,12 +58,12 @@
 }
 
 #[test]
-fn the_own_zone_is_nearer() {
+fn own_zone_is_preferred() {
     assert_eq!(chosen(&mut router(3), &[], &[]), Ok(name(0)));
 }
 
 #[test]
-fn leaving_unweighted_and_excluded_targets_are_not_chosen() {
+fn unusable_targets_are_not_chosen() {
     let mut router = router(3);
     router.set_leaving(&name(0), true);
     assert_eq!(chosen(&mut router, &[], &[name(1)]), Ok(name(2)));
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_cached_prefix_draws_requests_until_its_queue_is_long() {
+fn cached_prefix_attracts_requests_until_queue_is_long() {
     let mut router = router(3);
     let blocks: Vec<u64> = (0..30).collect();
     router.cache_events(&name(2), &blocks, &[]);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn an_older_report_changes_nothing() {
+fn older_report_is_ignored() {
     let mut router = router(2);
     router.report(&name(0), load(10, 0));
     router.report(&name(0), load(5, 1_000_000));
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn work_sent_since_the_report_counts_until_its_first_token() {
+fn work_sent_since_report_counts_until_first_token() {
     let mut router = router(2);
     let blocks: Vec<u64> = (0..30).collect();
     let attempt = AttemptId { entry: IncarnationId(1), request: RequestId(1), attempt: 0 };
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn an_unreachable_target_is_avoided_while_another_serves() {
+fn unreachable_target_is_avoided_while_another_is_usable() {
     let mut router = router(2);
     router.unreachable(UnixMillis(1), &name(0));
     assert_eq!(chosen(&mut router, &[], &[]), Ok(name(1)));
--- a/crates/porthoist-policy/tests/policy/table.rs
+++ b/crates/porthoist-policy/tests/policy/table.rs
@@ -23,19 +23,19 @@
 #[test_case("kind=team name=a/b" => "name"; "bad name")]
 #[test_case("kind=planet name=a" => "kind"; "bad kind")]
 #[test_case("kind=team name=border token=secret" => "token"; "a token that is not hashed")]
-fn column_at_fault(text: &str) -> String {
+fn faulty_column(text: &str) -> String {
     TableRow::from_cells(&cells(text)).map_or_else(|error| error.column, |_row| "ok".to_owned())
 }
 
 #[test]
-fn a_token_is_never_shown_in_an_error() {
+fn token_is_never_shown_in_error() {
     let error = TableRow::from_cells(&cells("kind=team name=border token=secret")).unwrap_err();
     assert!(!error.to_string().contains("secret"));
 }
 
 proptest! {
     #[test]
-    fn reading_cells_never_panics(kind in "(team|service|target|policy|.{0,5})", column in 0..COLUMNS.len(), cell in ".{0,40}") {
+    fn parsing_cells_never_panics(kind in "(team|service|target|policy|.{0,5})", column in 0..COLUMNS.len(), cell in ".{0,40}") {
         let mut cells = RowCells::from([("kind".to_owned(), kind), ("name".to_owned(), "n".to_owned())]);
         cells.insert(COLUMNS[column].to_owned(), cell);
         if let Ok((key, row)) = TableRow::from_cells(&cells) {
@@ -45,7 +45,7 @@
     }
 
     #[test]
-    fn reading_keys_never_panics(text in ".{0,60}") {
+    fn parsing_keys_never_panics(text in ".{0,60}") {
         let _key = text.parse::<RowKey>();
     }
 }
