--- a/crates/porthoist-policy/src/admission.rs
+++ b/crates/porthoist-policy/src/admission.rs
@@ -61,7 +61,7 @@
 /// Sort key in the queue, smallest first. `finish_bits` are the bits of the virtual finish time; for non-negative
 /// floats they sort in the same order as the values.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct QueueRank {
+struct QueuePosition {
     urgency: u8,
     finish_bits: u64,
     arrival: u64,
@@ -86,8 +86,8 @@
 pub struct AdmissionQueue {
     settings: AdmissionSettings,
     running: HashMap<AttemptId, RunningRequest>,
-    queue: BTreeMap<QueueRank, QueuedRequest>,
-    ranks: HashMap<AttemptId, QueueRank>,
+    queue: BTreeMap<QueuePosition, QueuedRequest>,
+    positions: HashMap<AttemptId, QueuePosition>,
     finish_times: HashMap<TeamName, f64>,
     virtual_time: f64,
     arrivals: u64,
@@ -103,7 +103,7 @@
             settings,
             running: HashMap::new(),
             queue: BTreeMap::new(),
-            ranks: HashMap::new(),
+            positions: HashMap::new(),
             finish_times: HashMap::new(),
             virtual_time: 0.0,
             arrivals: 0,
@@ -121,7 +121,7 @@
 
     /// Predicts the time to first token of a request with `prompt_tokens`, in milliseconds.
     pub fn predicted_millis(&self, priority: RequestPriority, prompt_tokens: u32) -> f64 {
-        let ahead = self.queue.keys().filter(|rank| rank.urgency <= urgency(priority)).count();
+        let ahead = self.queue.keys().filter(|position| position.urgency <= urgency(priority)).count();
         let free_slots = self.settings.slots as usize - self.running.len().min(self.settings.slots as usize);
         let completions_needed = (ahead + 1).saturating_sub(free_slots);
         let slot_wait = completions_needed as f64 * self.slot_millis();
@@ -167,14 +167,14 @@
         let finish = last.max(self.virtual_time) + 1.0 / request.weight.max(1e-6);
         self.finish_times.insert(request.team, finish);
         self.arrivals += 1;
-        let rank = QueueRank {
+        let position = QueuePosition {
             urgency: urgency(request.priority),
             finish_bits: finish.to_bits(),
             arrival: self.arrivals,
         };
-        self.ranks.insert(request.attempt, rank);
+        self.positions.insert(request.attempt, position);
         let AdmissionRequest { attempt, prompt_tokens, deadline, .. } = request;
-        self.queue.insert(rank, QueuedRequest { attempt, tokens: prompt_tokens, deadline });
+        self.queue.insert(position, QueuedRequest { attempt, tokens: prompt_tokens, deadline });
     }
 
     fn start(&mut self, now: UnixMillis, attempt: AttemptId, tokens: u32) {
@@ -202,31 +202,31 @@
             self.service_millis += EWMA_WEIGHT * (elapsed_millis - self.service_millis);
             return;
         }
-        if let Some(rank) = self.ranks.remove(&attempt) {
-            self.drop_queued(rank);
+        if let Some(position) = self.positions.remove(&attempt) {
+            self.remove_queued(position);
         }
     }
 
-    fn drop_queued(&mut self, rank: QueueRank) -> Option<QueuedRequest> {
-        let queued = self.queue.remove(&rank)?;
+    fn remove_queued(&mut self, position: QueuePosition) -> Option<QueuedRequest> {
+        let queued = self.queue.remove(&position)?;
         self.backlog_tokens -= u64::from(queued.tokens);
         Some(queued)
     }
 
     /// Returns whether a request still waits for a slot.
     pub fn is_waiting(&self, attempt: AttemptId) -> bool {
-        self.ranks.contains_key(&attempt)
+        self.positions.contains_key(&attempt)
     }
 
     /// Starts waiting requests while slots are free, and returns them.
     pub fn next_starts(&mut self, now: UnixMillis) -> Vec<AttemptId> {
         let mut starts = Vec::new();
         while self.running.len() < self.settings.slots as usize {
-            let Some((rank, queued)) = self.queue.pop_first() else {
+            let Some((position, queued)) = self.queue.pop_first() else {
                 break;
             };
-            self.ranks.remove(&queued.attempt);
-            self.virtual_time = self.virtual_time.max(f64::from_bits(rank.finish_bits));
+            self.positions.remove(&queued.attempt);
+            self.virtual_time = self.virtual_time.max(f64::from_bits(position.finish_bits));
             self.start(now, queued.attempt, queued.tokens);
             starts.push(queued.attempt);
         }
@@ -238,16 +238,16 @@
 
     /// Removes and returns waiting requests whose deadline has passed; the caller refuses them.
     pub fn expired(&mut self, now: UnixMillis) -> Vec<AttemptId> {
-        let overdue: Vec<QueueRank> = self
+        let overdue: Vec<QueuePosition> = self
             .queue
             .iter()
-            .filter(|(_rank, queued)| queued.deadline.passed(now))
-            .map(|(rank, _)| *rank)
+            .filter(|(_position, queued)| queued.deadline.passed(now))
+            .map(|(position, _)| *position)
             .collect();
         let mut attempts = Vec::with_capacity(overdue.len());
-        for rank in overdue {
-            if let Some(queued) = self.drop_queued(rank) {
-                self.ranks.remove(&queued.attempt);
+        for position in overdue {
+            if let Some(queued) = self.remove_queued(position) {
+                self.positions.remove(&queued.attempt);
                 attempts.push(queued.attempt);
             }
         }
--- a/crates/porthoist-policy/src/claim.rs
+++ b/crates/porthoist-policy/src/claim.rs
@@ -97,7 +97,7 @@
     /// An offer with a lost answer is repeated only under the same ticket.
     pub same_ticket_after_loss: bool,
     /// The row is changed only by a conditional write.
-    pub conditional_move: bool,
+    pub conditional_update: bool,
 }
 
 impl ClaimRules {
@@ -106,7 +106,7 @@
         close_before_not_run: true,
         claim_before_offer: true,
         same_ticket_after_loss: true,
-        conditional_move: true,
+        conditional_update: true,
     };
 }
 
@@ -152,7 +152,7 @@
     pub fn on(&mut self, event: ClaimEvent<T>) -> Option<ClaimAction<T>> {
         match (self.step.clone(), event) {
             (ClaimStep::Minting { expected }, ClaimEvent::Minted(ticket)) => {
-                Some(self.write(expected, ticket))
+                Some(self.claim_with(expected, ticket))
             }
             (ClaimStep::Minting { expected }, ClaimEvent::MintFailed(reason)) => {
                 self.reason = reason;
@@ -191,7 +191,7 @@
         self.finish(ClaimAction::Refuse(reason, RunVerdict::MayHaveRun))
     }
 
-    fn write(&mut self, expected: Option<u64>, ticket: T) -> ClaimAction<T> {
+    fn claim_with(&mut self, expected: Option<u64>, ticket: T) -> ClaimAction<T> {
         self.tickets += 1;
         if !self.rules.claim_before_offer && expected.is_none() {
             return self.offer(0, ticket);
@@ -253,7 +253,7 @@
         if claim.row.writer == row.writer {
             return self.continue_with(claim.version, row);
         }
-        if !self.rules.conditional_move && expected.is_some() {
+        if !self.rules.conditional_update && expected.is_some() {
             return self.continue_with(claim.version, row);
         }
         self.adopt_claim(claim)
--- a/crates/porthoist-policy/src/limits.rs
+++ b/crates/porthoist-policy/src/limits.rs
@@ -60,7 +60,7 @@
     /// Exponentially decayed number of requests, admitted or not.
     demand: f64,
     demand_at: UnixMillis,
-    asked_at: UnixMillis,
+    last_settle_at: UnixMillis,
     awaiting_reply: bool,
     denied_until: UnixMillis,
     fallback_until: UnixMillis,
@@ -105,7 +105,7 @@
             let retry_at = now.plus(bucket::MIN_WAIT_MILLIS);
             return Err(LimitRefusal { reason: RefusalReason::ConcurrencyLimit, retry_at });
         }
-        if let Err(retry_at) = usage.take(now, entries) {
+        if let Err(retry_at) = usage.admit_by_rate(now, entries) {
             return Err(LimitRefusal { reason: RefusalReason::RateLimit, retry_at });
         }
         usage.in_flight += 1;
@@ -123,7 +123,7 @@
     pub fn due(&mut self, now: UnixMillis) -> Vec<(TeamName, SettleAsk)> {
         let mut asks = Vec::new();
         for (team, usage) in &mut self.teams {
-            if let Some((debt, wanted)) = usage.due(now) {
+            if let Some((debt, wanted)) = usage.settlement_due(now) {
                 asks.push((team.clone(), SettleAsk { team: coordinator::team_key(team), debt, wanted }));
             }
         }
@@ -171,7 +171,7 @@
             credit: credit(limit.rate, entries),
             demand: 0.0,
             demand_at: now,
-            asked_at: UnixMillis(0),
+            last_settle_at: UnixMillis(0),
             awaiting_reply: false,
             denied_until: UnixMillis(0),
             fallback_until: UnixMillis(0),
@@ -192,7 +192,7 @@
         self.demand * (-age / DEMAND_MILLIS).exp() / DEMAND_MILLIS
     }
 
-    fn take(&mut self, now: UnixMillis, entries: u32) -> Result<(), UnixMillis> {
+    fn admit_by_rate(&mut self, now: UnixMillis, entries: u32) -> Result<(), UnixMillis> {
         if self.borrowed >= 1.0 {
             self.borrowed -= 1.0;
             return Ok(());
@@ -212,20 +212,21 @@
         Err(self.denied_until.max(now.plus(SETTLE_MILLIS)))
     }
 
-    fn due(&mut self, now: UnixMillis) -> Option<(u32, u32)> {
-        let since_asked = now.since(self.asked_at);
-        if self.awaiting_reply || since_asked < SETTLE_MILLIS {
+    /// Returns the debt and the tokens wanted if a settlement is due now, and marks it as sent.
+    fn settlement_due(&mut self, now: UnixMillis) -> Option<(u32, u32)> {
+        let since_settle = now.since(self.last_settle_at);
+        if self.awaiting_reply || since_settle < SETTLE_MILLIS {
             return None;
         }
-        let ahead = self.demand_rate(now) * SETTLE_MILLIS as f64 * INTERVALS_AHEAD;
-        let wanted = (ahead - self.borrowed).floor().max(0.0) as u32;
+        let expected = self.demand_rate(now) * SETTLE_MILLIS as f64 * INTERVALS_AHEAD;
+        let wanted = (expected - self.borrowed).floor().max(0.0) as u32;
         let busy = wanted >= 1 || self.debt * 2 >= self.credit;
         let period = |at: UnixMillis| at.0 / LAZY_SETTLE_MILLIS;
-        let old = self.debt > 0 && period(now) > period(self.debt_since);
-        if !busy && !old {
+        let overdue = self.debt > 0 && period(now) > period(self.debt_since);
+        if !busy && !overdue {
             return None;
         }
-        self.asked_at = now;
+        self.last_settle_at = now;
         self.awaiting_reply = true;
         Some((self.debt, wanted))
     }
--- a/crates/porthoist-policy/src/placement.rs
+++ b/crates/porthoist-policy/src/placement.rs
@@ -86,19 +86,19 @@
 pub fn plan(map: &ExpertMap, estimate: &GroupEstimate, settings: &PlannerSettings) -> PlacementPlan {
     let mut best = reshare(map, estimate);
     let peak_before = peak(&best, estimate);
-    let mut peak_now = peak_before;
+    let mut current_peak = peak_before;
     let mut moves = Vec::new();
     while moves.len() < settings.max_moves {
         let Some((next_move, next, peak_next)) = best_move(&best, estimate) else { break };
-        let gain = peak_now - peak_next;
+        let gain = current_peak - peak_next;
         if gain * settings.skew_weight < settings.min_gain.max(settings.move_weight * MOVE_PRICE) {
             break;
         }
         moves.push(next_move);
         best = next;
-        peak_now = peak_next;
+        current_peak = peak_next;
     }
-    PlacementPlan { moves, map: best, peak_before, peak_after: peak_now }
+    PlacementPlan { moves, map: best, peak_before, peak_after: current_peak }
 }
 
 /// Minimum gain of a move at equal weights, as a fraction of the mean rank time. A move costs about 44 MB and 2 ms;
--- a/crates/porthoist-policy/src/placement/equal_shares.rs
+++ b/crates/porthoist-policy/src/placement/equal_shares.rs
@@ -179,7 +179,8 @@
     power_sum: f64,
     /// The ranks that hold each expert.
     holders: Vec<Vec<usize>>,
-    new: Vec<usize>,
+    /// Number of experts of each rank that are new to it.
+    new_experts: Vec<usize>,
 }
 
 /// Adds a replica to a rank, in place of another if the rank is full, or only drops a replica.
@@ -193,7 +194,7 @@
 
 impl<'a> SetPlan<'a> {
     fn new(original: &'a [Vec<ExpertId>], demand: &'a [f64], paces: &'a [f64]) -> Self {
-        let ranks: Vec<Vec<ExpertId>> = original.iter().map(|held| without_repeats(held)).collect();
+        let ranks: Vec<Vec<ExpertId>> = original.iter().map(|held| distinct_experts(held)).collect();
         let mut holders = vec![Vec::new(); demand.len()];
         for (rank, held) in ranks.iter().enumerate() {
             for expert in held {
@@ -202,8 +203,9 @@
         }
         let loads = paced_loads(&ranks, demand, paces);
         let powers = Vec::new();
-        let new = vec![0; original.len()];
-        let mut plan = Self { original, ranks, demand, paces, loads, powers, power_sum: 0.0, holders, new };
+        let new_experts = vec![0; original.len()];
+        let mut plan =
+            Self { original, ranks, demand, paces, loads, powers, power_sum: 0.0, holders, new_experts };
         plan.sum_powers();
         plan
     }
@@ -248,8 +250,9 @@
         coolest.sort_by(|left, right| self.loads[*left].total_cmp(&self.loads[*right]));
         let mut best: Option<ReplicaMove> = None;
         for expert in hot.into_iter().take(HOT_EXPERTS) {
-            let homes = coolest.iter().copied().filter(|rank| self.can_take(*rank, expert, bounds, room));
-            for rank in homes.take(COOL_RANKS) {
+            let destinations =
+                coolest.iter().copied().filter(|rank| self.can_take(*rank, expert, bounds, room));
+            for rank in destinations.take(COOL_RANKS) {
                 for evict in self.evictions(rank, expert, bounds) {
                     let gain = self.gain(rank, Some(expert), evict);
                     if best.as_ref().is_none_or(|best| gain > best.gain) {
@@ -283,7 +286,8 @@
             return false;
         }
         // A replica that the rank holds in the map in force needs no copy.
-        self.original[rank].contains(&expert) || (self.new[rank] < bounds.max_new_experts && room[rank])
+        self.original[rank].contains(&expert)
+            || (self.new_experts[rank] < bounds.max_new_experts && room[rank])
     }
 
     /// Returns the replicas that may be evicted to make room: those of experts with other replicas, cheapest first.
@@ -360,19 +364,19 @@
             self.holders[usize::from(expert.0)].push(rank);
         }
         let original = &self.original[rank];
-        self.new[rank] = self.ranks[rank].iter().filter(|held| !original.contains(held)).count();
+        self.new_experts[rank] = self.ranks[rank].iter().filter(|held| !original.contains(held)).count();
     }
 }
 
 /// Removes repeated experts: one that a rank lists twice is still a single replica.
-fn without_repeats(held: &[ExpertId]) -> Vec<ExpertId> {
-    let mut once = Vec::with_capacity(held.len());
+fn distinct_experts(held: &[ExpertId]) -> Vec<ExpertId> {
+    let mut distinct = Vec::with_capacity(held.len());
     for expert in held {
-        if !once.contains(expert) {
-            once.push(*expert);
+        if !distinct.contains(expert) {
+            distinct.push(*expert);
         }
     }
-    once
+    distinct
 }
 
 /// Returns the rank loads multiplied by the ranks' slowdown.
@@ -383,8 +387,9 @@
 /// Returns the highest load, with loads multiplied by the ranks' slowdown, relative to the mean load and averaged over
 /// the sets.
 fn paced_skew(map: &EqualShareMap, demand: &[Vec<f64>], paces: &[f64]) -> f64 {
-    let most = |loads: Vec<f64>| loads.into_iter().fold(0.0, f64::max) * paces.len() as f64;
-    let peaks = map.sets.iter().zip(demand).map(|(ranks, demand)| most(paced_loads(ranks, demand, paces)));
+    let peak_load = |loads: Vec<f64>| loads.into_iter().fold(0.0, f64::max) * paces.len() as f64;
+    let peaks =
+        map.sets.iter().zip(demand).map(|(ranks, demand)| peak_load(paced_loads(ranks, demand, paces)));
     peaks.sum::<f64>() / map.sets.len().max(1) as f64
 }
 
@@ -405,24 +410,25 @@
         plans.iter().map(|plan| plan.best_move(bounds, &room)).collect();
     while let Some((set, chosen)) = best_candidate(&candidates, bounds.move_price) {
         plans[set].apply(chosen);
-        let new: usize = plans.iter().map(|plan| plan.new[chosen.rank]).sum();
-        let open = new < bounds.max_new_per_rank;
-        if room[chosen.rank] == open {
+        let new: usize = plans.iter().map(|plan| plan.new_experts[chosen.rank]).sum();
+        let has_room = new < bounds.max_new_per_rank;
+        if room[chosen.rank] == has_room {
             candidates[set] = plans[set].best_move(bounds, &room);
             continue;
         }
-        room[chosen.rank] = open;
+        room[chosen.rank] = has_room;
         candidates = plans.iter().map(|plan| plan.best_move(bounds, &room)).collect();
     }
-    let moves = plans.iter().flat_map(|plan| &plan.new).sum();
+    let moves = plans.iter().flat_map(|plan| &plan.new_experts).sum();
     let improved = EqualShareMap::new(plans.into_iter().map(|plan| plan.ranks).collect());
     let (skew_before, skew_after) = (paced_skew(map, demand, &paces), paced_skew(&improved, demand, &paces));
     EqualSharePlan { moves, skew_before, skew_after, map: improved }
 }
 
 fn best_candidate(candidates: &[Option<ReplicaMove>], price: f64) -> Option<(usize, ReplicaMove)> {
-    let offers = candidates.iter().enumerate().filter_map(|(set, chosen)| chosen.map(|chosen| (set, chosen)));
-    let best = offers.max_by(|left, right| left.1.gain.total_cmp(&right.1.gain))?;
-    let least = if best.1.expert.is_some() { price } else { 0.0 };
-    (best.1.gain > least).then_some(best)
+    let available =
+        candidates.iter().enumerate().filter_map(|(set, chosen)| chosen.map(|chosen| (set, chosen)));
+    let best = available.max_by(|left, right| left.1.gain.total_cmp(&right.1.gain))?;
+    let min_gain = if best.1.expert.is_some() { price } else { 0.0 };
+    (best.1.gain > min_gain).then_some(best)
 }
--- a/crates/porthoist-policy/src/retry.rs
+++ b/crates/porthoist-policy/src/retry.rs
@@ -75,11 +75,11 @@
 impl FailedAttempt {
     /// Returns the reason for another attempt, or `None` if the failure is final.
     pub fn retry_reason(&self, now: UnixMillis) -> Option<RetryReason> {
-        self.retry_reason_by(now, RetryRules::SOUND)
+        self.retry_reason_with(now, RetryRules::SOUND)
     }
 
     /// Like [`Self::retry_reason`] with the given rules, for the model checker.
-    pub fn retry_reason_by(&self, now: UnixMillis, rules: RetryRules) -> Option<RetryReason> {
+    pub fn retry_reason_with(&self, now: UnixMillis, rules: RetryRules) -> Option<RetryReason> {
         if self.attempts >= MAX_ATTEMPTS || self.deadline.passed(now) {
             return None;
         }
--- a/crates/porthoist-policy/src/roll_forward.rs
+++ b/crates/porthoist-policy/src/roll_forward.rs
@@ -106,11 +106,11 @@
     /// The hold is released only after every rank's report has confirmed that it is armed.
     pub read_back_armed: bool,
     /// A hold is not released on the ground that no rank has reported to be armed.
-    pub never_give_up: bool,
+    pub never_release_unarmed: bool,
     /// A driver continues from a hold that it finds.
     pub take_over_hold: bool,
     /// If one rank uses the map, all do, even if older views of the others do not show it.
-    pub one_switched_is_all: bool,
+    pub one_switched_means_all: bool,
     /// A new driver prepares nothing until holds of its predecessor can no longer take effect.
     pub wait_out_old_holds: bool,
 }
@@ -121,9 +121,9 @@
         prepare_precondition: true,
         read_back_hold: true,
         read_back_armed: true,
-        never_give_up: true,
+        never_release_unarmed: true,
         take_over_hold: true,
-        one_switched_is_all: true,
+        one_switched_means_all: true,
         wait_out_old_holds: true,
     };
 }
@@ -131,7 +131,7 @@
 /// Progress of a switch.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum SwitchPhase {
-    Rest,
+    Idle,
     Preparing { version: MapVersion, sequences: Vec<OrderSequence> },
     Holding { armed: ArmedMap },
 }
@@ -141,6 +141,7 @@
 pub struct RollForwardDriver {
     rules: RollForwardRules,
     epoch: Option<GroupEpoch>,
+    /// The first rank's last pass when the driver first saw the epoch.
     first_step: StepNumber,
     phase: SwitchPhase,
     highest: MapVersion,
@@ -156,7 +157,7 @@
             rules,
             epoch: None,
             first_step: StepNumber(0),
-            phase: SwitchPhase::Rest,
+            phase: SwitchPhase::Idle,
             highest: MapVersion(0),
         }
     }
@@ -168,7 +169,7 @@
         let waited = views[0].step.0 >= self.first_step.0 + LEAD_STEPS || !self.rules.wait_out_old_holds;
         let nothing_pending = views.iter().all(|view| view.armed.is_none() && view.held.is_none());
         let same_map = views.iter().all(|view| view.map == views[0].map);
-        self.phase == SwitchPhase::Rest && waited && nothing_pending && same_map
+        self.phase == SwitchPhase::Idle && waited && nothing_pending && same_map
     }
 
     /// Begins a switch and returns its version, which is higher than all known ones. Requires [`Self::can_begin`].
@@ -176,8 +177,8 @@
     /// `fresh` is a version that no other run of the driver uses, for example from a clock. Otherwise a late order of an
     /// earlier run could prepare a different map under the same version.
     pub fn begin(&mut self, views: &[RankView], fresh: MapVersion) -> MapVersion {
-        let shown = views.iter().flat_map(|view| [Some(view.map), view.prepared]).flatten().max();
-        let known = self.highest.max(shown.unwrap_or_default());
+        let reported = views.iter().flat_map(|view| [Some(view.map), view.prepared]).flatten().max();
+        let known = self.highest.max(reported.unwrap_or_default());
         self.highest = MapVersion(known.0 + 1).max(fresh);
         let sequences = views.iter().map(|view| view.sequence).collect();
         self.phase = SwitchPhase::Preparing { version: self.highest, sequences };
@@ -187,7 +188,7 @@
     /// Abandons a switch that is not yet prepared on all ranks. Its late orders cannot affect the next switch.
     pub fn abandon(&mut self) {
         if matches!(self.phase, SwitchPhase::Preparing { .. }) {
-            self.phase = SwitchPhase::Rest;
+            self.phase = SwitchPhase::Idle;
         }
     }
 
@@ -200,7 +201,7 @@
     /// Returns the map being prepared or switched to.
     pub fn target(&self) -> Option<MapVersion> {
         match &self.phase {
-            SwitchPhase::Rest => None,
+            SwitchPhase::Idle => None,
             SwitchPhase::Preparing { version, .. } => Some(*version),
             SwitchPhase::Holding { armed } => Some(armed.version),
         }
@@ -222,12 +223,12 @@
         let Some(epoch) = common_epoch(views) else { return Vec::new() };
         self.enter_epoch(epoch, views[0].step);
         if let Some(step) = views[0].held
-            && (self.rules.take_over_hold || self.phase != SwitchPhase::Rest)
+            && (self.rules.take_over_hold || self.phase != SwitchPhase::Idle)
         {
             return self.roll_forward(epoch, step, views);
         }
         match &self.phase {
-            SwitchPhase::Rest => Vec::new(),
+            SwitchPhase::Idle => Vec::new(),
             SwitchPhase::Preparing { .. } => self.prepare(epoch, views),
             SwitchPhase::Holding { armed } => self.hold(epoch, *armed, views),
         }
@@ -237,7 +238,7 @@
         if self.epoch != Some(epoch) {
             self.epoch = Some(epoch);
             self.first_step = step;
-            self.phase = SwitchPhase::Rest;
+            self.phase = SwitchPhase::Idle;
         }
     }
 
@@ -265,10 +266,10 @@
     /// Orders the hold, for a later pass if the chosen one has already begun.
     fn hold(&mut self, epoch: GroupEpoch, armed: ArmedMap, views: &[RankView]) -> RankOrders {
         if views.iter().all(|view| view.map == armed.version) {
-            self.phase = SwitchPhase::Rest;
+            self.phase = SwitchPhase::Idle;
             return Vec::new();
         }
-        if self.rules.one_switched_is_all && views.iter().any(|view| view.map == armed.version) {
+        if self.rules.one_switched_means_all && views.iter().any(|view| view.map == armed.version) {
             // All ranks switch in the same pass, so the other views are outdated.
             return Vec::new();
         }
@@ -290,7 +291,7 @@
 
     /// Arms every rank for the held pass, and releases the hold once all are armed.
     fn roll_forward(&mut self, epoch: GroupEpoch, step: StepNumber, views: &[RankView]) -> RankOrders {
-        let go = vec![(0, EngineOrder::Go { epoch, step })];
+        let release = vec![(0, EngineOrder::Go { epoch, step })];
         let armed = views.iter().filter_map(|view| view.armed).find(|armed| armed.step == step);
         let prepared =
             views[0].prepared.filter(|version| views.iter().all(|view| view.prepared == Some(*version)));
@@ -307,15 +308,15 @@
         };
         let armed = ArmedMap { version, step };
         self.phase = SwitchPhase::Holding { armed };
-        let missing = views.iter().enumerate().filter(|(_rank, view)| view.armed != Some(armed));
+        let unarmed = views.iter().enumerate().filter(|(_rank, view)| view.armed != Some(armed));
         let orders: RankOrders =
-            missing.map(|(rank, _view)| (rank, EngineOrder::Arm { epoch, armed })).collect();
+            unarmed.map(|(rank, _view)| (rank, EngineOrder::Arm { epoch, armed })).collect();
         let tolerated = usize::from(!self.rules.read_back_armed);
         if orders.len() <= tolerated {
-            return go;
+            return release;
         }
-        let release_early = orders.len() == views.len() && !self.rules.never_give_up;
-        if release_early { orders.into_iter().chain(go).collect() } else { orders }
+        let release_early = orders.len() == views.len() && !self.rules.never_release_unarmed;
+        if release_early { orders.into_iter().chain(release).collect() } else { orders }
     }
 }
 
--- a/crates/porthoist-policy/src/router.rs
+++ b/crates/porthoist-policy/src/router.rs
@@ -323,10 +323,10 @@
             let backlog = self.backlog_tokens(view, query.now, rate) / rate;
             (backlog, f64::from(query.prompt_tokens - cached) / rate)
         };
-        let pace = f64::from(load.step_micros) / 1000.0;
+        let step_millis = f64::from(load.step_micros) / 1000.0;
 
         let zone = if view.target.zone == self.settings.zone { 0.0 } else { self.settings.cross_zone_millis };
-        let cost = slot_wait + backlog + own * work_weight + pace + zone;
+        let cost = slot_wait + backlog + own * work_weight + step_millis + zone;
         // Breaks ties in favour of the least occupied target, so that requests are not all sent to the first name.
         let occupancy = occupied / f64::from(load.slots.max(1));
         ((cost + occupancy) / view.target.weight, cached)
@@ -400,9 +400,9 @@
 
     /// Returns the work that this entry has sent since the last load report.
     fn unreported(&self) -> UnreportedWork {
-        let since = |sent: &&SentAttempt| sent.at >= self.load.at;
+        let after_report = |sent: &&SentAttempt| sent.at >= self.load.at;
         let mut unreported = UnreportedWork { requests: 0.0, tokens: 0.0 };
-        for sent in self.sent.values().filter(since) {
+        for sent in self.sent.values().filter(after_report) {
             unreported.requests += 1.0;
             unreported.tokens += f64::from(sent.tokens);
         }
--- a/crates/porthoist-policy/src/switch.rs
+++ b/crates/porthoist-policy/src/switch.rs
@@ -348,7 +348,7 @@
             }
         }
         let unfinished = last_commit.filter(|_switch| any_armed && self.rules.finish_commit);
-        if let Some(switch) = unfinished.filter(|switch| armed_with(replies, *switch)) {
+        if let Some(switch) = unfinished.filter(|switch| any_armed_for(replies, *switch)) {
             self.phase = LeaderPhase::Decided;
             return LeaderMessage::Commit(self.ballot, switch);
         }
@@ -367,7 +367,7 @@
     }
 }
 
-fn armed_with(replies: &BTreeMap<usize, RankReply>, switch: ArmedSwitch) -> bool {
+fn any_armed_for(replies: &BTreeMap<usize, RankReply>, switch: ArmedSwitch) -> bool {
     let armed = |reply: &RankReply| match reply {
         RankReply::Promised { armed, .. } => *armed == Some(switch),
         _ => false,
--- a/crates/porthoist-policy/src/table.rs
+++ b/crates/porthoist-policy/src/table.rs
@@ -201,7 +201,7 @@
         self.cells.get(column).map_or("", |cell| cell.trim())
     }
 
-    fn parsed<T: FromStr>(&self, column: &str, default: T, expected: &str) -> Result<T, CellError> {
+    fn parse_or<T: FromStr>(&self, column: &str, default: T, expected: &str) -> Result<T, CellError> {
         let text = self.text(column);
         if text.is_empty() {
             return Ok(default);
@@ -211,7 +211,7 @@
 
     fn weight(&self, column: &str, default: f64) -> Result<f64, CellError> {
         let expected = "a number from 0 to 1000000";
-        let weight: f64 = self.parsed(column, default, expected)?;
+        let weight: f64 = self.parse_or(column, default, expected)?;
         if (0.0..=MAX_WEIGHT).contains(&weight) {
             return Ok(weight);
         }
@@ -274,19 +274,19 @@
         reader.check_columns(&["kind", "name", "weight", "rate", "concurrency", "priority", "token"])?;
         Ok(Self::Team(TeamRow {
             weight: reader.weight("weight", 1.0)?,
-            rate: reader.parsed("rate", RequestRate(1000.0), "requests a second, for example 50/s")?,
-            concurrency: reader.parsed("concurrency", 1000, "a whole number")?,
-            priority: reader.parsed("priority", RequestPriority::default(), "0 to 9")?,
+            rate: reader.parse_or("rate", RequestRate(1000.0), "requests a second, for example 50/s")?,
+            concurrency: reader.parse_or("concurrency", 1000, "a whole number")?,
+            priority: reader.parse_or("priority", RequestPriority::default(), "0 to 9")?,
             token: reader.token()?,
         }))
     }
 
     fn service(reader: &CellReader<'_>) -> Result<Self, CellError> {
         reader.check_columns(&["kind", "name", "mode", "repeat"])?;
-        let mode = reader.parsed("mode", ServiceKind::Model, "model or plain")?;
+        let mode = reader.parse_or("mode", ServiceKind::Model, "model or plain")?;
         let repeat = match reader.text("repeat") {
             "" => None,
-            _ => Some(reader.parsed("repeat", RepeatPolicy::Never, "safe or never")?),
+            _ => Some(reader.parse_or("repeat", RepeatPolicy::Never, "safe or never")?),
         };
         Ok(Self::Service(ServiceRow { mode, repeat }))
     }
@@ -301,7 +301,7 @@
         Ok(Self::Policy(PolicyRow {
             skew_weight: reader.weight("skew_weight", 1.0)?,
             move_weight: reader.weight("move_weight", 1.0)?,
-            map: reader.parsed("map", 0, "a whole number")?,
+            map: reader.parse_or("map", 0, "a whole number")?,
         }))
     }
 
--- a/crates/porthoist-spec/src/models.rs
+++ b/crates/porthoist-spec/src/models.rs
@@ -60,7 +60,7 @@
         group_switch_model(large),
         adoption_model(),
         roll_forward_model(large),
-        held_model(),
+        held_group_model(),
         epoch_model(),
         relay_model(),
         relay_formation_model(),
@@ -68,7 +68,7 @@
 }
 
 fn at_most_once_model() -> CheckedModel {
-    let searcher = |gate, claim| {
+    let search_with = |gate, claim| {
         let bounds = at_most_once::AtMostOnceModel {
             gate,
             claim,
@@ -80,7 +80,7 @@
         };
         move |limit| search(&bounds, limit)
     };
-    let mutant = |rule, gate, claim| Mutant::new(rule, searcher(gate, claim));
+    let mutant = |rule, gate, claim| Mutant::new(rule, search_with(gate, claim));
     let (gate, claim) = (GateRules::SOUND, ClaimRules::SOUND);
     CheckedModel {
         name: "at most once, and not-run reports are true",
@@ -113,7 +113,7 @@
             mutant(
                 "a lost write race is treated as won",
                 gate,
-                ClaimRules { conditional_move: false, ..claim },
+                ClaimRules { conditional_update: false, ..claim },
             ),
         ],
     }
@@ -249,13 +249,13 @@
             ),
             mutant(
                 "released because no rank was reported armed",
-                RollForwardRules { never_give_up: false, ..sound },
+                RollForwardRules { never_release_unarmed: false, ..sound },
             ),
         ],
     }
 }
 
-fn held_model() -> CheckedModel {
+fn held_group_model() -> CheckedModel {
     let bounds = roll_forward::RollForwardModel { restarts: 2, ..roll_forward_bounds(false) };
     let mutant = move |rule, rules| {
         Mutant::new(rule, move |limit| {
@@ -275,7 +275,7 @@
             mutant("an existing hold is ignored", RollForwardRules { take_over_hold: false, ..sound }),
             mutant(
                 "held again for a map that is in use",
-                RollForwardRules { one_switched_is_all: false, ..sound },
+                RollForwardRules { one_switched_means_all: false, ..sound },
             ),
             // Reads of single ranks would exceed the limit of states, and the shortest path to the violation needs none.
             Mutant::new("prepared before old holds have expired", move |limit| {
--- a/crates/porthoist-spec/src/models/unkeyed.rs
+++ b/crates/porthoist-spec/src/models/unkeyed.rs
@@ -20,7 +20,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct UnkeyedState {
     attempts: u32,
-    open: bool,
+    /// Whether the entry waits for the answer to an attempt.
+    waiting: bool,
     /// Offers in transit that the entry no longer waits for.
     orphaned_offers: u8,
     runs: u8,
@@ -30,7 +31,7 @@
 impl UnkeyedModel {
     fn failed(self, state: &UnkeyedState, reason: RefusalReason, verdict: RunVerdict) -> UnkeyedState {
         let mut next = state.clone();
-        next.open = false;
+        next.waiting = false;
         let failed = FailedAttempt {
             reason,
             verdict,
@@ -39,8 +40,8 @@
             attempts: state.attempts,
             deadline: DEADLINE,
         };
-        if failed.retry_reason_by(NOW, self.rules).is_some() {
-            next.open = true;
+        if failed.retry_reason_with(NOW, self.rules).is_some() {
+            next.waiting = true;
             next.attempts += 1;
         } else {
             next.not_run_reported |= verdict == RunVerdict::NotRun;
@@ -57,7 +58,7 @@
     type State = UnkeyedState;
 
     fn initial(&self) -> UnkeyedState {
-        UnkeyedState { attempts: 1, open: true, orphaned_offers: 0, runs: 0, not_run_reported: false }
+        UnkeyedState { attempts: 1, waiting: true, orphaned_offers: 0, runs: 0, not_run_reported: false }
     }
 
     fn successors(&self, state: &UnkeyedState, visit: EventVisitor<'_, UnkeyedState>) {
@@ -67,7 +68,7 @@
             next.runs += 1;
             visit(format_args!("an abandoned offer arrives and runs"), next);
         }
-        if !state.open {
+        if !state.waiting {
             return;
         }
         let refused = self.failed(state, RefusalReason::Overloaded, RunVerdict::NotRun);
@@ -77,13 +78,13 @@
         let mut ran = state.clone();
         ran.runs += 1;
         let mut answered = ran.clone();
-        answered.open = false;
+        answered.waiting = false;
         visit(format_args!("the request runs and the answer arrives"), answered);
         let lost = self.failed(&ran, RefusalReason::ConnectionLost, self.lost_verdict());
         visit(format_args!("the request runs and the answer is lost"), lost);
-        let mut orphaned_offers = self.failed(state, RefusalReason::ConnectionLost, self.lost_verdict());
-        orphaned_offers.orphaned_offers += 1;
-        visit(format_args!("the connection breaks while the offer is in transit"), orphaned_offers);
+        let mut orphaned = self.failed(state, RefusalReason::ConnectionLost, self.lost_verdict());
+        orphaned.orphaned_offers += 1;
+        visit(format_args!("the connection breaks while the offer is in transit"), orphaned);
     }
 
     fn violation(&self, state: &UnkeyedState) -> Option<String> {
