--- a/crates/porthoist-spec/src/main.rs
+++ b/crates/porthoist-spec/src/main.rs
@@ -20,14 +20,15 @@
 
 fn main() -> ExitCode {
     let args: SpecArgs = argh::from_env();
-    let mut sound = true;
+    let mut all_pass = true;
     for model in all_models(!args.small) {
-        sound &= if args.mutants { mutants_caught(&model, args.limit) } else { holds(&model, args.limit) };
+        all_pass &=
+            if args.mutants { check_mutants(&model, args.limit) } else { check_protocol(&model, args.limit) };
     }
-    if sound { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if all_pass { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-fn holds(model: &CheckedModel, limit: usize) -> bool {
+fn check_protocol(model: &CheckedModel, limit: usize) -> bool {
     let report = model.sound.search(limit);
     let result = match (&report.counterexample, report.complete) {
         (Some(_), _) => "BROKEN",
@@ -40,8 +41,8 @@
     report.counterexample.is_none() && report.complete
 }
 
-fn mutants_caught(model: &CheckedModel, limit: usize) -> bool {
-    let mut all = true;
+fn check_mutants(model: &CheckedModel, limit: usize) -> bool {
+    let mut all_caught = true;
     for mutant in &model.mutants {
         let report = mutant.search(limit);
         if let Some((property, events)) = &report.counterexample {
@@ -49,9 +50,9 @@
             continue;
         }
         println!("NOT CAUGHT: {} ({} states)", mutant.rule, report.states);
-        all = false;
+        all_caught = false;
     }
-    all
+    all_caught
 }
 
 fn print_counterexample(report: &SearchReport) {
--- a/crates/porthoist-spec/src/models/at_most_once.rs
+++ b/crates/porthoist-spec/src/models/at_most_once.rs
@@ -90,7 +90,7 @@
         visit(format_args!("entry {entry} receives a try"), next);
     }
 
-    fn crashes(&self, state: &AtMostOnceState, visit: EventVisitor<'_, AtMostOnceState>) {
+    fn crash_events(&self, state: &AtMostOnceState, visit: EventVisitor<'_, AtMostOnceState>) {
         if state.crashes >= self.crashes {
             return;
         }
@@ -191,7 +191,7 @@
         visit: EventVisitor<'_, AtMostOnceState>,
     ) {
         let mut applied = state.clone();
-        let event = apply(&mut applied, expected, row);
+        let event = apply_write(&mut applied, expected, row);
         let next = handle_event(&applied, entry, event.clone());
         visit(format_args!("entry {entry} writes {:?}: {event:?}", row.state), next);
         if state.lost_writes >= self.lost_writes {
@@ -237,7 +237,7 @@
     }
 }
 
-fn apply(
+fn apply_write(
     state: &mut AtMostOnceState,
     expected: Option<u64>,
     row: &ClaimRow<ModelTicket>,
@@ -289,14 +289,14 @@
 
     fn successors(&self, state: &AtMostOnceState, visit: EventVisitor<'_, AtMostOnceState>) {
         self.start_events(state, visit);
-        self.crashes(state, visit);
+        self.crash_events(state, visit);
         for entry in 0..state.entries.len() {
             self.entry_events(state, entry, visit);
         }
         for (index, late) in state.late_writes.iter().enumerate() {
             let mut next = state.clone();
             next.late_writes.remove(index);
-            apply(&mut next, late.expected, &late.row);
+            apply_write(&mut next, late.expected, &late.row);
             visit(format_args!("a late write arrives: {:?}", late.row.state), next);
         }
         for ticket in &state.orphaned_offers {
--- a/crates/porthoist-spec/src/models/roll_forward.rs
+++ b/crates/porthoist-spec/src/models/roll_forward.rs
@@ -80,8 +80,8 @@
     fn order(&mut self, order: EngineOrder, step: StepNumber, precondition: bool) {
         match order {
             EngineOrder::Prepare { version, sequence, .. } => {
-                let named = sequence == self.sequence || !precondition;
-                if named && version > self.highest && self.armed.is_none() {
+                let sequence_matches = sequence == self.sequence || !precondition;
+                if sequence_matches && version > self.highest && self.armed.is_none() {
                     self.highest = version;
                     self.prepared = Some(version);
                     // Real engines also count the other orders, so that more late prepares fail.
@@ -117,13 +117,14 @@
     epoch: GroupEpoch,
     step: StepNumber,
     driver: RollForwardDriver,
-    heard: Vec<RankView>,
+    /// Reports that the driver has read for the current round, by rank.
+    reports: Vec<RankView>,
     /// Last report of each rank during a switch; otherwise empty.
-    kept: Vec<RankView>,
+    last_reports: Vec<RankView>,
     /// Reports that the relay has read for the current query, by rank without the first one.
     relayed: Vec<Option<RankView>>,
     /// The last complete answer of the relay in which all its ranks are armed, if answers may be repeated.
-    answered: Vec<RankView>,
+    last_answer: Vec<RankView>,
     orders: BTreeSet<(usize, EngineOrder)>,
     plans: u8,
     restarts: u8,
@@ -145,11 +146,11 @@
         }
     }
 
-    fn keep_while_switching(&mut self, relayed: bool) {
+    fn clear_unneeded_reports(&mut self, relayed: bool) {
         // With a relay, ranks may be missing in any phase of a switch.
-        let wanted = if relayed { self.driver.target().is_some() } else { self.driver.holding() };
-        if !wanted {
-            self.kept.clear();
+        let needed = if relayed { self.driver.target().is_some() } else { self.driver.holding() };
+        if !needed {
+            self.last_reports.clear();
         }
     }
 
@@ -184,19 +185,19 @@
 
     fn driver_events(&self, state: &RollForwardState, visit: EventVisitor<'_, RollForwardState>) {
         if let Some(rules) = self.relay
-            && state.heard.len() < self.ranks
+            && state.reports.len() < self.ranks
         {
             self.relay_events(rules, state, visit);
-        } else if state.heard.len() < self.ranks {
+        } else if state.reports.len() < self.ranks {
             let mut next = state.clone();
-            let rank = next.heard.len();
-            next.heard.push(state.view(rank));
+            let rank = next.reports.len();
+            next.reports.push(state.view(rank));
             visit(format_args!("the driver reads rank {rank}"), next);
         } else {
             let mut next = state.clone();
-            let views = std::mem::take(&mut next.heard);
-            let rest = next.driver.can_begin(&views);
-            if rest && next.plans < self.plans {
+            let views = std::mem::take(&mut next.reports);
+            let can_begin = next.driver.can_begin(&views);
+            if can_begin && next.plans < self.plans {
                 let mut planning = next.clone();
                 planning.plans += 1;
                 planning.driver.begin(&views, Self::version_from_clock(&planning));
@@ -205,30 +206,30 @@
             }
             let mut dropped = next.clone();
             dropped.driver.abandon();
-            dropped.kept.clear();
+            dropped.last_reports.clear();
             if dropped.driver != next.driver {
                 visit(format_args!("the driver abandons its switch"), dropped);
             }
             next.orders.extend(next.driver.next(&views));
             if self.single_reads || self.relay.is_some() {
-                next.kept = views;
-                next.keep_while_switching(self.relay.is_some());
+                next.last_reports = views;
+                next.clear_unneeded_reports(self.relay.is_some());
             }
             visit(format_args!("the driver acts"), next);
         }
-        for rank in 0..if self.single_reads { state.kept.len() } else { 0 } {
+        for rank in 0..if self.single_reads { state.last_reports.len() } else { 0 } {
             let mut next = state.clone();
-            next.kept[rank] = state.view(rank);
-            next.orders.extend(next.driver.next(&next.kept));
-            next.keep_while_switching(false);
+            next.last_reports[rank] = state.view(rank);
+            next.orders.extend(next.driver.next(&next.last_reports));
+            next.clear_unneeded_reports(false);
             visit(format_args!("the driver reads rank {rank} alone and acts"), next);
         }
         if state.restarts < self.restarts {
             let mut next = state.clone();
             next.restarts += 1;
             next.driver = RollForwardDriver::new(self.rules);
-            next.heard.clear();
-            next.kept.clear();
+            next.reports.clear();
+            next.last_reports.clear();
             next.relayed.clear();
             visit(format_args!("the driver restarts"), next);
         }
@@ -241,9 +242,9 @@
         state: &RollForwardState,
         visit: EventVisitor<'_, RollForwardState>,
     ) {
-        if state.heard.is_empty() {
+        if state.reports.is_empty() {
             let mut next = state.clone();
-            next.heard.push(state.view(0));
+            next.reports.push(state.view(0));
             next.relayed = vec![None; self.ranks - 1];
             visit(format_args!("the driver reads rank 0 and asks the relay"), next);
             return;
@@ -255,17 +256,17 @@
                 visit(format_args!("the relay reads rank {}", index + 1), next);
             }
         }
-        let whole: Option<Vec<RankView>> = state.relayed.iter().copied().collect();
-        if let Some(views) = whole {
+        let complete: Option<Vec<RankView>> = state.relayed.iter().copied().collect();
+        if let Some(views) = complete {
             visit(format_args!("the relay answers"), self.relay_answered(state, views));
         } else {
             self.partial_answer(state, visit);
         }
-        if rules.answers_repeat && !state.answered.is_empty() {
-            let mut views = state.answered.clone();
+        if rules.answers_repeat && !state.last_answer.is_empty() {
+            let mut views = state.last_answer.clone();
             if !rules.states_verbatim {
                 for view in &mut views {
-                    assume_current_switch(view, &state.heard[0], state.driver.target());
+                    assume_current_switch(view, &state.reports[0], state.driver.target());
                 }
             }
             visit(format_args!("the relay's last answer is repeated"), self.relay_answered(state, views));
@@ -277,7 +278,7 @@
             visit(format_args!("the relay answers with rank 1 for all"), self.relay_answered(state, views));
         }
         let mut lost = state.clone();
-        lost.heard.clear();
+        lost.reports.clear();
         lost.relayed.clear();
         visit(format_args!("the relay restarts and its answer is lost"), lost);
     }
@@ -288,9 +289,9 @@
         // Only an answer with armed ranks can mislead the driver into a release.
         let armed = views.iter().all(|view| view.armed.is_some());
         if self.relay.is_some_and(|rules| rules.answers_repeat) && armed {
-            next.answered.clone_from(&views);
+            next.last_answer.clone_from(&views);
         }
-        next.heard.extend(views);
+        next.reports.extend(views);
         next
     }
 
@@ -298,21 +299,21 @@
     /// no prepare orders.
     fn partial_answer(&self, state: &RollForwardState, visit: EventVisitor<'_, RollForwardState>) {
         let mut next = state.clone();
-        let first = next.heard.remove(0);
+        let first = next.reports.remove(0);
         let read = std::mem::take(&mut next.relayed);
-        if next.kept.len() == self.ranks {
-            next.kept[0] = first;
-            for (view, read) in next.kept[1..].iter_mut().zip(&read) {
+        if next.last_reports.len() == self.ranks {
+            next.last_reports[0] = first;
+            for (view, read) in next.last_reports[1..].iter_mut().zip(&read) {
                 *view = read.unwrap_or(*view);
             }
-            let heard = |rank: usize| rank == 0 || read[rank - 1].is_some();
-            let orders = next.driver.next(&next.kept);
+            let was_read = |rank: usize| rank == 0 || read[rank - 1].is_some();
+            let orders = next.driver.next(&next.last_reports);
             next.orders.extend(
                 orders
                     .into_iter()
-                    .filter(|(rank, order)| heard(*rank) || !matches!(order, EngineOrder::Prepare { .. })),
+                    .filter(|(rank, order)| was_read(*rank) || !matches!(order, EngineOrder::Prepare { .. })),
             );
-            next.keep_while_switching(true);
+            next.clear_unneeded_reports(true);
         }
         visit(format_args!("the relay answers partially and the driver acts"), next);
     }
@@ -364,10 +365,10 @@
             epoch: GroupEpoch(1),
             step: StepNumber(0),
             driver: RollForwardDriver::new(self.rules),
-            heard: Vec::new(),
-            kept: Vec::new(),
+            reports: Vec::new(),
+            last_reports: Vec::new(),
             relayed: Vec::new(),
-            answered: Vec::new(),
+            last_answer: Vec::new(),
             orders: BTreeSet::new(),
             plans: 0,
             restarts: 0,
--- a/crates/porthoist-spec/src/models/switch.rs
+++ b/crates/porthoist-spec/src/models/switch.rs
@@ -35,7 +35,7 @@
     leaders: Vec<Option<LeaderMachine>>,
     orders: BTreeSet<(usize, LeaderMessage)>,
     replies: BTreeSet<(u32, usize, RankReply)>,
-    used: BTreeMap<StepNumber, BTreeSet<MapVersion>>,
+    maps_by_step: BTreeMap<StepNumber, BTreeSet<MapVersion>>,
     restarts: u8,
 }
 
@@ -88,7 +88,7 @@
                 next.orders.remove(&(rank, message));
             }
             if let Some(reply) = next.ranks[rank].on(message, true) {
-                next.replies.insert((sender(message), rank, reply));
+                next.replies.insert((leader_of(message), rank, reply));
             }
             visit(format_args!("rank {rank} receives {message:?}"), next);
         }
@@ -96,7 +96,7 @@
             if state.ranks[rank].started().0 < self.steps {
                 let mut next = state.clone();
                 if let Some((step, map)) = next.ranks[rank].start_step() {
-                    next.used.entry(step).or_default().insert(map);
+                    next.maps_by_step.entry(step).or_default().insert(map);
                     visit(format_args!("rank {rank} starts step {} with map {}", step.0, map.0), next);
                 }
             }
@@ -135,7 +135,7 @@
             (0..self.ranks.len()).map(|rank| (self.rank_slice(rank), rank)).collect();
         slices.sort();
         let mut numbers = vec![0; slices.len()];
-        for (number, (_side, rank)) in slices.iter().enumerate() {
+        for (number, (_slice, rank)) in slices.iter().enumerate() {
             numbers[*rank] = number;
         }
         self.ranks = slices.into_iter().map(|(rank_slice, _rank)| rank_slice.0).collect();
@@ -148,7 +148,7 @@
     }
 }
 
-fn sender(message: LeaderMessage) -> u32 {
+fn leader_of(message: LeaderMessage) -> u32 {
     let ballot = match message {
         LeaderMessage::Promise(ballot)
         | LeaderMessage::Commit(ballot, _)
@@ -167,7 +167,7 @@
             leaders: vec![None; self.leaders as usize],
             orders: BTreeSet::new(),
             replies: BTreeSet::new(),
-            used: BTreeMap::new(),
+            maps_by_step: BTreeMap::new(),
             restarts: 0,
         }
     }
@@ -183,7 +183,7 @@
     }
 
     fn violation(&self, state: &SwitchState) -> Option<String> {
-        let (step, _maps) = state.used.iter().find(|(_step, maps)| maps.len() > 1)?;
+        let (step, _maps) = state.maps_by_step.iter().find(|(_step, maps)| maps.len() > 1)?;
         Some(format!("two maps are used in step {}", step.0))
     }
 }
--- a/crates/porthoist-spec/tests/spec.rs
+++ b/crates/porthoist-spec/tests/spec.rs
@@ -15,7 +15,7 @@
 #[test_case(7; "formations")]
 #[test_case(8; "relays")]
 #[test_case(9; "relays and formations")]
-fn holds(index: usize) {
+fn protocol_holds(index: usize) {
     let model = &all_models(false)[index];
     let report = model.sound.search(LIMIT);
     assert_eq!(report.counterexample, None, "{}", model.name);
