--- a/crates/porthoist-policy/src/proxy/backpressure.rs
+++ b/crates/porthoist-policy/src/proxy/backpressure.rs
@@ -156,7 +156,7 @@
         changes.into_iter().flatten().map(|change| self.observe(change, now)).collect()
     }
 
-    /// Applies a limit that another process heard from the target.
+    /// Applies a limit that another process received from the target.
     pub fn apply_note(&mut self, note: &TargetNote, now: UnixMillis) -> Option<ObservedChange> {
         let change = match note.limit {
             Some(rate) if note.as_of > self.last_answer => self.record_limit(rate, note.as_of),
--- a/crates/porthoist-policy/src/proxy/balancer/limits.rs
+++ b/crates/porthoist-policy/src/proxy/balancer/limits.rs
@@ -51,7 +51,7 @@
             .map_or_else(Vec::new, |load| load.backpressure.apply_signals(signals, sent, jitter, now))
     }
 
-    /// Applies a limit that another entry heard from a target.
+    /// Applies a limit that another entry received from a target.
     pub fn apply_note(&mut self, note: &TargetNote, now: UnixMillis) -> Option<ObservedChange> {
         self.loads.get_mut(&note.life)?.backpressure.apply_note(note, now)
     }
--- a/crates/porthoist-policy/src/proxy/forecast.rs
+++ b/crates/porthoist-policy/src/proxy/forecast.rs
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Records the first event of a stream, or a whole answer, and its delay after the request was sent.
+    /// Records the first event of a stream, or a complete answer, and its delay after the request was sent.
     pub fn first_event_received(&mut self, millis: f64, now: UnixMillis) {
         let deviation = self.first_millis.map_or(0.0, |first| (millis - first).abs());
         self.first_deviation = smoothed(Some(self.first_deviation), deviation);
--- a/crates/porthoist-policy/src/proxy/limit_notes.rs
+++ b/crates/porthoist-policy/src/proxy/limit_notes.rs
@@ -15,7 +15,7 @@
 /// Maximum number of notes in an answer; the newest ones are sent.
 const MAX_NOTES: usize = 64;
 
-/// Limit of one life of a target, as an entry heard it.
+/// Limit of one life of a target, as an entry received it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TargetNote {
     /// The target.
--- a/crates/porthoist-policy/src/proxy/moving.rs
+++ b/crates/porthoist-policy/src/proxy/moving.rs
@@ -1,7 +1,7 @@
 //! Decides when a request leaves the target that runs it, to be resent or resumed at another one.
 //!
 //! This handles a group that stalls, becomes slow or is cut off while others work, and a host that
-//! stalls while its group goes on. A move wastes the work that the target has done, and the number of
+//! stalls while its group works. A move wastes the work that the target has done, and the number of
 //! resends is limited. It is worthwhile only if the caller gains an answer in time, or one at all.
 
 use super::forecast::StreamStats;
--- a/crates/porthoist-policy/src/proxy/quarantine.rs
+++ b/crates/porthoist-policy/src/proxy/quarantine.rs
@@ -344,7 +344,7 @@
     pub fn apply_rows(&mut self, rows: &CrashRows, first: bool, now: UnixMillis) -> QuarantineChanges {
         let mut changes = QuarantineChanges::default();
         self.drop_removed(rows, &mut changes);
-        let mut heard = HashSet::new();
+        let mut reported = HashSet::new();
         for (key, report) in rows {
             if self.rules.trust && self.trusted.trusts(&key.mark, now) {
                 changes.remove.push(key.clone());
@@ -362,11 +362,11 @@
             let died = if first { report.died.min(now) } else { now };
             let report = CrashReport { died, ..report.clone() };
             record.deaths.insert(key.target.clone(), KnownDeath::new(report, true));
-            heard.insert(key.mark);
+            reported.insert(key.mark);
         }
-        let mut heard: Vec<RequestMark> = heard.into_iter().collect();
-        heard.sort_unstable();
-        for mark in heard {
+        let mut reported: Vec<RequestMark> = reported.into_iter().collect();
+        reported.sort_unstable();
+        for mark in reported {
             let record = &self.records[&mark];
             changes.heard.push((mark, self.level(record), record.deaths.len()));
         }
--- a/crates/porthoist-policy/src/proxy/scheduler.rs
+++ b/crates/porthoist-policy/src/proxy/scheduler.rs
@@ -227,7 +227,7 @@
         self.forecast(service).request_ended(answered.then_some(held_millis as f64));
     }
 
-    /// Records the first event of a stream, or a whole answer, and its delay after the request got its
+    /// Records the first event of a stream, or a complete answer, and its delay after the request got its
     /// slot.
     pub fn first_event_received(&mut self, target: &TargetRecord, millis: f64, now: UnixMillis) {
         self.balancer.event_received(target, now);
@@ -283,7 +283,7 @@
         self.balancer.apply_signals(life, signals, sent, now)
     }
 
-    /// Applies a limit that another entry heard from a target.
+    /// Applies a limit that another entry received from a target.
     pub fn apply_note(&mut self, note: &TargetNote, now: UnixMillis) -> Option<ObservedChange> {
         self.balancer.apply_note(note, now)
     }
--- a/crates/porthoist-policy/tests/policy/backpressure.rs
+++ b/crates/porthoist-policy/tests/policy/backpressure.rs
@@ -382,9 +382,9 @@
     };
     scheduler.apply_signals(&record(1).life(), &rest(2_000), UnixMillis(1_000), UnixMillis(1_000));
     assert_eq!(decide(&mut scheduler, 1_500), "all targets have asked for a rest period");
-    let told =
+    let delay =
         scheduler.retry_after_millis(&service, UnixDeadline(UnixMillis(10_500)), 0.0, UnixMillis(1_500));
-    assert!((1_500..=3_000).contains(&told), "{told}");
+    assert!((1_500..=3_000).contains(&delay), "{delay}");
     assert_eq!(decide(&mut scheduler, 3_300), "placed");
 }
 
--- a/crates/porthoist-policy/tests/policy/backpressure_simulation.rs
+++ b/crates/porthoist-policy/tests/policy/backpressure_simulation.rs
@@ -119,7 +119,7 @@
 
 impl FleetReport {
     /// Maximum number of requests that a target got in any 4 s, starting 3 s after it announced its
-    /// limit, from entries that had heard the limit from it.
+    /// limit, from entries that had received the limit from it.
     pub fn max_in_4_s(&self, limit: SimulatedLimit) -> usize {
         let counted = self.arrivals[limit.target].iter().filter(|arrival| arrival.limit_known);
         let times: Vec<u64> = counted.map(|arrival| arrival.at).collect();
--- a/crates/porthoist-policy/tests/policy/equal_shares.rs
+++ b/crates/porthoist-policy/tests/policy/equal_shares.rs
@@ -9,7 +9,7 @@
 const EXPERTS: usize = 18;
 const MAX_EXPERTS: usize = 4;
 
-/// Assigns the experts to ranks in turn; each rank lists its first expert again in its last place.
+/// Assigns the experts to ranks in turn; each rank lists its first expert again at the end.
 fn first_map(sets: usize) -> EqualShareMap {
     let held = |rank: usize| {
         (0..MAX_EXPERTS).map(|place| ExpertId(((place * RANKS + rank) % EXPERTS) as u16)).collect()
--- a/crates/porthoist-policy/tests/policy/group_selection.rs
+++ b/crates/porthoist-policy/tests/policy/group_selection.rs
@@ -123,7 +123,7 @@
     assert!(counts.iter().all(|count| *count > 100), "{counts:?}");
 }
 
-/// Nothing is heard from groups 1 and 2: their link is cut, or they have stalled.
+/// Groups 1 and 2 send neither events nor reports: their link is cut, or they have stalled.
 #[test]
 fn silent_group_gets_no_requests() {
     for seed in 0..20 {
