--- a/crates/porthoist-fleet/src/rank/server.rs
+++ b/crates/porthoist-fleet/src/rank/server.rs
@@ -21,10 +21,10 @@
 use porthoist_core::ClockSource;
 use porthoist_group::{GroupObservation, RankControl, RankFuture};
 use porthoist_policy::placement::equal_shares::EqualShareMap;
-use porthoist_policy::proxy::entries::EntryRoster;
-use porthoist_policy::proxy::loads::LoadRevision;
-use porthoist_policy::proxy::notes::{AgedNote, NoteStore};
-use porthoist_policy::proxy::turns::EntryPosition;
+use porthoist_policy::proxy::entry_positions::EntryRoster;
+use porthoist_policy::proxy::group_loads::LoadRevision;
+use porthoist_policy::proxy::limit_notes::{AgedNote, NoteStore};
+use porthoist_policy::proxy::send_turns::EntryPosition;
 use porthoist_policy::roll_forward::EngineOrder;
 use porthoist_proxy::TableReader;
 use std::cell::RefCell;
@@ -74,7 +74,7 @@
         let now = self.clock.as_ref()?.now();
         let mut notes = self.notes.borrow_mut();
         for note in report.notes {
-            notes.take(note.to_local(now));
+            notes.insert(note.to_local(now));
         }
         self.entries.borrow_mut().record_query(report.entry, now)
     }
--- a/crates/porthoist-group/src/controller.rs
+++ b/crates/porthoist-group/src/controller.rs
@@ -5,7 +5,7 @@
 
 use crate::group_control::{GroupControl, GroupObservation, UnreachableRank};
 use crate::rank_control::{ExpertLists, OrderAnswer};
-use porthoist_policy::placement::copying::CopyTimes;
+use porthoist_policy::placement::copy_times::CopyTimes;
 use porthoist_policy::placement::demand::{DemandChange, DemandEstimator};
 use porthoist_policy::placement::equal_shares::{EqualShareBounds, EqualShareMap, EqualSharePlan, improve};
 use porthoist_policy::roll_forward::{
@@ -399,9 +399,11 @@
         if self.shifting && current.version != MapVersion(0) {
             return;
         }
-        let wanted = self.shape.bounds.new_a_rank;
-        let bounds =
-            EqualShareBounds { new_a_rank: self.copy_times.copies_per_rank(wanted), ..self.shape.bounds };
+        let wanted = self.shape.bounds.max_new_per_rank;
+        let bounds = EqualShareBounds {
+            max_new_per_rank: self.copy_times.copies_per_rank(wanted),
+            ..self.shape.bounds
+        };
         let plan = improve(&current.map, self.demand.demand(), &self.paces, &bounds);
         let copies =
             (0..views.len()).map(|rank| plan.map.new_experts(&current.map, rank)).max().unwrap_or_default();
--- a/crates/porthoist-policy/src/proxy/notes.rs
+++ b/crates/porthoist-policy/src/proxy/limit_notes.rs
@@ -15,7 +15,7 @@
 /// Maximum number of notes in an answer; the newest ones are sent.
 const MAX_NOTES: usize = 64;
 
-/// Limit of one life of a target, as an entry heard it.
+/// Limit of one life of a target, as an entry received it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TargetNote {
     /// The target.
@@ -59,7 +59,7 @@
 
 impl NoteStore {
     /// Stores a note unless a newer one is known.
-    pub fn take(&mut self, note: TargetNote) {
+    pub fn insert(&mut self, note: TargetNote) {
         let newer = self.notes.get(&note.life).is_none_or(|known| known.as_of < note.as_of);
         if newer {
             self.notes.insert(note.life.clone(), note);
--- a/crates/porthoist-policy/src/proxy/scheduler.rs
+++ b/crates/porthoist-policy/src/proxy/scheduler.rs
@@ -5,15 +5,15 @@
 
 use super::backpressure::{BackpressureSignals, ObservedChange};
 use super::balancer::{BalancerSettings, ChosenTarget, LoadBalancer, RequestWork, SendOutcome};
-use super::cold::ColdRule;
+use super::cold_start::ColdRule;
 use super::forecast::{ServiceForecast, WaitDecision, WaitQuery};
-use super::loads::GroupLoads;
+use super::group_loads::GroupLoads;
+use super::limit_notes::TargetNote;
 use super::moving::{MIN_WAIT_MILLIS, MoveCause, MoveOptions, PendingSend, move_cause};
-use super::notes::TargetNote;
+use super::send_turns::{EntryPosition, RateSource, TargetRate};
 use super::service_groups::GroupSnapshot;
 use super::targets::{TargetLife, TargetRecord, TargetRegistry};
-use super::turns::{EntryPosition, RateSource, TargetRate};
-use super::waiting::{QueueClass, WaitQueue};
+use super::wait_queue::{QueueClass, WaitQueue};
 use super::zones::EmptiedZones;
 use porthoist_core::{ServiceName, TargetName, UnixDeadline, UnixMillis};
 use std::collections::HashMap;
@@ -173,7 +173,7 @@
         if self.balancer.rest_end(service, now).is_some() {
             return Some(SlotError::Resting);
         }
-        self.balancer.emptied(service, now).then_some(SlotError::Emptied)
+        self.balancer.blocked_by_emptied_zones(service, now).then_some(SlotError::Emptied)
     }
 
     /// Adds a request to the wait queue.
@@ -197,8 +197,8 @@
             }
             let request = first.request.clone();
             let chosen = self.choose(&request, now)?;
-            let served = self.waiting.get_mut(service)?.pop()?;
-            return Some((served.waiter, chosen, request.work));
+            let next = self.waiting.get_mut(service)?.pop()?;
+            return Some((next.waiter, chosen, request.work));
         }
     }
 
@@ -227,7 +227,7 @@
         self.forecast(service).request_ended(answered.then_some(held_millis as f64));
     }
 
-    /// Records the first event of a stream, or a whole answer, and its delay after the request got its
+    /// Records the first event of a stream, or a complete answer, and its delay after the request got its
     /// slot.
     pub fn first_event_received(&mut self, target: &TargetRecord, millis: f64, now: UnixMillis) {
         self.balancer.event_received(target, now);
@@ -283,7 +283,7 @@
         self.balancer.apply_signals(life, signals, sent, now)
     }
 
-    /// Applies a limit that another entry heard from a target.
+    /// Applies a limit that another entry received from a target.
     pub fn apply_note(&mut self, note: &TargetNote, now: UnixMillis) -> Option<ObservedChange> {
         self.balancer.apply_note(note, now)
     }
@@ -315,10 +315,10 @@
     ) -> u64 {
         let supply = self.balancer.limited_supply(service, now);
         let waiting = self.waiting.get(service).map_or(0, WaitQueue::len);
-        let limited = supply.map_or(0.0, |supply| supply.millis * (waiting + 1) as f64);
-        let resting = self.balancer.rest_end(service, now).map_or(0, |end| end.0.since(now));
-        let least = limited.max(resting as f64);
-        self.forecast(service).retry_after_millis(deadline, least, point, now)
+        let limited_millis = supply.map_or(0.0, |supply| supply.millis * (waiting + 1) as f64);
+        let resting_millis = self.balancer.rest_end(service, now).map_or(0, |end| end.0.since(now));
+        let min_millis = limited_millis.max(resting_millis as f64);
+        self.forecast(service).retry_after_millis(deadline, min_millis, point, now)
     }
 
     /// Why a request is refused that has waited without getting a slot.
--- a/crates/porthoist-policy/tests/policy/equal_shares.rs
+++ b/crates/porthoist-policy/tests/policy/equal_shares.rs
@@ -7,17 +7,18 @@
 
 const RANKS: usize = 6;
 const EXPERTS: usize = 18;
-const PLACES: usize = 4;
+const MAX_EXPERTS: usize = 4;
 
-/// Assigns the experts to ranks in turn; each rank lists its first expert again in its last place.
+/// Assigns the experts to ranks in turn; each rank lists its first expert again at the end.
 fn first_map(sets: usize) -> EqualShareMap {
-    let held =
-        |rank: usize| (0..PLACES).map(|place| ExpertId(((place * RANKS + rank) % EXPERTS) as u16)).collect();
+    let held = |rank: usize| {
+        (0..MAX_EXPERTS).map(|place| ExpertId(((place * RANKS + rank) % EXPERTS) as u16)).collect()
+    };
     EqualShareMap::new(vec![(0..RANKS).map(held).collect(); sets])
 }
 
-fn bounds(spare: usize, new_a_rank: usize) -> EqualShareBounds {
-    EqualShareBounds { places: PLACES, spare, new_a_rank, move_price: 0.005 }
+fn bounds(max_new_experts: usize, max_new_per_rank: usize) -> EqualShareBounds {
+    EqualShareBounds { max_experts: MAX_EXPERTS, max_new_experts, max_new_per_rank, move_price: 0.005 }
 }
 
 /// A demand that is much higher for some experts.
@@ -34,7 +35,7 @@
 }
 
 #[test]
-fn a_skewed_demand_is_evened_out_in_a_few_plans() {
+fn skewed_demand_is_balanced_in_few_plans() {
     let demand = vec![skewed(3), skewed(11)];
     let mut map = first_map(2);
     let before = skew(&map, &demand);
@@ -46,7 +47,7 @@
 }
 
 #[test]
-fn an_even_demand_moves_nothing() {
+fn even_demand_moves_no_experts() {
     let demand = vec![vec![1.0 / EXPERTS as f64; EXPERTS]];
     let even = EqualShareMap::new(vec![
         (0..RANKS)
@@ -58,7 +59,7 @@
 }
 
 #[test]
-fn changes_to_a_map_make_the_next_one() {
+fn changes_reproduce_next_map() {
     let first = improve(&first_map(2), &[skewed(3), skewed(11)], &[], &bounds(2, 3)).map;
     let next = improve(&first, &[skewed(4), skewed(11)], &[], &bounds(2, 3)).map;
     assert_ne!(next, first);
@@ -70,15 +71,15 @@
 
 proptest! {
     #[test]
-    fn a_plan_keeps_every_expert_and_every_bound(
+    fn plan_keeps_every_expert_and_bound(
         weights in prop::collection::vec(0.0_f64..1.0, EXPERTS),
-        spare in 0_usize..3,
-        new_a_rank in 0_usize..5,
+        max_new_experts in 0_usize..3,
+        max_new_per_rank in 0_usize..5,
     ) {
         let total = weights.iter().sum::<f64>().max(1e-9);
         let demand = vec![weights.iter().map(|weight| weight / total).collect::<Vec<f64>>(); 2];
         let first = first_map(2);
-        let plan = improve(&first, &demand, &[], &bounds(spare, new_a_rank));
+        let plan = improve(&first, &demand, &[], &bounds(max_new_experts, max_new_per_rank));
         prop_assert!(plan.skew_after <= plan.skew_before + 1e-9);
         for (set, ranks) in plan.map.sets().iter().enumerate() {
             for expert in 0..EXPERTS {
@@ -86,18 +87,18 @@
             }
             for (rank, held) in ranks.iter().enumerate() {
                 let new = held.iter().filter(|expert| !first.sets()[set][rank].contains(expert)).count();
-                prop_assert!(held.len() <= PLACES && new <= spare);
+                prop_assert!(held.len() <= MAX_EXPERTS && new <= max_new_experts);
             }
         }
         for rank in 0..RANKS {
-            prop_assert!(plan.map.new_experts(&first, rank) <= new_a_rank);
+            prop_assert!(plan.map.new_experts(&first, rank) <= max_new_per_rank);
         }
     }
 }
 
 /// All ranks wait for a slow one, so it must end up with almost no work. After it recovers, it gets its share back.
 #[test]
-fn a_slow_rank_is_emptied_and_filled_again() {
+fn slow_rank_is_relieved_and_refilled() {
     let demand = [skewed(3), skewed(11)];
     let ranks = first_map(2).sets()[0].len();
     let slow: Vec<RankPace> =
@@ -110,9 +111,9 @@
     };
     let healthy = settled(first_map(2), &[]);
     let before = improve(&healthy, &demand, &slow, &bounds(2, 1)).skew_before;
-    let spared = settled(healthy, &slow);
-    let plan = improve(&spared, &demand, &slow, &bounds(2, 1));
+    let relieved = settled(healthy, &slow);
+    let plan = improve(&relieved, &demand, &slow, &bounds(2, 1));
     assert!(before > 8.0, "{before}");
     assert!(plan.skew_before < 2.2, "{}", plan.skew_before);
-    assert!(skew(&settled(spared, &[]), &demand) < 1.5);
+    assert!(skew(&settled(relieved, &[]), &demand) < 1.5);
 }
--- a/crates/porthoist-proxy/src/handler.rs
+++ b/crates/porthoist-proxy/src/handler.rs
@@ -17,13 +17,13 @@
 use porthoist_metrics::MetricsHub;
 use porthoist_policy::proxy::forecast::CallerRetryDetector;
 use porthoist_policy::proxy::freshness::FreshnessRule;
-use porthoist_policy::proxy::loads::GroupLoads;
-use porthoist_policy::proxy::notes::TargetNote;
+use porthoist_policy::proxy::group_loads::GroupLoads;
+use porthoist_policy::proxy::limit_notes::TargetNote;
 use porthoist_policy::proxy::retry_share::{RetryShare, RetryShareSettings};
 use porthoist_policy::proxy::routes::RouteError;
+use porthoist_policy::proxy::send_turns::EntryPosition;
 use porthoist_policy::proxy::service_groups::GroupSnapshot;
 use porthoist_policy::proxy::targets::TargetLife;
-use porthoist_policy::proxy::turns::EntryPosition;
 use slog::{Logger, info};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -219,7 +219,7 @@
         self.next_stall_check.set(UnixDeadline::after(now, STALL_CHECK_MILLIS));
         self.log_cold_targets();
         for GroupSnapshot { index, status } in self.dispatcher.group_changes() {
-            let (group, stalled, pass_millis) = (index.place(), status.stalled, status.millis);
+            let (group, stalled, pass_millis) = (index.as_usize(), status.stalled, status.millis);
             info!(self.logger, "group stalled or resumed"; "event" => "group_pace", "group" => group,
                 "standing" => stalled, "pass_ms" => pass_millis);
         }
--- a/crates/porthoist-proxy/src/handler/backpressure.rs
+++ b/crates/porthoist-proxy/src/handler/backpressure.rs
@@ -5,7 +5,7 @@
 use porthoist_policy::proxy::backpressure::{
     BackpressureChange, BackpressureSignals, ObservedChange, SignalValue,
 };
-use porthoist_policy::proxy::notes::{NoteStore, TargetNote};
+use porthoist_policy::proxy::limit_notes::{NoteStore, TargetNote};
 use porthoist_policy::proxy::targets::{TargetLife, TargetRecord};
 use slog::info;
 use tokio::sync::watch;
@@ -28,7 +28,7 @@
     }
 
     fn publish(&mut self, note: TargetNote, changed: bool, now: UnixMillis) {
-        self.store.take(note);
+        self.store.insert(note);
         if changed || self.next_publication.passed(now) {
             self.next_publication = UnixDeadline::after(now, NOTE_MILLIS);
             self.published.send_replace(self.store.current(now));
--- a/crates/porthoist-proxy/src/handler/sending.rs
+++ b/crates/porthoist-proxy/src/handler/sending.rs
@@ -27,7 +27,7 @@
         let sent_at = self.clock.now();
         let request = self.build_request(admitted, slot, after_event, sent_at);
         if history.tried.is_empty() {
-            self.with_retry_share(&admitted.service, |share| share.first(sent_at));
+            self.with_retry_share(&admitted.service, |share| share.record_first_send(sent_at));
         }
         history.tried.push(slot.target.id.clone());
         let sent = async {
--- a/crates/porthoist-proxy/src/handler/slots.rs
+++ b/crates/porthoist-proxy/src/handler/slots.rs
@@ -5,7 +5,7 @@
 use crate::dispatcher::{SlotError, SlotRequest, TargetSlot};
 use hyper::StatusCode;
 use porthoist_core::RefusalReason;
-use porthoist_policy::proxy::waiting::QueueClass;
+use porthoist_policy::proxy::wait_queue::QueueClass;
 use slog::info;
 
 impl ProxyHandler {
@@ -39,7 +39,7 @@
             Ok(slot) => {
                 info!(self.logger, "placed"; "event" => "placed", "request" => &*admitted.metadata.attempt,
                     "target" => slot.target.id.to_string(), "zone" => slot.target.zone.to_string(),
-                    "group" => slot.group.map(|group| group.index.place()),
+                    "group" => slot.group.map(|group| group.index.as_usize()),
                     "pass_ms" => slot.group.map(|group| group.status.millis), "in_flight" => slot.in_flight,
                     "reported" => slot.report.map(|report| report.requests),
                     "report_age_ms" => slot.report.map(|report| report.age_millis), "waited_ms" => waited,
--- a/porthoistd/tests/loads.rs
+++ b/porthoistd/tests/loads.rs
@@ -4,8 +4,8 @@
 use porthoist_fleet::{ControlTraffic, LoadsPublisher, PeerPool, RankService, serve_ranks};
 use porthoist_group::{ExpertLists, OrderAnswer, RankControl, RankFuture, RankObservation};
 use porthoist_policy::placement::equal_shares::EqualShareMap;
-use porthoist_policy::proxy::cold::ColdStatus;
-use porthoist_policy::proxy::loads::{GroupLoads, LoadRevision, RankLoad};
+use porthoist_policy::proxy::cold_start::ColdStatus;
+use porthoist_policy::proxy::group_loads::{GroupLoads, LoadRevision, RankLoad};
 use porthoist_policy::proxy::routes::{CallerLimits, ConfigVersion, EngineModel, RouteTable, ServiceSpec};
 use porthoist_policy::proxy::targets::{TargetRecord, TargetState};
 use porthoist_policy::roll_forward::EngineOrder;
@@ -69,8 +69,8 @@
         read_tokens_per_milli: 1.0,
         sets: 1,
         experts: 4,
-        places: 3,
-        spare: 1,
+        max_experts: 3,
+        max_new_experts: 1,
         expert_share: 0.5,
     };
     let limits = CallerLimits { header_bytes: 1, body_bytes: 1, idle_millis: 1 };
--- a/porthoistd/tests/rank.rs
+++ b/porthoistd/tests/rank.rs
@@ -7,7 +7,7 @@
 use porthoist_http::CallError;
 use porthoist_metrics::MetricsHub;
 use porthoist_policy::placement::equal_shares::EqualShareMap;
-use porthoist_policy::proxy::cold::ColdStatus;
+use porthoist_policy::proxy::cold_start::ColdStatus;
 use porthoist_policy::proxy::routes::{CallerLimits, ConfigVersion, EngineModel, RouteTable, ServiceSpec};
 use porthoist_policy::proxy::targets::{TargetChange, TargetRecord, TargetState};
 use porthoist_policy::roll_forward::{EngineOrder, GroupEpoch, OrderSequence, RankPace, RankState, RankView};
@@ -194,8 +194,8 @@
         read_tokens_per_milli: 1.0,
         sets: 1,
         experts: EXPERTS,
-        places: 3,
-        spare: 1,
+        max_experts: 3,
+        max_new_experts: 1,
         expert_share: 0.5,
     };
     let limits = CallerLimits { header_bytes: 1, body_bytes: 1, idle_millis: 1 };
