--- a/crates/porthoist-lab/src/cmd/groups.rs
+++ b/crates/porthoist-lab/src/cmd/groups.rs
@@ -35,9 +35,9 @@
 
 /// Runs the command.
 pub fn run(args: &GroupsArgs) -> miette::Result<String> {
-    let play =
+    let simulate =
         |fault: GroupFault| FaultRows { fault: fault.name(), ways: compare(fault, args.seconds, args.seed) };
-    let all: Vec<FaultRows> = GroupFault::ALL.into_iter().map(play).collect();
+    let all: Vec<FaultRows> = GroupFault::ALL.into_iter().map(simulate).collect();
     if let Some(path) = &args.plot {
         plot(path, &all).map_err(miette::Report::msg)?;
     }
@@ -53,7 +53,7 @@
     let names: Vec<&'static str> =
         all.first().map_or_else(Vec::new, |rows| rows.ways.keys().copied().collect());
     let points = |name: &'static str| {
-        all.iter().enumerate().map(|(place, rows)| (place as f64, rows.ways[name].credit)).collect()
+        all.iter().enumerate().map(|(index, rows)| (index as f64, rows.ways[name].credit)).collect()
     };
     draw_lines(Path::new(path), &frame, &series_of(&names, points))
 }
--- a/crates/porthoist-lab/src/cmd/overload.rs
+++ b/crates/porthoist-lab/src/cmd/overload.rs
@@ -10,10 +10,10 @@
 use std::fmt::Write as _;
 use std::path::Path;
 
-/// Parts of what the group bears that are played steadily.
-const STEADY_PARTS: [f64; 6] = [0.6, 0.8, 1.0, 1.2, 1.4, 1.6];
-/// Outages that are played, in seconds.
-const OUTAGES: [u64; 4] = [1, 3, 6, 10];
+/// Simulated steady loads as fractions of the group's capacity.
+const STEADY_LOADS: [f64; 6] = [0.6, 0.8, 1.0, 1.2, 1.4, 1.6];
+/// Simulated outages, in seconds.
+const OUTAGE_SECONDS: [u64; 4] = [1, 3, 6, 10];
 
 /// Compare who waits and who is refused under overload with fixed rules and one that knows all.
 #[derive(Debug, FromArgs)]
@@ -42,8 +42,8 @@
 }
 
 fn loads() -> Vec<(String, CallerLoad)> {
-    let steady = STEADY_PARTS.map(|part| (format!("steady {part:.1}"), CallerLoad::Steady(part)));
-    let outages = OUTAGES.map(|seconds| (format!("down {seconds} s"), CallerLoad::Outage(seconds)));
+    let steady = STEADY_LOADS.map(|fraction| (format!("steady {fraction:.1}"), CallerLoad::Steady(fraction)));
+    let outages = OUTAGE_SECONDS.map(|seconds| (format!("down {seconds} s"), CallerLoad::Outage(seconds)));
     let others = [
         ("rush".to_owned(), CallerLoad::Rush),
         ("shifts".to_owned(), CallerLoad::Shifts),
@@ -54,12 +54,12 @@
 
 /// Runs the command.
 pub fn run(args: &OverloadArgs) -> miette::Result<String> {
-    let play = |(name, load): (String, CallerLoad)| {
+    let simulate = |(name, load): (String, CallerLoad)| {
         let settings = OverloadSettings::builder().seed(args.seed).load(load).seconds(args.seconds).build();
-        let steady = if let CallerLoad::Steady(part) = load { Some(part) } else { None };
+        let steady = if let CallerLoad::Steady(fraction) = load { Some(fraction) } else { None };
         LoadRows { load: name, steady, rules: compare(&settings) }
     };
-    let all: Vec<LoadRows> = loads().into_iter().map(play).collect();
+    let all: Vec<LoadRows> = loads().into_iter().map(simulate).collect();
     if let Some(path) = &args.plot {
         plot(path, &all).map_err(miette::Report::msg)?;
     }
--- a/crates/porthoist-lab/src/overload.rs
+++ b/crates/porthoist-lab/src/overload.rs
@@ -1,8 +1,10 @@
-//! Queueing and refusing under overload: the very decisions of an entry process in virtual time, against a modelled group
-//! of ranks whose streams slow each other down, with callers who come back.
+//! Simulates queueing and refusals under overload: the daemon's own entry-side decisions in virtual
+//! time, in front of a modelled group of ranks whose streams slow each other down, with callers who
+//! retry.
 //!
-//! A pass of the group makes one event of every stream that runs. It lasts as long as its most loaded rank, so that more
-//! streams at once, a shift of demand, or a rank that stalls make all of them late.
+//! One pass of the group produces one event for every running stream. It takes as long as its most
+//! loaded rank needs, so more concurrent streams, a demand shift or a stalled rank delay all
+//! streams.
 
 pub mod callers;
 pub mod group;
@@ -10,98 +12,100 @@
 pub mod rule;
 
 use crate::report::{Distribution, rounded};
-use callers::{CallerLoad, CallerOutcome, PlayedCaller};
+use callers::{CallerLoad, CallerOutcome, SimulatedCaller};
 use group::RankGroup;
 use porthoist_core::{UnixDeadline, UnixMillis};
 use rand::SeedableRng as _;
 use rand_pcg::Pcg64Mcg;
-use rule::{EntryRule, RuleAnswer, RuleKind};
+use rule::{AdmissionRule, RuleDecision, RuleKind};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// One tick of the played time, in milliseconds.
+/// Simulation step in milliseconds.
 pub const TICK_MILLIS: u64 = 5;
 /// Time in milliseconds within which a first event is on time, as on the users' routes.
 pub const LATENCY_MILLIS: u64 = 500;
-/// Longest pause in milliseconds between events of a stream that is on time.
-pub const PAUSE_MILLIS: f64 = 120.0;
-/// Time in milliseconds that a caller waits in all.
+/// Maximum time in milliseconds between two events of a stream that is on time.
+pub const MAX_PAUSE_MILLIS: f64 = 120.0;
+/// Time in milliseconds after its arrival at which a caller gives up.
 pub const DEADLINE_MILLIS: u64 = 8_000;
-/// A caller leaves after so many milliseconds without an event.
-pub const GAP_MILLIS: u64 = 2_000;
-/// Credit of a stream that is served late; one on time has 1, one that is refused twice costs [`TWICE_REFUSED_COST`].
+/// A caller leaves after this time in milliseconds without an event.
+pub const ABANDON_MILLIS: u64 = 2_000;
+/// Credit of a stream that is served late. A stream on time has credit 1, and a second refusal
+/// costs [`REFUSED_TWICE_COST`].
 pub const LATE_CREDIT: f64 = 0.5;
-/// What a caller loses that came back in vain.
-pub const TWICE_REFUSED_COST: f64 = 0.3;
+/// Credit that a request loses when it is refused a second time.
+pub const REFUSED_TWICE_COST: f64 = 0.3;
 
-/// Settings of a play.
+/// Settings of a simulation run.
 #[derive(Debug, Clone, bon::Builder)]
 pub struct OverloadSettings {
-    /// Seed.
+    /// Seed of the random generator.
     pub seed: u64,
-    /// The load.
+    /// Load on the group.
     pub load: CallerLoad,
-    /// Played seconds.
+    /// Duration of arrivals in simulated seconds.
     #[builder(default = 40)]
     pub seconds: u64,
-    /// Ranks of the group.
+    /// Number of ranks in the group.
     #[builder(default = 12)]
     pub ranks: usize,
-    /// Requests that a rank runs at once.
+    /// Maximum number of concurrent requests at a rank.
     #[builder(default = 12)]
     pub slots: u32,
 }
 
-/// What callers got under one rule.
+/// Outcome of a run for all callers under one rule.
 #[derive(Debug, Clone, Serialize)]
 pub struct OverloadReport {
-    /// Streams asked for.
+    /// Number of requested streams.
     pub asked: usize,
-    /// Part on time.
+    /// Fraction served on time.
     pub in_time: f64,
-    /// Part served late.
+    /// Fraction served late.
     pub late: f64,
-    /// Part refused once, whose callers did not come back or were then served.
+    /// Fraction refused once without time left for a retry.
     pub refused_once: f64,
-    /// Part refused twice.
+    /// Fraction refused twice.
     pub refused_twice: f64,
-    /// Part whose callers left.
+    /// Fraction whose callers left.
     pub left: f64,
-    /// Longest wait of a request that was then refused, 99th percentile, in milliseconds.
+    /// 99th percentile of the waiting time in milliseconds of requests that were then refused.
     pub refused_wait_p99: f64,
-    /// Credit a stream: on time 1, late [`LATE_CREDIT`], less [`TWICE_REFUSED_COST`] where refused twice.
+    /// Mean credit per stream: 1 on time, [`LATE_CREDIT`] late, minus [`REFUSED_TWICE_COST`] if
+    /// refused twice.
     pub credit: f64,
 }
 
-/// Plays a load under one rule.
-pub fn play(settings: &OverloadSettings, kind: RuleKind) -> OverloadReport {
-    let mut world = PlayedWorld::new(settings, kind);
+/// Simulates a load under one rule.
+pub fn simulate(settings: &OverloadSettings, kind: RuleKind) -> OverloadReport {
+    let mut simulation = OverloadSimulation::new(settings, kind);
     let ticks = settings.seconds * 1_000 / TICK_MILLIS;
     for tick in 0..ticks {
-        world.tick(UnixMillis(tick * TICK_MILLIS), true);
+        simulation.tick(UnixMillis(tick * TICK_MILLIS), true);
     }
-    // Those under way come to their end.
+    // No new callers arrive, so that the remaining requests can finish.
     for tick in ticks..ticks + 2 * DEADLINE_MILLIS / TICK_MILLIS {
-        world.tick(UnixMillis(tick * TICK_MILLIS), false);
+        simulation.tick(UnixMillis(tick * TICK_MILLIS), false);
     }
-    world.report()
+    simulation.report()
 }
 
-/// Plays a load under every rule.
+/// Simulates a load under every rule.
 pub fn compare(settings: &OverloadSettings) -> BTreeMap<&'static str, OverloadReport> {
-    RuleKind::ALL.into_iter().map(|kind| (kind.name(), play(settings, kind))).collect()
+    RuleKind::ALL.into_iter().map(|kind| (kind.name(), simulate(settings, kind))).collect()
 }
 
-struct PlayedWorld {
+struct OverloadSimulation {
     load: CallerLoad,
     random: Pcg64Mcg,
     group: RankGroup,
-    rule: Box<dyn EntryRule>,
-    callers: Vec<PlayedCaller>,
+    rule: Box<dyn AdmissionRule>,
+    callers: Vec<SimulatedCaller>,
     refused_waits: Distribution,
 }
 
-impl PlayedWorld {
+impl OverloadSimulation {
     fn new(settings: &OverloadSettings, kind: RuleKind) -> Self {
         Self {
             load: settings.load,
@@ -113,123 +117,126 @@
         }
     }
 
-    fn tick(&mut self, now: UnixMillis, asking: bool) {
-        if asking {
-            self.arrive(now);
+    fn tick(&mut self, now: UnixMillis, arriving: bool) {
+        if arriving {
+            self.add_arrivals(now);
         }
-        self.come_back(now);
+        self.retry_callers(now);
         self.group.set_state(self.load.group_state(now));
         for event in self.group.advance(now) {
             let caller = &mut self.callers[event.caller];
-            if caller.left() {
+            if caller.has_ended() {
                 self.group.cancel(event.caller);
-                self.rule.ended(event.rank, now.since(caller.placed()), false, now);
+                self.rule.ended(event.rank, now.since(caller.assigned_at()), false, now);
                 continue;
             }
-            caller.event(now);
+            caller.receive_event(now);
             if event.first {
-                self.rule.began(now.since(caller.placed()), now);
+                self.rule.first_event_received(now.since(caller.assigned_at()), now);
             } else {
-                self.rule.heard(now);
+                self.rule.event_received(now);
             }
             if event.last {
                 caller.finish(now);
-                self.rule.ended(event.rank, now.since(caller.placed()), true, now);
+                self.rule.ended(event.rank, now.since(caller.assigned_at()), true, now);
             }
         }
-        self.leave(now);
-        self.give_places(now);
+        self.remove_timed_out(now);
+        self.serve_waiting(now);
     }
 
-    fn arrive(&mut self, now: UnixMillis) {
+    fn add_arrivals(&mut self, now: UnixMillis) {
         for _caller in 0..self.load.arrivals(now, &mut self.random) {
             let events = self.load.events(&mut self.random);
-            self.callers.push(PlayedCaller::new(events, now));
-            self.ask(self.callers.len() - 1, now);
+            self.callers.push(SimulatedCaller::new(events, now));
+            self.submit(self.callers.len() - 1, now);
         }
     }
 
-    fn come_back(&mut self, now: UnixMillis) {
+    fn retry_callers(&mut self, now: UnixMillis) {
         for caller in 0..self.callers.len() {
-            if self.callers[caller].due(now) {
-                self.ask(caller, now);
+            if self.callers[caller].retry_due(now) {
+                self.submit(caller, now);
             }
         }
     }
 
-    fn ask(&mut self, caller: usize, now: UnixMillis) {
-        let played = &mut self.callers[caller];
-        played.ask(now);
-        let (deadline, came_back) = (played.deadline(), played.came_back());
-        match self.rule.ask(caller, now, deadline, came_back, self.group.known()) {
-            RuleAnswer::Place(rank) => self.place(caller, rank, now),
-            RuleAnswer::Wait => {}
-            RuleAnswer::Refuse(millis) => self.refuse(caller, millis, now),
+    fn submit(&mut self, caller: usize, now: UnixMillis) {
+        let simulated = &mut self.callers[caller];
+        simulated.submit(now);
+        let (deadline, is_retry) = (simulated.deadline(), simulated.is_retry());
+        match self.rule.decide(caller, now, deadline, is_retry, self.group.load_view()) {
+            RuleDecision::Assign(rank) => self.assign(caller, rank, now),
+            RuleDecision::Wait => {}
+            RuleDecision::Refuse(millis) => self.refuse(caller, millis, now),
         }
     }
 
-    fn place(&mut self, caller: usize, rank: usize, now: UnixMillis) {
-        let played = &mut self.callers[caller];
-        played.place(rank, now);
-        let events = played.events();
+    fn assign(&mut self, caller: usize, rank: usize, now: UnixMillis) {
+        let simulated = &mut self.callers[caller];
+        simulated.assign(rank, now);
+        let events = simulated.events();
         if self.group.add(caller, rank, events) {
             return;
         }
-        // A group that has formed no pass for long gives requests back at once.
-        self.rule.returned(rank, now);
+        // A group that has been down for a while rejects requests at once.
+        self.rule.rejected(rank, now);
         let deadline = self.callers[caller].deadline();
-        let millis = self.rule.return_millis(deadline, now);
+        let millis = self.rule.retry_after_millis(deadline, now);
         self.refuse(caller, millis, now);
     }
 
     fn refuse(&mut self, caller: usize, millis: u64, now: UnixMillis) {
-        let repeats = self.load.repeats_at_once(&mut self.random);
-        let waited = self.callers[caller].refuse(if repeats { 0 } else { millis }, now);
-        self.refused_waits.add(waited as f64);
+        let retries_at_once = self.load.retries_at_once(&mut self.random);
+        let waited_millis = self.callers[caller].refuse(if retries_at_once { 0 } else { millis }, now);
+        self.refused_waits.add(waited_millis as f64);
     }
 
-    /// Callers whose patience is over leave; the group stops their streams.
-    fn leave(&mut self, now: UnixMillis) {
+    /// Removes callers that timed out and stops their streams.
+    fn remove_timed_out(&mut self, now: UnixMillis) {
         for caller in 0..self.callers.len() {
-            let Some(rank) = self.callers[caller].lose_patience(now) else { continue };
+            let Some(rank) = self.callers[caller].leave_on_timeout(now) else { continue };
             self.group.cancel(caller);
-            self.rule.ended(rank, now.since(self.callers[caller].placed()), false, now);
+            self.rule.ended(rank, now.since(self.callers[caller].assigned_at()), false, now);
         }
     }
 
-    fn give_places(&mut self, now: UnixMillis) {
-        for (caller, millis) in self.rule.refuse_waiting(now) {
-            if self.callers[caller].waits() {
+    fn serve_waiting(&mut self, now: UnixMillis) {
+        for (caller, millis) in self.rule.take_refused(now) {
+            if self.callers[caller].is_waiting() {
                 self.refuse(caller, millis, now);
             }
         }
-        while let Some((caller, rank)) = self.rule.next_served(now, &self.callers, self.group.known()) {
-            self.place(caller, rank, now);
+        while let Some((caller, rank)) = self.rule.next_ready(now, &self.callers, self.group.load_view()) {
+            self.assign(caller, rank, now);
         }
     }
 
     fn report(&self) -> OverloadReport {
         let asked = self.callers.len();
-        let part = |outcome: CallerOutcome| {
+        let fraction = |outcome: CallerOutcome| {
             let count = self.callers.iter().filter(|caller| caller.outcome() == outcome).count();
             count as f64 / asked.max(1) as f64
         };
-        let (in_time, late, twice) =
-            (part(CallerOutcome::InTime), part(CallerOutcome::Late), part(CallerOutcome::RefusedTwice));
+        let (in_time, late, refused_twice) = (
+            fraction(CallerOutcome::InTime),
+            fraction(CallerOutcome::Late),
+            fraction(CallerOutcome::RefusedTwice),
+        );
         OverloadReport {
             asked,
             in_time: rounded(in_time),
             late: rounded(late),
-            refused_once: rounded(part(CallerOutcome::RefusedOnce)),
-            refused_twice: rounded(twice),
-            left: rounded(part(CallerOutcome::Left)),
+            refused_once: rounded(fraction(CallerOutcome::RefusedOnce)),
+            refused_twice: rounded(refused_twice),
+            left: rounded(fraction(CallerOutcome::Left)),
             refused_wait_p99: rounded(self.refused_waits.at(0.99)),
-            credit: rounded(in_time + LATE_CREDIT * late - TWICE_REFUSED_COST * twice),
+            credit: rounded(in_time + LATE_CREDIT * late - REFUSED_TWICE_COST * refused_twice),
         }
     }
 }
 
-/// The deadline of a caller that came at a time.
+/// Deadline of a caller with the given arrival time.
 pub(crate) fn deadline(arrival: UnixMillis) -> UnixDeadline {
     UnixDeadline::after(arrival, DEADLINE_MILLIS)
 }
--- a/crates/porthoist-lab/src/overload/callers.rs
+++ b/crates/porthoist-lab/src/overload/callers.rs
@@ -1,136 +1,143 @@
-//! The callers of a play: when they come, how long they wait, and when they come back.
+//! Simulated callers: when they arrive, how long they wait, and when they retry.
 
-use super::{GAP_MILLIS, LATENCY_MILLIS, PAUSE_MILLIS, TICK_MILLIS, deadline};
+use super::{ABANDON_MILLIS, LATENCY_MILLIS, MAX_PAUSE_MILLIS, TICK_MILLIS, deadline};
 use crate::overload::group::GroupState;
 use porthoist_core::{UnixDeadline, UnixMillis};
 use rand::RngExt as _;
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
 
-/// Streams a second that the modelled group bears: 12 ranks with 12 streams each, 24 events a stream, and a pass of some
-/// 85 ms.
-pub const BORNE_RATE: f64 = 70.0;
-/// Events of a stream in the mean, as the users' streams have.
-const MEAN_EVENTS: f64 = 24.0;
-/// When a disturbance begins, in milliseconds.
-const DISTURBED_AT: u64 = 10_000;
-/// How long the rush of callers lasts, in milliseconds, and how many times the usual rate it has.
-const RUSH: (u64, f64) = (9_000, 2.2);
-/// Demand shifts so often, in milliseconds, and the map is good again after so many.
-const SHIFT: (u64, u64) = (3_500, 700);
-/// How much longer a pass takes before the map is good again.
+/// Streams per second that the modelled group can serve: 12 ranks with 12 streams each, 24 events
+/// per stream, and a pass of about 85 ms.
+pub const GROUP_CAPACITY: f64 = 70.0;
+/// Mean number of events per stream, as on the users' routes.
+const MEAN_STREAM_EVENTS: f64 = 24.0;
+/// Start of a disturbance, in milliseconds.
+const DISTURBANCE_START_MILLIS: u64 = 10_000;
+/// Duration of the rush in milliseconds, and its arrival rate as a multiple of [`GROUP_CAPACITY`].
+const RUSH_MILLIS_AND_FACTOR: (u64, f64) = (9_000, 2.2);
+/// Time between demand shifts, and time until the expert map has followed a shift, in milliseconds.
+const SHIFT_AND_LAG_MILLIS: (u64, u64) = (3_500, 700);
+/// Expert skew between a demand shift and the matching map.
 const SHIFTED_SKEW: f64 = 3.0;
-/// The same with a good map.
-const GOOD_SKEW: f64 = 1.35;
+/// Expert skew with a matching map.
+const BALANCED_SKEW: f64 = 1.35;
 
-/// A load on the group.
+/// Load pattern on the group.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CallerLoad {
-    /// This part of what the group bears.
+    /// This fraction of the group's capacity.
     Steady(f64),
-    /// Nine tenths of what it bears, and 2.2 times as much for 9 s.
+    /// 0.9 of the capacity, and 2.2 times the capacity for 9 s.
     Rush,
-    /// Nine tenths, with demand that shifts every 3.5 s.
+    /// 0.9 of the capacity, with a demand shift every 3.5 s.
     Shifts,
-    /// Nine tenths, with a group that is down for so many seconds.
+    /// 0.9 of the capacity, with a group that is down for this many seconds.
     Outage(u64),
-    /// 1.3 times what it bears, with a third of the callers who repeat at once.
+    /// 1.3 times the capacity, with a third of the refused callers retrying at once.
     Impatient,
 }
 
 impl CallerLoad {
-    /// Streams asked for in a second.
+    /// Requested streams per second.
     pub fn rate(self, now: UnixMillis) -> f64 {
-        let part = match self {
-            Self::Steady(part) => part,
-            Self::Rush if (DISTURBED_AT..DISTURBED_AT + RUSH.0).contains(&now.0) => RUSH.1,
+        let fraction = match self {
+            Self::Steady(fraction) => fraction,
+            Self::Rush
+                if (DISTURBANCE_START_MILLIS..DISTURBANCE_START_MILLIS + RUSH_MILLIS_AND_FACTOR.0)
+                    .contains(&now.0) =>
+            {
+                RUSH_MILLIS_AND_FACTOR.1
+            }
             Self::Rush | Self::Shifts | Self::Outage(_) => 0.9,
             Self::Impatient => 1.3,
         };
-        part * BORNE_RATE
+        fraction * GROUP_CAPACITY
     }
 
-    /// How many callers come in one tick.
+    /// Number of callers that arrive in one tick.
     pub fn arrivals(self, now: UnixMillis, random: &mut Pcg64Mcg) -> usize {
         let expected = self.rate(now) * TICK_MILLIS as f64 / 1_000.0;
         let whole = expected.floor();
         whole as usize + usize::from(random.random_bool(expected - whole))
     }
 
-    /// How the group is.
+    /// State of the group at a time.
     pub fn group_state(self, now: UnixMillis) -> GroupState {
         let skew = match self {
-            Self::Shifts if now.0 % SHIFT.0 < SHIFT.1 => SHIFTED_SKEW,
-            _ => GOOD_SKEW,
+            Self::Shifts if now.0 % SHIFT_AND_LAG_MILLIS.0 < SHIFT_AND_LAG_MILLIS.1 => SHIFTED_SKEW,
+            _ => BALANCED_SKEW,
         };
         let down = match self {
-            Self::Outage(seconds) => (DISTURBED_AT..DISTURBED_AT + seconds * 1_000).contains(&now.0),
+            Self::Outage(seconds) => {
+                (DISTURBANCE_START_MILLIS..DISTURBANCE_START_MILLIS + seconds * 1_000).contains(&now.0)
+            }
             _ => false,
         };
-        GroupState { skew, down, pace: 1.0 }
+        GroupState { skew, down, slowdown: 1.0 }
     }
 
-    /// Events of a new stream.
+    /// Number of events of a new stream.
     pub fn events(self, random: &mut Pcg64Mcg) -> u32 {
-        // Between a third of the mean and five thirds of it.
-        (MEAN_EVENTS * random.random_range(0.33..1.67)) as u32
+        // Uniform between a third and five thirds of the mean.
+        (MEAN_STREAM_EVENTS * random.random_range(0.33..1.67)) as u32
     }
 
-    /// Whether a refused caller repeats at once, whatever it was told.
-    pub fn repeats_at_once(self, random: &mut Pcg64Mcg) -> bool {
+    /// Whether a refused caller retries at once and ignores the given delay.
+    pub fn retries_at_once(self, random: &mut Pcg64Mcg) -> bool {
         self == Self::Impatient && random.random_bool(0.33)
     }
 }
 
-/// What a caller got.
+/// Final result of a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallerOutcome {
-    /// All events, none late.
+    /// All events received, none late.
     InTime,
-    /// All events.
+    /// All events received, at least one late.
     Late,
-    /// A refusal, with no time left to come back.
+    /// Refused, with no time left for a retry.
     RefusedOnce,
-    /// Two refusals.
+    /// Refused twice.
     RefusedTwice,
-    /// It left.
+    /// The caller left.
     Left,
-    /// Nothing yet.
-    Open,
+    /// No result yet.
+    Pending,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CallerState {
     Waiting,
-    Placed(usize),
-    Away(UnixDeadline),
+    Assigned(usize),
+    BackingOff(UnixDeadline),
     Ended(CallerOutcome),
 }
 
-/// One caller.
+/// One caller and the state of its request.
 #[derive(Debug, Clone)]
-pub struct PlayedCaller {
+pub struct SimulatedCaller {
     events: u32,
-    made: u32,
+    events_received: u32,
     arrival: UnixMillis,
-    asked: UnixMillis,
-    placed: UnixMillis,
+    submitted_at: UnixMillis,
+    assigned_at: UnixMillis,
     last_event: Option<UnixMillis>,
     late: bool,
     refusals: u32,
     state: CallerState,
 }
 
-impl PlayedCaller {
-    /// A caller that comes now.
+impl SimulatedCaller {
+    /// Creates a caller that arrives now.
     pub fn new(events: u32, now: UnixMillis) -> Self {
         Self {
             events: events.max(1),
-            made: 0,
+            events_received: 0,
             arrival: now,
-            asked: now,
-            placed: now,
+            submitted_at: now,
+            assigned_at: now,
             last_event: None,
             late: false,
             refusals: 0,
@@ -138,60 +145,61 @@
         }
     }
 
-    /// Events of its stream.
+    /// Number of events of its stream.
     pub fn events(&self) -> u32 {
         self.events
     }
 
-    /// When it waits no more.
+    /// When the caller gives up.
     pub fn deadline(&self) -> UnixDeadline {
         deadline(self.arrival)
     }
 
-    /// When it got its place.
-    pub fn placed(&self) -> UnixMillis {
-        self.placed
+    /// When its request was assigned to a rank.
+    pub fn assigned_at(&self) -> UnixMillis {
+        self.assigned_at
     }
 
     /// Whether it was refused before.
-    pub fn came_back(&self) -> bool {
+    pub fn is_retry(&self) -> bool {
         self.refusals > 0
     }
 
-    /// Whether it waits for a place.
-    pub fn waits(&self) -> bool {
+    /// Whether it waits for a decision or a free rank.
+    pub fn is_waiting(&self) -> bool {
         self.state == CallerState::Waiting
     }
 
-    /// Whether it has gone.
-    pub fn left(&self) -> bool {
+    /// Whether it has a final result.
+    pub fn has_ended(&self) -> bool {
         matches!(self.state, CallerState::Ended(_))
     }
 
-    /// Whether it comes back now.
-    pub fn due(&self, now: UnixMillis) -> bool {
-        matches!(self.state, CallerState::Away(until) if until.passed(now))
+    /// Whether its delay before a retry has passed.
+    pub fn retry_due(&self, now: UnixMillis) -> bool {
+        matches!(self.state, CallerState::BackingOff(until) if until.passed(now))
     }
 
-    /// What it got.
+    /// Its result so far.
     pub fn outcome(&self) -> CallerOutcome {
         match self.state {
             CallerState::Ended(outcome) => outcome,
-            _ => CallerOutcome::Open,
+            _ => CallerOutcome::Pending,
         }
     }
 
-    pub(super) fn ask(&mut self, now: UnixMillis) {
-        self.asked = now;
+    pub(super) fn submit(&mut self, now: UnixMillis) {
+        self.submitted_at = now;
         self.state = CallerState::Waiting;
     }
 
-    pub(super) fn place(&mut self, rank: usize, now: UnixMillis) {
-        self.placed = now;
-        self.state = CallerState::Placed(rank);
+    pub(super) fn assign(&mut self, rank: usize, now: UnixMillis) {
+        self.assigned_at = now;
+        self.state = CallerState::Assigned(rank);
     }
 
-    /// Takes a refusal with a time to come back; returns how long it had waited.
+    /// Records a refusal with a delay before a retry. Returns how long the request had waited, in
+    /// milliseconds.
     pub(super) fn refuse(&mut self, millis: u64, now: UnixMillis) -> u64 {
         self.refusals += 1;
         let until = UnixDeadline::after(now, millis);
@@ -200,47 +208,47 @@
         } else if until >= self.deadline() {
             CallerState::Ended(CallerOutcome::RefusedOnce)
         } else {
-            CallerState::Away(until)
+            CallerState::BackingOff(until)
         };
-        now.since(self.asked)
+        now.since(self.submitted_at)
     }
 
-    /// When it came.
+    /// When it arrived.
     pub fn arrival(&self) -> UnixMillis {
         self.arrival
     }
 
-    /// When its last event came.
+    /// When it received its last event.
     pub fn last_event(&self) -> Option<UnixMillis> {
         self.last_event
     }
 
-    /// Events that came.
-    pub fn events_made(&self) -> u32 {
-        self.made
+    /// Number of events received.
+    pub fn events_received(&self) -> u32 {
+        self.events_received
     }
 
-    /// Events that are still to come.
-    pub fn events_left(&self) -> u32 {
-        self.events - self.made
+    /// Number of events still to be received.
+    pub fn events_remaining(&self) -> u32 {
+        self.events - self.events_received
     }
 
-    /// Where it has a place.
-    pub fn place_now(&self) -> Option<usize> {
+    /// The rank that it is assigned to.
+    pub fn assigned_rank(&self) -> Option<usize> {
         match self.state {
-            CallerState::Placed(place) => Some(place),
+            CallerState::Assigned(rank) => Some(rank),
             _ => None,
         }
     }
 
-    /// Takes an event; returns whether it is the first.
-    pub(super) fn event(&mut self, now: UnixMillis) -> bool {
+    /// Records an event. Returns whether it is the first.
+    pub(super) fn receive_event(&mut self, now: UnixMillis) -> bool {
         let late = match self.last_event {
             None => now.since(self.arrival) > LATENCY_MILLIS,
-            Some(last) => now.since(last) as f64 > PAUSE_MILLIS,
+            Some(last) => now.since(last) as f64 > MAX_PAUSE_MILLIS,
         };
         self.late |= late;
-        self.made += 1;
+        self.events_received += 1;
         self.last_event.replace(now).is_none()
     }
 
@@ -249,15 +257,15 @@
         self.state = CallerState::Ended(outcome);
     }
 
-    /// Leaves if its patience is over; returns the rank that it had a place at.
-    pub(super) fn lose_patience(&mut self, now: UnixMillis) -> Option<usize> {
+    /// Leaves if it has timed out. Returns the rank that it was assigned to.
+    pub(super) fn leave_on_timeout(&mut self, now: UnixMillis) -> Option<usize> {
         let rank = match self.state {
             CallerState::Waiting => None,
-            CallerState::Placed(rank) => Some(rank),
-            CallerState::Away(_) | CallerState::Ended(_) => return None,
+            CallerState::Assigned(rank) => Some(rank),
+            CallerState::BackingOff(_) | CallerState::Ended(_) => return None,
         };
-        let heard = self.last_event.unwrap_or(self.asked);
-        if now.since(heard) <= GAP_MILLIS && !self.deadline().passed(now) {
+        let last_activity = self.last_event.unwrap_or(self.submitted_at);
+        if now.since(last_activity) <= ABANDON_MILLIS && !self.deadline().passed(now) {
             return None;
         }
         self.state = CallerState::Ended(CallerOutcome::Left);
--- a/crates/porthoist-lab/src/overload/group.rs
+++ b/crates/porthoist-lab/src/overload/group.rs
@@ -1,126 +1,129 @@
-//! The modelled group of ranks: all make an event of each running stream in every pass, as slow as the most loaded rank.
+//! Model of a group of ranks: every pass produces one event of each running stream and takes as
+//! long as the most loaded rank needs.
 
 use super::TICK_MILLIS;
 use porthoist_core::UnixMillis;
 
-/// Steps of a pass, their time in milliseconds, and what a running stream adds: the users' engines.
-const STRIDE: f64 = 4.0;
-const STEP_MILLIS: f64 = 4.55;
-const STREAM_MILLIS: f64 = 0.905;
-/// Part of a step that experts take.
+/// Steps per pass, base time of a step in milliseconds, and time that each running stream adds to a
+/// step, as the users' engines have them.
+const STEPS_PER_PASS: f64 = 4.0;
+const BASE_STEP_MILLIS: f64 = 4.55;
+const STEP_MILLIS_PER_STREAM: f64 = 0.905;
+/// Fraction of a step spent in experts.
 const EXPERT_SHARE: f64 = 0.85;
-/// Time in milliseconds that reading a new prompt adds to a pass: 835 tokens at 61 in a millisecond.
-const READ_MILLIS: f64 = 13.6;
-/// A group that is down gives requests back after so many milliseconds.
-const STALL_MILLIS: u64 = 1_500;
-/// The loads of the ranks are reported so often, in milliseconds.
-const REPORT_MILLIS: u64 = 160;
-
-/// How the group is.
+/// Time in milliseconds that the prefill of a new prompt adds to a pass: 835 tokens at 61 tokens
+/// per millisecond.
+const PREFILL_MILLIS: f64 = 13.6;
+/// A group rejects requests once it has been down for this time in milliseconds.
+const REJECT_AFTER_MILLIS: u64 = 1_500;
+/// Interval between two load reports, in milliseconds.
+const REPORT_INTERVAL_MILLIS: u64 = 160;
+
+/// State of the group.
 #[derive(Debug, Clone, Copy)]
 pub struct GroupState {
-    /// Most loaded rank's part of the expert work, by the mean.
+    /// Expert work of the most loaded rank, relative to the mean.
     pub skew: f64,
-    /// Whether it makes no passes.
+    /// Whether the group runs no passes.
     pub down: bool,
-    /// How many times longer than usual its slowest rank makes its passes.
-    pub pace: f64,
+    /// Factor by which the slowest rank lengthens each pass.
+    pub slowdown: f64,
 }
 
-/// What the last report said.
+/// Loads of the ranks as seen by a rule.
 #[derive(Debug, Clone)]
-pub struct KnownLoads {
-    /// Number of the report.
+pub struct LoadView {
+    /// Revision of the last report.
     pub revision: u64,
-    /// Requests at each rank.
+    /// Requests at each rank according to the last report.
     pub requests: Vec<u32>,
-    /// Whether the group is down now; only an omniscient rule looks.
+    /// Whether the group is down now. Only the omniscient rule uses it.
     pub down: bool,
-    /// Requests at each rank now; only an omniscient rule looks.
-    pub present: Vec<u32>,
+    /// Requests at each rank now. Only the rules with a fixed bound use it.
+    pub current_requests: Vec<u32>,
 }
 
 /// An event of a stream.
 #[derive(Debug, Clone, Copy)]
 pub struct StreamEvent {
-    /// The caller.
+    /// Index of the caller.
     pub caller: usize,
-    /// The rank.
+    /// Index of the rank.
     pub rank: usize,
-    /// Whether it is the stream's first.
+    /// Whether it is the first of its stream.
     pub first: bool,
-    /// Whether it is the stream's last.
+    /// Whether it is the last of its stream.
     pub last: bool,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct RankStream {
     caller: usize,
-    made: u32,
+    events_sent: u32,
     events: u32,
 }
 
-/// The group.
+/// A group of ranks and the streams that run there.
 #[derive(Debug)]
 pub struct RankGroup {
     slots: usize,
     ranks: Vec<Vec<RankStream>>,
     state: GroupState,
     down_since: Option<UnixMillis>,
-    /// When the pass under way ends, in milliseconds.
+    /// End of the current pass, in milliseconds.
     pass_end: f64,
-    /// Passes begun.
+    /// Number of passes that produced events.
     passes: u32,
-    known: KnownLoads,
-    reported: UnixMillis,
+    load_view: LoadView,
+    reported_at: UnixMillis,
     now: UnixMillis,
 }
 
 impl RankGroup {
-    /// An empty group.
+    /// Creates a group without streams.
     pub fn new(ranks: usize, slots: u32) -> Self {
         let requests = vec![0; ranks];
         Self {
             slots: slots as usize,
             ranks: vec![Vec::new(); ranks],
-            state: GroupState { skew: 1.0, down: false, pace: 1.0 },
+            state: GroupState { skew: 1.0, down: false, slowdown: 1.0 },
             passes: 0,
             down_since: None,
             pass_end: 0.0,
-            known: KnownLoads { revision: 0, present: requests.clone(), requests, down: false },
-            reported: UnixMillis(0),
+            load_view: LoadView { revision: 0, current_requests: requests.clone(), requests, down: false },
+            reported_at: UnixMillis(0),
             now: UnixMillis(0),
         }
     }
 
-    /// Takes how it is from now on.
+    /// Sets the state of the group.
     pub fn set_state(&mut self, state: GroupState) {
         self.state = state;
     }
 
-    /// What is known of it.
-    pub fn known(&self) -> KnownLoads {
-        let present = self.counts();
-        KnownLoads { down: self.state.down, present, ..self.known.clone() }
+    /// The last load report and the current state.
+    pub fn load_view(&self) -> LoadView {
+        let current_requests = self.request_counts();
+        LoadView { down: self.state.down, current_requests, ..self.load_view.clone() }
     }
 
-    /// Adds a stream; `false` if the group gives it back at once.
+    /// Adds a stream. Returns `false` if the group rejects it.
     pub fn add(&mut self, caller: usize, rank: usize, events: u32) -> bool {
-        if self.gives_back() {
+        if self.rejects_requests() {
             return false;
         }
-        self.ranks[rank].push(RankStream { caller, made: 0, events });
+        self.ranks[rank].push(RankStream { caller, events_sent: 0, events });
         true
     }
 
-    /// Stops a caller's stream.
+    /// Stops the stream of a caller.
     pub fn cancel(&mut self, caller: usize) {
         for rank in &mut self.ranks {
             rank.retain(|stream| stream.caller != caller);
         }
     }
 
-    /// The events made until now.
+    /// Runs the passes due until `now` and returns their events.
     pub fn advance(&mut self, now: UnixMillis) -> Vec<StreamEvent> {
         self.now = now;
         self.report(now);
@@ -139,49 +142,55 @@
         events
     }
 
-    /// Passes begun.
+    /// Number of passes that produced events.
     pub fn passes(&self) -> u32 {
         self.passes
     }
 
-    fn gives_back(&self) -> bool {
-        self.down_since.is_some_and(|since| self.now.since(since) > STALL_MILLIS)
+    fn rejects_requests(&self) -> bool {
+        self.down_since.is_some_and(|since| self.now.since(since) > REJECT_AFTER_MILLIS)
     }
 
-    fn counts(&self) -> Vec<u32> {
+    fn request_counts(&self) -> Vec<u32> {
         self.ranks.iter().map(|rank| rank.len() as u32).collect()
     }
 
     fn report(&mut self, now: UnixMillis) {
-        if now.since(self.reported) < REPORT_MILLIS || self.state.down {
+        if now.since(self.reported_at) < REPORT_INTERVAL_MILLIS || self.state.down {
             return;
         }
-        self.reported = now;
-        self.known.revision += 1;
-        self.known.requests = self.counts();
+        self.reported_at = now;
+        self.load_view.revision += 1;
+        self.load_view.requests = self.request_counts();
     }
 
     fn pass(&mut self) -> Vec<StreamEvent> {
         let mut events = Vec::new();
         for (rank, streams) in self.ranks.iter_mut().enumerate() {
             for stream in streams.iter_mut().take(self.slots) {
-                stream.made += 1;
-                let last = stream.made == stream.events;
-                events.push(StreamEvent { caller: stream.caller, rank, first: stream.made == 1, last });
+                stream.events_sent += 1;
+                let last = stream.events_sent == stream.events;
+                events.push(StreamEvent {
+                    caller: stream.caller,
+                    rank,
+                    first: stream.events_sent == 1,
+                    last,
+                });
             }
-            streams.retain(|stream| stream.made < stream.events);
+            streams.retain(|stream| stream.events_sent < stream.events);
         }
         events
     }
 
-    /// Time of the next pass in milliseconds.
+    /// Duration of the next pass in milliseconds.
     fn pass_millis(&self) -> f64 {
         let running = self.ranks.iter().map(|rank| rank.len().min(self.slots)).max().unwrap_or_default();
-        let fresh =
-            |rank: &Vec<RankStream>| rank.iter().take(self.slots).filter(|stream| stream.made == 0).count();
-        let reading = self.ranks.iter().map(fresh).max().unwrap_or_default();
-        let step = STEP_MILLIS + STREAM_MILLIS * running as f64;
+        let new_streams = |rank: &Vec<RankStream>| {
+            rank.iter().take(self.slots).filter(|stream| stream.events_sent == 0).count()
+        };
+        let prefills = self.ranks.iter().map(new_streams).max().unwrap_or_default();
+        let step = BASE_STEP_MILLIS + STEP_MILLIS_PER_STREAM * running as f64;
         let skewed = 1.0 - EXPERT_SHARE + EXPERT_SHARE * self.state.skew;
-        STRIDE * step * skewed * self.state.pace + READ_MILLIS * reading as f64
+        STEPS_PER_PASS * step * skewed * self.state.slowdown + PREFILL_MILLIS * prefills as f64
     }
 }
--- a/crates/porthoist-lab/src/overload/groups.rs
+++ b/crates/porthoist-lab/src/overload/groups.rs
@@ -1,13 +1,15 @@
-//! Several groups in zones behind several entry processes, one of them disturbed: the very decisions of the entries in
-//! virtual time, judging all ranks as one group, judging groups, and moving requests as well.
+//! Simulates several groups in zones behind several entry processes while one group or zone is
+//! disturbed. Uses the entries' own decisions in virtual time and compares three ways: all ranks
+//! treated as one group, each group judged by itself, and each group judged by itself with requests
+//! moved as well.
 
 mod entry;
 
-use super::callers::{CallerLoad, CallerOutcome, PlayedCaller};
+use super::callers::{CallerLoad, CallerOutcome, SimulatedCaller};
 use super::group::{GroupState, RankGroup};
 use super::{DEADLINE_MILLIS, LATE_CREDIT, TICK_MILLIS};
 use crate::report::rounded;
-use entry::{EntryAnswer, EntryDesk, GroupReport};
+use entry::{EntryDecision, GroupReport, SimulatedEntry};
 use porthoist_core::UnixMillis;
 use porthoist_policy::proxy::pass_time::{GroupSample, PassTimer};
 use porthoist_policy::roll_forward::{GroupEpoch, RankPace};
@@ -17,42 +19,42 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Groups, one in each zone.
+/// Number of groups, one in each zone.
 pub const GROUPS: usize = 3;
-/// Ranks of a group.
+/// Number of ranks in a group.
 pub const RANKS: usize = 12;
-/// Requests that a rank runs at once.
+/// Maximum number of concurrent requests at a rank.
 const SLOTS: u32 = 12;
-/// Entry processes; the first third is in the first zone.
+/// Number of entry processes. The first third is in the first zone.
 const ENTRIES: usize = 9;
-/// Part of what the groups bear that callers ask for.
-const LOAD_PART: f64 = 0.35;
-/// When the disturbance begins, in milliseconds.
-const DISTURBED_AT: u64 = 6_000;
-/// Time between two looks whether a request should move, in milliseconds, as in the daemon.
-const LOOK_MILLIS: u64 = 50;
-/// Expert skew with a good map.
-const GOOD_SKEW: f64 = 1.35;
+/// Load as a fraction of the capacity of all groups.
+const LOAD_FRACTION: f64 = 0.35;
+/// Start of the disturbance, in milliseconds.
+const DISTURBANCE_START_MILLIS: u64 = 6_000;
+/// Interval in milliseconds between two checks whether a request should move, as in the daemon.
+const MOVE_CHECK_MILLIS: u64 = 50;
+/// Expert skew with a matching map.
+const BALANCED_SKEW: f64 = 1.35;
 
-/// What happens to the first group or zone.
+/// Fault of the first group or zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum GroupFault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// A rank is slow by 12 for 8 s.
+    /// A rank is slower by a factor of 12 for 8 s.
     Slow,
-    /// The group is held for 4 s.
+    /// The group is down for 4 s.
     Held,
-    /// The entries of the zone reach no other zone for 6 s, and learn it by silence only.
+    /// The zone's entries reach no other zone for 6 s, and learn it only from missing events.
     CutOff,
 }
 
 impl GroupFault {
-    /// All of them.
+    /// All faults.
     pub const ALL: [Self; 4] = [Self::None, Self::Slow, Self::Held, Self::CutOff];
 
-    /// Its name in reports.
+    /// Name in reports.
     pub fn name(self) -> &'static str {
         match self {
             Self::None => "none",
@@ -62,7 +64,7 @@
         }
     }
 
-    fn millis(self) -> u64 {
+    fn duration_millis(self) -> u64 {
         match self {
             Self::None => 0,
             Self::Slow => 8_000,
@@ -71,23 +73,23 @@
         }
     }
 
-    fn acts(self, now: UnixMillis) -> bool {
-        (DISTURBED_AT..DISTURBED_AT + self.millis()).contains(&now.0)
+    fn is_active(self, now: UnixMillis) -> bool {
+        (DISTURBANCE_START_MILLIS..DISTURBANCE_START_MILLIS + self.duration_millis()).contains(&now.0)
     }
 
     fn state(self, group: usize, now: UnixMillis) -> GroupState {
-        let disturbed = group == 0 && self.acts(now);
+        let disturbed = group == 0 && self.is_active(now);
         GroupState {
-            skew: GOOD_SKEW,
+            skew: BALANCED_SKEW,
             down: disturbed && self == Self::Held,
-            pace: if disturbed && self == Self::Slow { 12.0 } else { 1.0 },
+            slowdown: if disturbed && self == Self::Slow { 12.0 } else { 1.0 },
         }
     }
 
     /// Whether an entry reaches a group.
     fn reaches(self, entry: usize, group: usize, now: UnixMillis) -> bool {
-        let cut = self == Self::CutOff && self.acts(now);
-        !cut || (zone_of(entry) == 0) == (group == 0)
+        let unreachable = self == Self::CutOff && self.is_active(now);
+        !unreachable || (zone_of(entry) == 0) == (group == 0)
     }
 }
 
@@ -95,23 +97,23 @@
     entry * GROUPS / ENTRIES
 }
 
-/// How entries judge groups.
+/// How entries treat the groups of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum JudgeWay {
-    /// All ranks of the service as one group.
+pub enum GroupingMethod {
+    /// All ranks of the service count as one group.
     Together,
-    /// Each group by itself.
+    /// Each group is judged by itself.
     ByGroup,
-    /// Each group by itself, and requests move.
+    /// Each group is judged by itself, and requests move between groups.
     ByGroupMoving,
 }
 
-impl JudgeWay {
-    /// All of them.
+impl GroupingMethod {
+    /// All methods.
     pub const ALL: [Self; 3] = [Self::Together, Self::ByGroup, Self::ByGroupMoving];
 
-    /// Its name in reports.
+    /// Name in reports.
     pub fn name(self) -> &'static str {
         match self {
             Self::Together => "together",
@@ -121,108 +123,114 @@
     }
 }
 
-/// What callers got.
+/// Outcome of a run for all callers.
 #[derive(Debug, Clone, Serialize)]
 pub struct GroupsReport {
-    /// Streams asked for.
+    /// Number of requested streams.
     pub asked: usize,
-    /// Part on time.
+    /// Fraction served on time.
     pub in_time: f64,
-    /// Part served late.
+    /// Fraction served late.
     pub late: f64,
-    /// Part refused, or whose callers left.
+    /// Fraction refused or whose callers left.
     pub lost: f64,
-    /// Moves by request.
+    /// Mean number of moves per request.
     pub moves: f64,
-    /// Credit a stream: on time 1, late [`LATE_CREDIT`].
+    /// Mean credit per stream: 1 on time, [`LATE_CREDIT`] late.
     pub credit: f64,
 }
 
-/// Plays a fault under every way, for so many seconds.
+/// Simulates a fault with every method, for a number of seconds.
 pub fn compare(fault: GroupFault, seconds: u64, seed: u64) -> BTreeMap<&'static str, GroupsReport> {
-    JudgeWay::ALL.into_iter().map(|way| (way.name(), play(fault, way, seconds, seed))).collect()
+    GroupingMethod::ALL
+        .into_iter()
+        .map(|method| (method.name(), simulate(fault, method, seconds, seed)))
+        .collect()
 }
 
-/// Plays a fault under one way.
-pub fn play(fault: GroupFault, way: JudgeWay, seconds: u64, seed: u64) -> GroupsReport {
-    let mut world = GroupsWorld::new(fault, way, seed);
+/// Simulates a fault with one method.
+pub fn simulate(fault: GroupFault, method: GroupingMethod, seconds: u64, seed: u64) -> GroupsReport {
+    let mut simulation = GroupsSimulation::new(fault, method, seed);
     let ticks = seconds * 1_000 / TICK_MILLIS;
     for tick in 0..ticks + DEADLINE_MILLIS / TICK_MILLIS {
-        world.tick(UnixMillis(tick * TICK_MILLIS), tick < ticks);
+        simulation.tick(UnixMillis(tick * TICK_MILLIS), tick < ticks);
     }
-    world.report()
+    simulation.report()
 }
 
-/// A group with what is told of it.
-struct PlayedGroup {
+/// A group and what its load reports contain.
+struct SimulatedGroup {
     ranks: RankGroup,
-    timer: PassTimer,
-    told: u64,
+    pass_timer: PassTimer,
+    sent_revision: u64,
 }
 
-struct GroupsWorld {
+struct GroupsSimulation {
     fault: GroupFault,
-    way: JudgeWay,
+    method: GroupingMethod,
     random: Pcg64Mcg,
     load: CallerLoad,
-    groups: Vec<PlayedGroup>,
-    entries: Vec<EntryDesk>,
-    callers: Vec<PlayedCaller>,
+    groups: Vec<SimulatedGroup>,
+    entries: Vec<SimulatedEntry>,
+    callers: Vec<SimulatedCaller>,
     moves: usize,
 }
 
-impl GroupsWorld {
-    fn new(fault: GroupFault, way: JudgeWay, seed: u64) -> Self {
-        let group =
-            || PlayedGroup { ranks: RankGroup::new(RANKS, SLOTS), timer: PassTimer::default(), told: 0 };
+impl GroupsSimulation {
+    fn new(fault: GroupFault, method: GroupingMethod, seed: u64) -> Self {
+        let group = || SimulatedGroup {
+            ranks: RankGroup::new(RANKS, SLOTS),
+            pass_timer: PassTimer::default(),
+            sent_revision: 0,
+        };
         Self {
             fault,
-            way,
+            method,
             random: Pcg64Mcg::seed_from_u64(seed),
-            load: CallerLoad::Steady(LOAD_PART * GROUPS as f64),
+            load: CallerLoad::Steady(LOAD_FRACTION * GROUPS as f64),
             groups: (0..GROUPS).map(|_group| group()).collect(),
             entries: (0..ENTRIES)
-                .map(|entry| EntryDesk::new(zone_of(entry), SLOTS, seed + entry as u64))
+                .map(|entry| SimulatedEntry::new(zone_of(entry), SLOTS, seed + entry as u64))
                 .collect(),
             callers: Vec::new(),
             moves: 0,
         }
     }
 
-    fn tick(&mut self, now: UnixMillis, asking: bool) {
-        if asking {
-            self.arrive(now);
+    fn tick(&mut self, now: UnixMillis, arriving: bool) {
+        if arriving {
+            self.add_arrivals(now);
         }
         self.advance(now);
-        self.tell(now);
-        self.leave(now);
-        if self.way == JudgeWay::ByGroupMoving && now.0.is_multiple_of(LOOK_MILLIS) {
+        self.send_reports(now);
+        self.remove_timed_out(now);
+        if self.method == GroupingMethod::ByGroupMoving && now.0.is_multiple_of(MOVE_CHECK_MILLIS) {
             self.move_requests(now);
         }
     }
 
-    fn arrive(&mut self, now: UnixMillis) {
+    fn add_arrivals(&mut self, now: UnixMillis) {
         for _caller in 0..self.load.arrivals(now, &mut self.random) {
             let events = self.load.events(&mut self.random);
-            self.callers.push(PlayedCaller::new(events, now));
-            self.ask(self.callers.len() - 1, now);
+            self.callers.push(SimulatedCaller::new(events, now));
+            self.submit(self.callers.len() - 1, now);
         }
     }
 
-    fn ask(&mut self, caller: usize, now: UnixMillis) {
-        let played = &mut self.callers[caller];
+    fn submit(&mut self, caller: usize, now: UnixMillis) {
+        let simulated = &mut self.callers[caller];
         let entry = caller % ENTRIES;
-        match self.entries[entry].ask(caller, played, now) {
-            EntryAnswer::Place(place) => {
-                played.place(place, now);
-                let events = played.events_left();
-                let (group, rank) = (place / RANKS, place % RANKS);
+        match self.entries[entry].decide(caller, simulated, now) {
+            EntryDecision::Assign(rank_index) => {
+                simulated.assign(rank_index, now);
+                let events = simulated.events_remaining();
+                let (group, rank) = (rank_index / RANKS, rank_index % RANKS);
                 if self.fault.reaches(entry, group, now) {
                     self.groups[group].ranks.add(caller, rank, events);
                 }
             }
-            EntryAnswer::Refuse => {
-                played.refuse(DEADLINE_MILLIS, now);
+            EntryDecision::Refuse => {
+                simulated.refuse(DEADLINE_MILLIS, now);
             }
         }
     }
@@ -232,78 +240,82 @@
             let state = self.fault.state(group, now);
             self.groups[group].ranks.set_state(state);
             for event in self.groups[group].ranks.advance(now) {
-                let (entry, place) = (event.caller % ENTRIES, group * RANKS + event.rank);
-                if !self.fault.reaches(entry, group, now) || self.callers[event.caller].left() {
+                let (entry, rank_index) = (event.caller % ENTRIES, group * RANKS + event.rank);
+                if !self.fault.reaches(entry, group, now) || self.callers[event.caller].has_ended() {
                     continue;
                 }
                 let caller = &mut self.callers[event.caller];
-                let first = caller.event(now);
-                self.entries[entry].heard(place, first.then(|| now.since(caller.placed())), now);
+                let first = caller.receive_event(now);
+                self.entries[entry].event_received(
+                    rank_index,
+                    first.then(|| now.since(caller.assigned_at())),
+                    now,
+                );
                 if event.last {
                     caller.finish(now);
-                    self.entries[entry].finished(event.caller, caller.events(), now);
+                    self.entries[entry].stream_ended(event.caller, caller.events(), now);
                 }
             }
         }
     }
 
-    /// Tells the entries what each group reported, or all together.
-    fn tell(&mut self, now: UnixMillis) {
+    /// Sends the load reports of each group to the entries that can reach it.
+    fn send_reports(&mut self, now: UnixMillis) {
         for (index, group) in self.groups.iter_mut().enumerate() {
-            let known = group.ranks.known();
-            let slow = self.fault.state(index, now).pace;
-            let seen = GroupSample {
+            let load_view = group.ranks.load_view();
+            let slowdown = self.fault.state(index, now).slowdown;
+            let sample = GroupSample {
                 epoch: GroupEpoch(1),
                 step: StepNumber(group.ranks.passes()),
-                busy: known.requests.iter().any(|requests| *requests > 0),
-                slowest: RankPace::from_factor(slow),
+                busy: load_view.requests.iter().any(|requests| *requests > 0),
+                slowest: RankPace::from_factor(slowdown),
             };
-            group.timer.observe(seen, now);
-            if known.revision == group.told {
+            group.pass_timer.observe(sample, now);
+            if load_view.revision == group.sent_revision {
                 continue;
             }
-            group.told = known.revision;
+            group.sent_revision = load_view.revision;
             let report = GroupReport {
                 group: index,
-                requests: &known.requests,
-                pass: group.timer.pass(now),
-                together: self.way == JudgeWay::Together,
+                requests: &load_view.requests,
+                pass: group.pass_timer.pass(now),
+                single_group: self.method == GroupingMethod::Together,
             };
-            for (entry, desk) in self.entries.iter_mut().enumerate() {
+            for (entry, simulated_entry) in self.entries.iter_mut().enumerate() {
                 if self.fault.reaches(entry, index, now) {
-                    desk.take_report(&report, now);
+                    simulated_entry.apply_report(&report, now);
                 }
             }
         }
     }
 
-    fn leave(&mut self, now: UnixMillis) {
+    fn remove_timed_out(&mut self, now: UnixMillis) {
         for caller in 0..self.callers.len() {
-            let Some(place) = self.callers[caller].lose_patience(now) else { continue };
-            self.groups[place / RANKS].ranks.cancel(caller);
-            self.entries[caller % ENTRIES].left(caller, now);
+            let Some(rank_index) = self.callers[caller].leave_on_timeout(now) else { continue };
+            self.groups[rank_index / RANKS].ranks.cancel(caller);
+            self.entries[caller % ENTRIES].request_abandoned(caller, now);
         }
     }
 
     fn move_requests(&mut self, now: UnixMillis) {
         for entry in 0..ENTRIES {
-            for caller in self.entries[entry].moving(&self.callers, now) {
-                let Some(place) = self.callers[caller].place_now() else { continue };
-                self.groups[place / RANKS].ranks.cancel(caller);
-                self.entries[entry].left(caller, now);
+            for caller in self.entries[entry].requests_to_move(&self.callers, now) {
+                let Some(rank_index) = self.callers[caller].assigned_rank() else { continue };
+                self.groups[rank_index / RANKS].ranks.cancel(caller);
+                self.entries[entry].request_abandoned(caller, now);
                 self.moves += 1;
-                self.ask(caller, now);
+                self.submit(caller, now);
             }
         }
     }
 
     fn report(&self) -> GroupsReport {
         let asked = self.callers.len().max(1);
-        let part = |outcome: CallerOutcome| {
+        let fraction = |outcome: CallerOutcome| {
             let count = self.callers.iter().filter(|caller| caller.outcome() == outcome).count();
             count as f64 / asked as f64
         };
-        let (in_time, late) = (part(CallerOutcome::InTime), part(CallerOutcome::Late));
+        let (in_time, late) = (fraction(CallerOutcome::InTime), fraction(CallerOutcome::Late));
         GroupsReport {
             asked,
             in_time: rounded(in_time),
--- a/crates/porthoist-lab/src/overload/groups/entry.rs
+++ b/crates/porthoist-lab/src/overload/groups/entry.rs
@@ -1,6 +1,7 @@
-//! One entry process of the play: the daemon's desk, its share of repeats, and the sends that it follows.
+//! One simulated entry process: the daemon's request scheduler, its share of the retry budget, and
+//! its active sends.
 
-use super::super::callers::PlayedCaller;
+use super::super::callers::SimulatedCaller;
 use super::super::{LATENCY_MILLIS, deadline};
 use super::{GROUPS, RANKS};
 use porthoist_core::{ServiceName, StartMillis, TargetName, UnixDeadline, UnixMillis};
@@ -16,111 +17,120 @@
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
-/// Sends of one request at most, as the users' routes allow.
+/// Maximum number of sends of one request, as the users' routes allow.
 const MAX_ATTEMPTS: usize = 2;
-/// The users' retry budget as each process takes its share of it: by request, beside that, and for so many milliseconds.
-const SHARE: RetryShareSettings = RetryShareSettings { ratio: 0.16, slack: 2.3, window_millis: 10_000 };
+/// Share of the users' retry budget that each process takes: retries per request, additional
+/// retries, and the window in milliseconds.
+const RETRY_SHARE: RetryShareSettings = RetryShareSettings { ratio: 0.16, slack: 2.3, window_millis: 10_000 };
 
-/// A report of one group's loads.
+/// Load report of one group.
 pub(super) struct GroupReport<'a> {
     pub(super) group: usize,
     pub(super) requests: &'a [u32],
     pub(super) pass: GroupPass,
-    /// Whether entries take all ranks for one group.
-    pub(super) together: bool,
+    /// Whether entries treat all ranks as one group.
+    pub(super) single_group: bool,
 }
 
-/// What becomes of a request.
-pub(super) enum EntryAnswer {
-    /// It goes to the rank with this number among those of all groups.
-    Place(usize),
+/// Decision on a request.
+pub(super) enum EntryDecision {
+    /// Send it to the rank with this index among the ranks of all groups.
+    Assign(usize),
     Refuse,
 }
 
-/// A send that is not at its end.
-struct OpenSend {
-    place: usize,
-    placed: UnixMillis,
+/// A send that has not ended.
+struct ActiveSend {
+    rank_index: usize,
+    assigned_at: UnixMillis,
     tried: Vec<TargetName>,
 }
 
-pub(super) struct EntryDesk {
-    desk: RequestScheduler<usize>,
+pub(super) struct SimulatedEntry {
+    scheduler: RequestScheduler<usize>,
     service: ServiceName,
     records: Vec<TargetRecord>,
-    sends: BTreeMap<usize, OpenSend>,
-    /// Targets that requests which move were sent to.
+    sends: BTreeMap<usize, ActiveSend>,
+    /// Targets that moved requests were already sent to.
     tried: BTreeMap<usize, Vec<TargetName>>,
-    share: RetryShare,
+    retry_share: RetryShare,
     revision: u64,
-    /// The last report of each group, where all count as one.
-    all: Vec<Vec<u32>>,
+    /// The last report of each group, for the case that all ranks count as one group.
+    last_reports: Vec<Vec<u32>>,
 }
 
-fn host(place: usize) -> Ipv4Addr {
-    Ipv4Addr::new(10, 0, (place / RANKS) as u8, (place % RANKS) as u8 + 1)
+fn host(rank_index: usize) -> Ipv4Addr {
+    Ipv4Addr::new(10, 0, (rank_index / RANKS) as u8, (rank_index % RANKS) as u8 + 1)
 }
 
-fn record(service: &ServiceName, place: usize, slots: u32) -> TargetRecord {
+fn record(service: &ServiceName, rank_index: usize, slots: u32) -> TargetRecord {
     TargetRecord {
-        id: format!("t{place}").parse().expect("a valid name"),
+        id: format!("t{rank_index}").parse().expect("a valid name"),
         born: StartMillis::default(),
         service: service.clone(),
-        address: (host(place), 9).into(),
-        zone: format!("z{}", place / RANKS).parse().expect("a valid name"),
+        address: (host(rank_index), 9).into(),
+        zone: format!("z{}", rank_index / RANKS).parse().expect("a valid name"),
         slots,
         state: TargetState::Ready,
         cold: ColdStatus::Unknown,
     }
 }
 
-impl EntryDesk {
+impl SimulatedEntry {
     pub(super) fn new(zone: usize, slots: u32, seed: u64) -> Self {
         let service: ServiceName = "s".parse().expect("a valid name");
         let zone = format!("z{zone}").parse().expect("a valid name");
         let settings =
             BalancerSettings::builder().zone(zone).per_rank(3).rank_limit(slots).seed(seed).build();
         let records: Vec<TargetRecord> =
-            (0..GROUPS * RANKS).map(|place| record(&service, place, slots)).collect();
-        let mut book = TargetRegistry::default();
-        book.apply_listing(records.iter().cloned(), None);
-        let mut desk = RequestScheduler::new(settings);
-        desk.sync(&book);
+            (0..GROUPS * RANKS).map(|rank_index| record(&service, rank_index, slots)).collect();
+        let mut registry = TargetRegistry::default();
+        registry.apply_listing(records.iter().cloned(), None);
+        let mut scheduler = RequestScheduler::new(settings);
+        scheduler.sync(&registry);
         Self {
-            desk,
+            scheduler,
             service,
             records,
             sends: BTreeMap::new(),
             tried: BTreeMap::new(),
-            share: RetryShare::new(SHARE),
+            retry_share: RetryShare::new(RETRY_SHARE),
             revision: 0,
-            all: vec![vec![0; RANKS]; GROUPS],
+            last_reports: vec![vec![0; RANKS]; GROUPS],
         }
     }
 
-    pub(super) fn take_report(&mut self, report: &GroupReport<'_>, now: UnixMillis) {
+    pub(super) fn apply_report(&mut self, report: &GroupReport<'_>, now: UnixMillis) {
         self.revision += 1;
-        self.all[report.group] = report.requests.to_vec();
-        let rank = |place: usize| RankLoad {
-            host: host(place),
-            requests: self.all[place / RANKS][place % RANKS],
+        self.last_reports[report.group] = report.requests.to_vec();
+        let rank = |rank_index: usize| RankLoad {
+            host: host(rank_index),
+            requests: self.last_reports[rank_index / RANKS][rank_index % RANKS],
             silent: false,
         };
         let own = report.group * RANKS..(report.group + 1) * RANKS;
-        let (places, pass) =
-            if report.together { (0..GROUPS * RANKS, GroupPass::Unknown) } else { (own, report.pass) };
-        let loads =
-            GroupLoads { revision: LoadRevision(self.revision), pass, ranks: places.map(rank).collect() };
-        self.desk.update_loads(&loads, now);
+        let (rank_indices, pass) =
+            if report.single_group { (0..GROUPS * RANKS, GroupPass::Unknown) } else { (own, report.pass) };
+        let loads = GroupLoads {
+            revision: LoadRevision(self.revision),
+            pass,
+            ranks: rank_indices.map(rank).collect(),
+        };
+        self.scheduler.update_loads(&loads, now);
     }
 
-    pub(super) fn ask(&mut self, caller: usize, played: &PlayedCaller, now: UnixMillis) -> EntryAnswer {
+    pub(super) fn decide(
+        &mut self,
+        caller: usize,
+        simulated: &SimulatedCaller,
+        now: UnixMillis,
+    ) -> EntryDecision {
         let tried = self.tried.remove(&caller).unwrap_or_default();
-        let turn = if tried.is_empty() { QueueClass::First } else { QueueClass::Resent };
+        let queue_class = if tried.is_empty() { QueueClass::First } else { QueueClass::Resent };
         if tried.is_empty() {
-            self.share.first(now);
+            self.retry_share.first(now);
         }
-        let demand = SlotRequest {
+        let request = SlotRequest {
             service: self.service.clone(),
             ranked: true,
             work: RequestWork::default(),
@@ -128,64 +138,68 @@
             tried: tried.clone(),
             arrival: now,
             latency_millis: LATENCY_MILLIS,
-            deadline: played.deadline(),
-            class: turn,
+            deadline: simulated.deadline(),
+            class: queue_class,
+        };
+        let SlotDecision::Assign(chosen) = self.scheduler.decide(&request, now) else {
+            return EntryDecision::Refuse;
         };
-        let SlotDecision::Assign(chosen) = self.desk.decide(&demand, now) else { return EntryAnswer::Refuse };
-        let place = self.records.iter().position(|record| record.id == chosen.record.id);
-        let place = place.expect("only known targets are chosen");
+        let rank_index = self.records.iter().position(|record| record.id == chosen.record.id);
+        let rank_index = rank_index.expect("only known targets are chosen");
         let tried = tried.into_iter().chain([chosen.record.id.clone()]).collect();
-        self.sends.insert(caller, OpenSend { place, placed: now, tried });
-        EntryAnswer::Place(place)
+        self.sends.insert(caller, ActiveSend { rank_index, assigned_at: now, tried });
+        EntryDecision::Assign(rank_index)
     }
 
-    /// An event came; `first_millis` after its request was placed, if it was the first.
-    pub(super) fn heard(&mut self, place: usize, first_millis: Option<u64>, now: UnixMillis) {
-        let record = &self.records[place];
+    /// Records an event. `first_millis` is the time since the request was assigned, if it is the
+    /// first.
+    pub(super) fn event_received(&mut self, rank_index: usize, first_millis: Option<u64>, now: UnixMillis) {
+        let record = &self.records[rank_index];
         match first_millis {
-            Some(millis) => self.desk.first_event_received(record, millis as f64, now),
-            None => self.desk.event_received(record, now),
+            Some(millis) => self.scheduler.first_event_received(record, millis as f64, now),
+            None => self.scheduler.event_received(record, now),
         }
     }
 
-    pub(super) fn finished(&mut self, caller: usize, events: u32, now: UnixMillis) {
-        self.desk.stream_ended(&self.service, u64::from(events));
-        self.end(caller, true, now);
+    pub(super) fn stream_ended(&mut self, caller: usize, events: u32, now: UnixMillis) {
+        self.scheduler.stream_ended(&self.service, u64::from(events));
+        self.end_send(caller, true, now);
     }
 
-    pub(super) fn left(&mut self, caller: usize, now: UnixMillis) {
-        self.end(caller, false, now);
+    pub(super) fn request_abandoned(&mut self, caller: usize, now: UnixMillis) {
+        self.end_send(caller, false, now);
     }
 
-    fn end(&mut self, caller: usize, answered: bool, now: UnixMillis) {
+    fn end_send(&mut self, caller: usize, answered: bool, now: UnixMillis) {
         let Some(send) = self.sends.remove(&caller) else { return };
-        let held = now.since(send.placed);
-        let outcome = if answered { SendOutcome::Answered(held as f64) } else { SendOutcome::Abandoned };
-        let life = self.records[send.place].life();
-        self.desk.ended(&self.service, &life, RequestWork::default(), outcome, held, now);
+        let held_millis = now.since(send.assigned_at);
+        let outcome =
+            if answered { SendOutcome::Answered(held_millis as f64) } else { SendOutcome::Abandoned };
+        let life = self.records[send.rank_index].life();
+        self.scheduler.ended(&self.service, &life, RequestWork::default(), outcome, held_millis, now);
         self.tried.insert(caller, send.tried);
     }
 
-    /// Callers whose requests leave their targets now.
-    pub(super) fn moving(&mut self, callers: &[PlayedCaller], now: UnixMillis) -> Vec<usize> {
-        let mut moving = Vec::new();
+    /// Callers whose requests should leave their targets now.
+    pub(super) fn requests_to_move(&mut self, callers: &[SimulatedCaller], now: UnixMillis) -> Vec<usize> {
+        let mut requests_to_move = Vec::new();
         for (caller, send) in &self.sends {
-            let played = &callers[*caller];
+            let simulated = &callers[*caller];
             if send.tried.len() >= MAX_ATTEMPTS {
                 continue;
             }
-            let waiting = PendingSend {
-                since: played.last_event().unwrap_or(send.placed),
-                events: u64::from(played.events_made()),
+            let pending = PendingSend {
+                since: simulated.last_event().unwrap_or(send.assigned_at),
+                events: u64::from(simulated.events_received()),
                 jitter_millis: *caller as u64 * 37 % MAX_MOVE_JITTER_MILLIS,
-                on_time_until: UnixDeadline::after(played.arrival(), LATENCY_MILLIS),
-                deadline: deadline(played.arrival()),
+                on_time_until: UnixDeadline::after(simulated.arrival(), LATENCY_MILLIS),
+                deadline: deadline(simulated.arrival()),
             };
-            let cause = self.desk.move_cause(&self.records[send.place], &waiting, now);
-            if cause.is_some() && self.share.take_optional(now) {
-                moving.push(*caller);
+            let cause = self.scheduler.move_cause(&self.records[send.rank_index], &pending, now);
+            if cause.is_some() && self.retry_share.take_optional(now) {
+                requests_to_move.push(*caller);
             }
         }
-        moving
+        requests_to_move
     }
 }
--- a/crates/porthoist-lab/src/overload/rule.rs
+++ b/crates/porthoist-lab/src/overload/rule.rs
@@ -1,7 +1,8 @@
-//! The rules that are compared: porthoist's own desk, a fixed wait, two choices with a fixed bound, and one that knows all.
+//! The compared rules: porthoist's request scheduler, a fixed wait, two random choices with a fixed
+//! bound, and an omniscient rule.
 
-use super::callers::PlayedCaller;
-use super::group::KnownLoads;
+use super::callers::SimulatedCaller;
+use super::group::LoadView;
 use super::{LATENCY_MILLIS, deadline};
 use porthoist_core::{ServiceName, StartMillis, TargetName, UnixDeadline, UnixMillis};
 use porthoist_policy::proxy::balancer::{BalancerSettings, RequestWork, SendOutcome};
@@ -15,104 +16,107 @@
 use std::collections::VecDeque;
 use std::net::Ipv4Addr;
 
-/// Part of the target latency that the fixed wait allows, and its two times to come back, in milliseconds, after an answer
-/// within [`SILENT_MILLIS`] and without.
-const FIXED_WAIT_PART: f64 = 0.24;
-const FIXED_BUSY_MILLIS: u64 = 900;
-const FIXED_SILENT_MILLIS: u64 = 2_600;
-const SILENT_MILLIS: u64 = 1_000;
-/// Requests at a rank that two choices allow, and when they send callers back, in milliseconds.
-const CHOICES_BOUND: u32 = 10;
-const CHOICES_MILLIS: u64 = 1_000;
-/// How the omniscient rule sends callers back, in milliseconds: as late as leaves them time to be served.
-const OMNISCIENT_MILLIS: u64 = 2_600;
-
-/// Which rule.
+/// Fraction of the target latency that the fixed-wait rule lets a request wait, and its two retry
+/// delays in milliseconds: with an event within [`SILENCE_MILLIS`], and without one.
+const FIXED_WAIT_FRACTION: f64 = 0.24;
+const BUSY_RETRY_MILLIS: u64 = 900;
+const SILENT_RETRY_MILLIS: u64 = 2_600;
+const SILENCE_MILLIS: u64 = 1_000;
+/// Maximum number of requests at a rank under the two-choices rule, and its retry delay in
+/// milliseconds.
+const TWO_CHOICES_BOUND: u32 = 10;
+const TWO_CHOICES_RETRY_MILLIS: u64 = 1_000;
+/// Retry delay in milliseconds of the omniscient rule: as late as leaves callers time to be served.
+const OMNISCIENT_RETRY_MILLIS: u64 = 2_600;
+
+/// Kind of rule.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RuleKind {
-    /// Porthoist's desk.
-    Forecast,
-    /// A fixed part of the target latency, then one of two fixed times to come back.
+    /// Porthoist's request scheduler.
+    Porthoist,
+    /// Waits for a fixed fraction of the target latency, then refuses with one of two fixed retry
+    /// delays.
     FixedWait,
-    /// The better of two random ranks, up to a bound.
+    /// Takes the less loaded of two random ranks, up to a bound.
     TwoChoices,
-    /// Knows the ranks' loads and outages as they are.
+    /// Knows the current loads and outages of the ranks.
     Omniscient,
 }
 
 impl RuleKind {
-    /// All of them.
-    pub const ALL: [Self; 4] = [Self::Forecast, Self::FixedWait, Self::TwoChoices, Self::Omniscient];
+    /// All kinds.
+    pub const ALL: [Self; 4] = [Self::Porthoist, Self::FixedWait, Self::TwoChoices, Self::Omniscient];
 
-    /// Its name in reports.
+    /// Name in reports.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Forecast => "porthoist",
+            Self::Porthoist => "porthoist",
             Self::FixedWait => "fixed_wait",
             Self::TwoChoices => "two_choices",
             Self::Omniscient => "omniscient",
         }
     }
 
-    /// A rule for a group.
-    pub fn build(self, ranks: usize, slots: u32, seed: u64) -> Box<dyn EntryRule> {
+    /// Creates a rule for a group.
+    pub fn build(self, ranks: usize, slots: u32, seed: u64) -> Box<dyn AdmissionRule> {
         match self {
-            Self::Forecast => Box::new(DeskRule::new(ranks, slots, seed)),
+            Self::Porthoist => Box::new(SchedulerRule::new(ranks, slots, seed)),
             Self::FixedWait | Self::TwoChoices | Self::Omniscient => {
-                Box::new(BoundRule::new(self, slots, seed))
+                Box::new(FixedBoundRule::new(self, slots, seed))
             }
         }
     }
 }
 
-/// What a rule does with a request.
+/// Decision of a rule on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RuleAnswer {
-    /// It goes to this rank.
-    Place(usize),
-    /// It waits.
+pub enum RuleDecision {
+    /// Send it to this rank.
+    Assign(usize),
+    /// Let it wait.
     Wait,
-    /// It is refused; its caller should come back after so many milliseconds.
+    /// Refuse it; the caller should retry after this time in milliseconds.
     Refuse(u64),
 }
 
-/// Decides for one entry process in front of one group.
-pub trait EntryRule {
-    /// What becomes of a request.
-    fn ask(
+/// Admission rule of one entry process in front of one group.
+pub trait AdmissionRule {
+    /// Decides on a request.
+    fn decide(
         &mut self,
         caller: usize,
         now: UnixMillis,
         deadline: UnixDeadline,
-        came_back: bool,
-        known: KnownLoads,
-    ) -> RuleAnswer;
-    /// A place is free after so many milliseconds; whether an answer had taken it.
+        is_retry: bool,
+        load_view: LoadView,
+    ) -> RuleDecision;
+    /// Records the end of a request that occupied a slot for `held_millis`, and whether it was
+    /// answered.
     fn ended(&mut self, rank: usize, held_millis: u64, answered: bool, now: UnixMillis);
-    /// A first event came so many milliseconds after its request had a place.
-    fn began(&mut self, millis: u64, now: UnixMillis);
-    /// An event came.
-    fn heard(&mut self, now: UnixMillis);
-    /// The group gave a request back.
-    fn returned(&mut self, rank: usize, now: UnixMillis);
-    /// When a caller whose request was given back should come back, in milliseconds.
-    fn return_millis(&mut self, deadline: UnixDeadline, now: UnixMillis) -> u64;
-    /// Those that wait and are refused now, with the time to come back.
-    fn refuse_waiting(&mut self, now: UnixMillis) -> Vec<(usize, u64)>;
-    /// One that waited and has a place now.
-    fn next_served(
+    /// Records the first event of a request and its delay since the request was assigned.
+    fn first_event_received(&mut self, millis: u64, now: UnixMillis);
+    /// Records an event.
+    fn event_received(&mut self, now: UnixMillis);
+    /// Records that the group rejected a request.
+    fn rejected(&mut self, rank: usize, now: UnixMillis);
+    /// Delay in milliseconds after which a refused caller should retry.
+    fn retry_after_millis(&mut self, deadline: UnixDeadline, now: UnixMillis) -> u64;
+    /// Removes waiting requests that are now refused, with their retry delays in milliseconds.
+    fn take_refused(&mut self, now: UnixMillis) -> Vec<(usize, u64)>;
+    /// The next waiting request that gets a rank.
+    fn next_ready(
         &mut self,
         now: UnixMillis,
-        callers: &[PlayedCaller],
-        known: KnownLoads,
+        callers: &[SimulatedCaller],
+        load_view: LoadView,
     ) -> Option<(usize, usize)>;
 }
 
 #[derive(Debug)]
-struct DeskRule {
-    desk: RequestScheduler<usize>,
+struct SchedulerRule {
+    scheduler: RequestScheduler<usize>,
     service: ServiceName,
-    /// The first rank, which speaks for the group.
+    /// The first rank, which stands for the whole group in event signals.
     first: TargetRecord,
     waiting: VecDeque<(usize, UnixDeadline)>,
     revision: u64,
@@ -127,7 +131,7 @@
     Ipv4Addr::new(10, 0, 0, rank as u8 + 1)
 }
 
-impl DeskRule {
+impl SchedulerRule {
     fn new(ranks: usize, slots: u32, seed: u64) -> Self {
         let service: ServiceName = "s".parse().expect("a valid name");
         let zone: porthoist_core::ZoneName = "z".parse().expect("a valid name");
@@ -143,29 +147,29 @@
             state: TargetState::Ready,
             cold: ColdStatus::Unknown,
         };
-        let mut book = TargetRegistry::default();
-        book.apply_listing((0..ranks).map(record), None);
-        let mut desk = RequestScheduler::new(settings);
-        desk.sync(&book);
+        let mut registry = TargetRegistry::default();
+        registry.apply_listing((0..ranks).map(record), None);
+        let mut scheduler = RequestScheduler::new(settings);
+        scheduler.sync(&registry);
         let random = Pcg64Mcg::seed_from_u64(seed);
         let first = record(0);
-        Self { desk, service, first, waiting: VecDeque::new(), revision: 0, random }
+        Self { scheduler, service, first, waiting: VecDeque::new(), revision: 0, random }
     }
 
-    fn hear_loads(&mut self, known: &KnownLoads, now: UnixMillis) {
-        if known.revision == self.revision {
+    fn update_loads(&mut self, load_view: &LoadView, now: UnixMillis) {
+        if load_view.revision == self.revision {
             return;
         }
-        self.revision = known.revision;
-        let ranks = known.requests.iter().enumerate();
+        self.revision = load_view.revision;
+        let ranks = load_view.requests.iter().enumerate();
         let ranks =
             ranks.map(|(rank, requests)| RankLoad { host: host(rank), requests: *requests, silent: false });
         let loads = GroupLoads {
-            revision: LoadRevision(known.revision),
+            revision: LoadRevision(load_view.revision),
             ranks: ranks.collect(),
             ..GroupLoads::default()
         };
-        self.desk.update_loads(&loads, now);
+        self.scheduler.update_loads(&loads, now);
     }
 
     fn rank(record: &TargetRecord) -> usize {
@@ -174,17 +178,17 @@
     }
 }
 
-impl EntryRule for DeskRule {
-    fn ask(
+impl AdmissionRule for SchedulerRule {
+    fn decide(
         &mut self,
         caller: usize,
         now: UnixMillis,
         deadline: UnixDeadline,
-        came_back: bool,
-        known: KnownLoads,
-    ) -> RuleAnswer {
-        self.hear_loads(&known, now);
-        let demand = SlotRequest {
+        is_retry: bool,
+        load_view: LoadView,
+    ) -> RuleDecision {
+        self.update_loads(&load_view, now);
+        let request = SlotRequest {
             service: self.service.clone(),
             ranked: true,
             work: RequestWork::default(),
@@ -193,16 +197,16 @@
             arrival: now,
             latency_millis: LATENCY_MILLIS,
             deadline,
-            class: if came_back { QueueClass::CallerRetry } else { QueueClass::First },
+            class: if is_retry { QueueClass::CallerRetry } else { QueueClass::First },
         };
-        match self.desk.decide(&demand, now) {
-            SlotDecision::Assign(chosen) => RuleAnswer::Place(Self::rank(&chosen.record)),
+        match self.scheduler.decide(&request, now) {
+            SlotDecision::Assign(chosen) => RuleDecision::Assign(Self::rank(&chosen.record)),
             SlotDecision::Wait(until) => {
-                self.desk.enqueue(demand, caller);
+                self.scheduler.enqueue(request, caller);
                 self.waiting.push_back((caller, until));
-                RuleAnswer::Wait
+                RuleDecision::Wait
             }
-            SlotDecision::Refuse(_reason) => RuleAnswer::Refuse(self.return_millis(deadline, now)),
+            SlotDecision::Refuse(_reason) => RuleDecision::Refuse(self.retry_after_millis(deadline, now)),
         }
     }
 
@@ -210,148 +214,162 @@
         let outcome =
             if answered { SendOutcome::Answered(held_millis as f64) } else { SendOutcome::Abandoned };
         let service = self.service.clone();
-        self.desk.ended(&service, &target(rank).into(), RequestWork::default(), outcome, held_millis, now);
+        self.scheduler.ended(
+            &service,
+            &target(rank).into(),
+            RequestWork::default(),
+            outcome,
+            held_millis,
+            now,
+        );
     }
 
-    fn began(&mut self, millis: u64, now: UnixMillis) {
-        self.desk.first_event_received(&self.first, millis as f64, now);
+    fn first_event_received(&mut self, millis: u64, now: UnixMillis) {
+        self.scheduler.first_event_received(&self.first, millis as f64, now);
     }
 
-    fn heard(&mut self, now: UnixMillis) {
-        self.desk.event_received(&self.first, now);
+    fn event_received(&mut self, now: UnixMillis) {
+        self.scheduler.event_received(&self.first, now);
     }
 
-    fn returned(&mut self, rank: usize, now: UnixMillis) {
-        self.desk.refused(&self.service, now);
+    fn rejected(&mut self, rank: usize, now: UnixMillis) {
+        self.scheduler.refused(&self.service, now);
         let service = self.service.clone();
-        self.desk.ended(&service, &target(rank).into(), RequestWork::default(), SendOutcome::Shed, 0, now);
+        self.scheduler.ended(
+            &service,
+            &target(rank).into(),
+            RequestWork::default(),
+            SendOutcome::Shed,
+            0,
+            now,
+        );
     }
 
-    fn return_millis(&mut self, deadline: UnixDeadline, now: UnixMillis) -> u64 {
+    fn retry_after_millis(&mut self, deadline: UnixDeadline, now: UnixMillis) -> u64 {
         let point = self.random.random_range(0.0..1.0);
-        self.desk.retry_after_millis(&self.service, deadline, point, now)
+        self.scheduler.retry_after_millis(&self.service, deadline, point, now)
     }
 
-    fn refuse_waiting(&mut self, now: UnixMillis) -> Vec<(usize, u64)> {
-        let hopeless = self.desk.take_unservable(&self.service, now);
-        let over = self.waiting.iter().filter(|(_caller, until)| until.passed(now));
-        let refused: Vec<usize> = over.map(|(caller, _until)| *caller).chain(hopeless).collect();
+    fn take_refused(&mut self, now: UnixMillis) -> Vec<(usize, u64)> {
+        let unservable = self.scheduler.take_unservable(&self.service, now);
+        let expired = self.waiting.iter().filter(|(_caller, until)| until.passed(now));
+        let refused: Vec<usize> = expired.map(|(caller, _until)| *caller).chain(unservable).collect();
         self.waiting.retain(|(caller, _until)| !refused.contains(caller));
-        refused.into_iter().map(|caller| (caller, self.return_millis(deadline(now), now))).collect()
+        refused.into_iter().map(|caller| (caller, self.retry_after_millis(deadline(now), now))).collect()
     }
 
-    fn next_served(
+    fn next_ready(
         &mut self,
         now: UnixMillis,
-        callers: &[PlayedCaller],
-        known: KnownLoads,
+        callers: &[SimulatedCaller],
+        load_view: LoadView,
     ) -> Option<(usize, usize)> {
-        self.hear_loads(&known, now);
-        let waits = |caller: &usize| callers[*caller].waits();
-        let (caller, chosen, _work) = self.desk.next_ready(&self.service, waits, now)?;
+        self.update_loads(&load_view, now);
+        let is_waiting = |caller: &usize| callers[*caller].is_waiting();
+        let (caller, chosen, _work) = self.scheduler.next_ready(&self.service, is_waiting, now)?;
         self.waiting.retain(|(waiting, _until)| *waiting != caller);
         Some((caller, Self::rank(&chosen.record)))
     }
 }
 
-/// Rules with a fixed bound on the requests at a rank.
+/// The rules with a fixed bound on the requests at a rank.
 #[derive(Debug)]
-struct BoundRule {
+struct FixedBoundRule {
     kind: RuleKind,
     bound: u32,
     waiting: VecDeque<(usize, UnixDeadline)>,
-    heard: UnixMillis,
+    last_event: UnixMillis,
     random: Pcg64Mcg,
 }
 
-impl BoundRule {
+impl FixedBoundRule {
     fn new(kind: RuleKind, slots: u32, seed: u64) -> Self {
         let bound = match kind {
-            RuleKind::TwoChoices => CHOICES_BOUND,
-            RuleKind::Forecast | RuleKind::FixedWait | RuleKind::Omniscient => slots,
+            RuleKind::TwoChoices => TWO_CHOICES_BOUND,
+            RuleKind::Porthoist | RuleKind::FixedWait | RuleKind::Omniscient => slots,
         };
         let random = Pcg64Mcg::seed_from_u64(seed);
-        Self { kind, bound, waiting: VecDeque::new(), heard: UnixMillis(0), random }
+        Self { kind, bound, waiting: VecDeque::new(), last_event: UnixMillis(0), random }
     }
 
-    fn choose(&mut self, known: &KnownLoads) -> Option<usize> {
-        let ranks = known.present.len();
+    fn choose(&mut self, load_view: &LoadView) -> Option<usize> {
+        let ranks = load_view.current_requests.len();
         let candidates: Vec<usize> = match self.kind {
             RuleKind::TwoChoices => (0..2).map(|_choice| self.random.random_range(0..ranks)).collect(),
             _ => (0..ranks).collect(),
         };
-        if self.kind == RuleKind::Omniscient && known.down {
+        if self.kind == RuleKind::Omniscient && load_view.down {
             return None;
         }
-        let least = candidates.into_iter().min_by_key(|rank| known.present[*rank])?;
-        (known.present[least] < self.bound).then_some(least)
+        let least = candidates.into_iter().min_by_key(|rank| load_view.current_requests[*rank])?;
+        (load_view.current_requests[least] < self.bound).then_some(least)
     }
 }
 
-impl EntryRule for BoundRule {
-    fn ask(
+impl AdmissionRule for FixedBoundRule {
+    fn decide(
         &mut self,
         caller: usize,
         now: UnixMillis,
         deadline: UnixDeadline,
         _came_back: bool,
-        known: KnownLoads,
-    ) -> RuleAnswer {
+        load_view: LoadView,
+    ) -> RuleDecision {
         if self.waiting.is_empty()
-            && let Some(rank) = self.choose(&known)
+            && let Some(rank) = self.choose(&load_view)
         {
-            return RuleAnswer::Place(rank);
+            return RuleDecision::Assign(rank);
         }
         let wait = match self.kind {
-            RuleKind::FixedWait => (LATENCY_MILLIS as f64 * FIXED_WAIT_PART) as u64,
-            _ => return RuleAnswer::Refuse(self.return_millis(deadline, now)),
+            RuleKind::FixedWait => (LATENCY_MILLIS as f64 * FIXED_WAIT_FRACTION) as u64,
+            _ => return RuleDecision::Refuse(self.retry_after_millis(deadline, now)),
         };
         self.waiting.push_back((caller, UnixDeadline::after(now, wait)));
-        RuleAnswer::Wait
+        RuleDecision::Wait
     }
 
     fn ended(&mut self, _rank: usize, _held_millis: u64, _answered: bool, _now: UnixMillis) {}
 
-    fn began(&mut self, _millis: u64, now: UnixMillis) {
-        self.heard = now;
+    fn first_event_received(&mut self, _millis: u64, now: UnixMillis) {
+        self.last_event = now;
     }
 
-    fn heard(&mut self, now: UnixMillis) {
-        self.heard = now;
+    fn event_received(&mut self, now: UnixMillis) {
+        self.last_event = now;
     }
 
-    fn returned(&mut self, _rank: usize, _now: UnixMillis) {}
+    fn rejected(&mut self, _rank: usize, _now: UnixMillis) {}
 
-    fn return_millis(&mut self, deadline: UnixDeadline, now: UnixMillis) -> u64 {
-        let silent = now.since(self.heard) > SILENT_MILLIS;
+    fn retry_after_millis(&mut self, deadline: UnixDeadline, now: UnixMillis) -> u64 {
+        let silent = now.since(self.last_event) > SILENCE_MILLIS;
         let millis = match self.kind {
-            RuleKind::TwoChoices => CHOICES_MILLIS,
-            RuleKind::Omniscient => OMNISCIENT_MILLIS,
-            RuleKind::Forecast | RuleKind::FixedWait if silent => FIXED_SILENT_MILLIS,
-            RuleKind::Forecast | RuleKind::FixedWait => FIXED_BUSY_MILLIS,
+            RuleKind::TwoChoices => TWO_CHOICES_RETRY_MILLIS,
+            RuleKind::Omniscient => OMNISCIENT_RETRY_MILLIS,
+            RuleKind::Porthoist | RuleKind::FixedWait if silent => SILENT_RETRY_MILLIS,
+            RuleKind::Porthoist | RuleKind::FixedWait => BUSY_RETRY_MILLIS,
         };
         millis.min(deadline.0.since(now) / 3)
     }
 
-    fn refuse_waiting(&mut self, now: UnixMillis) -> Vec<(usize, u64)> {
-        let over = self.waiting.iter().filter(|(_caller, until)| until.passed(now));
-        let refused: Vec<usize> = over.map(|(caller, _until)| *caller).collect();
+    fn take_refused(&mut self, now: UnixMillis) -> Vec<(usize, u64)> {
+        let expired = self.waiting.iter().filter(|(_caller, until)| until.passed(now));
+        let refused: Vec<usize> = expired.map(|(caller, _until)| *caller).collect();
         self.waiting.retain(|(_caller, until)| !until.passed(now));
-        refused.into_iter().map(|caller| (caller, self.return_millis(deadline(now), now))).collect()
+        refused.into_iter().map(|caller| (caller, self.retry_after_millis(deadline(now), now))).collect()
     }
 
-    fn next_served(
+    fn next_ready(
         &mut self,
         _now: UnixMillis,
-        callers: &[PlayedCaller],
-        known: KnownLoads,
+        callers: &[SimulatedCaller],
+        load_view: LoadView,
     ) -> Option<(usize, usize)> {
         while let Some((caller, _until)) = self.waiting.front().copied() {
-            if !callers[caller].waits() {
+            if !callers[caller].is_waiting() {
                 self.waiting.pop_front();
                 continue;
             }
-            let rank = self.choose(&known)?;
+            let rank = self.choose(&load_view)?;
             self.waiting.pop_front();
             return Some((caller, rank));
         }
