--- a/crates/porthoist-lab/src/cmd/route.rs
+++ b/crates/porthoist-lab/src/cmd/route.rs
@@ -54,10 +54,10 @@
     let settings = RouteSettings::builder()
         .seed(args.seed)
         .seconds(args.seconds)
-        .max_lag(args.max_lag_ms)
+        .max_lag_millis(args.max_lag_ms)
         .straggler(args.straggler)
         .entries(args.entries)
-        .death(!args.no_death)
+        .target_crash(!args.no_death)
         .build();
     let capacity = capacity(&settings);
     let mut loads = BTreeMap::new();
--- a/crates/porthoist-lab/src/cmd/storm.rs
+++ b/crates/porthoist-lab/src/cmd/storm.rs
@@ -1,7 +1,7 @@
 //! `porthoist-lab storm`.
 
 use crate::report::{ReportFormat, ratio, rounded};
-use crate::route::simulation::{DEATH_MICROS, run as simulate};
+use crate::route::simulation::{OUTAGE_MICROS, run as simulate};
 use crate::route::{RouteResult, RouteSettings, capacity};
 use argh::FromArgs;
 use serde::Serialize;
@@ -42,9 +42,13 @@
 
 /// Runs the command.
 pub fn run(args: &StormArgs) -> miette::Result<String> {
-    let settings =
-        RouteSettings::builder().seed(args.seed).seconds(SECONDS).death(false).zone_death(true).build();
-    let steady = RouteSettings { zone_death: false, ..settings };
+    let settings = RouteSettings::builder()
+        .seed(args.seed)
+        .seconds(SECONDS)
+        .target_crash(false)
+        .zone_outage(true)
+        .build();
+    let steady = RouteSettings { zone_outage: false, ..settings };
     let rate = capacity(&steady) * f64::from(args.load) / 100.0;
     let result = simulate(&settings, "porthoist", rate);
     let report = report(args, &result);
@@ -61,15 +65,15 @@
 }
 
 fn report(args: &StormArgs, result: &RouteResult) -> StormReport {
-    let begins = (SECONDS / 2) as usize;
-    let returns = begins + (DEATH_MICROS / 1_000_000) as usize;
+    let outage_start = (SECONDS / 2) as usize;
+    let outage_end = outage_start + (OUTAGE_MICROS / 1_000_000) as usize;
     let all: u64 = result.seconds.iter().map(|second| second.0).sum();
-    let dead = &result.seconds[begins..returns];
-    let asked: u64 = dead.iter().map(|second| second.0).sum();
-    let missed: u64 = dead.iter().map(|second| second.1).sum();
+    let outage_seconds = &result.seconds[outage_start..outage_end];
+    let asked: u64 = outage_seconds.iter().map(|second| second.0).sum();
+    let missed: u64 = outage_seconds.iter().map(|second| second.1).sum();
     let last = result.seconds.len().saturating_sub(TAIL_SECONDS);
     let bad = |second: &(u64, u64)| second.1 as f64 > ACCEPTED_MISSES * second.0 as f64;
-    let after = result.seconds.get(returns..last).unwrap_or_default();
+    let after = result.seconds.get(outage_end..last).unwrap_or_default();
     let recovery = after.iter().rposition(bad).map_or(0, |second| second as u64 + 1);
     StormReport {
         seed: args.seed,
--- a/crates/porthoist-lab/src/route.rs
+++ b/crates/porthoist-lab/src/route.rs
@@ -1,7 +1,7 @@
-//! Routing under late reports: policies side by side on the same arrivals.
+//! Simulates routing with delayed load reports and compares policies on the same arrivals.
 //!
-//! Targets are small queueing fakes around the daemon's own admission queue; `porthoist` is the daemon's own router,
-//! retry budget and hedge policy, one for each entry.
+//! Targets are small queueing models around the daemon's own admission queue. The `porthoist`
+//! policy is the daemon's own router, retry budget and hedge policy, with one instance per entry.
 
 pub mod chooser;
 pub mod engine;
@@ -12,98 +12,99 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Settings of the experiment; docs/measurements/ROUTING.md says where they come from.
+/// Settings of the simulation. docs/measurements/ROUTING.md gives their origin.
 #[derive(Debug, Clone, Copy, bon::Builder)]
 pub struct RouteSettings {
-    /// Seed.
+    /// Seed of the random generators.
     pub seed: u64,
-    /// Targets, spread over three zones.
+    /// Number of targets, spread over three zones.
     #[builder(default = 12)]
     pub targets: usize,
-    /// Independent entries.
+    /// Number of independent entries.
     #[builder(default = 3)]
     pub entries: usize,
-    /// Simulated seconds.
+    /// Duration in simulated seconds.
     #[builder(default = 120)]
     pub seconds: u64,
-    /// First token within so many milliseconds.
+    /// Contract: time in milliseconds within which the first token is due.
     #[builder(default = 1400)]
     pub contract_millis: u64,
-    /// Shortest lag of a report or cache event in milliseconds.
+    /// Minimum delay of a report or cache event in milliseconds.
     #[builder(default = 200)]
-    pub min_lag: u64,
-    /// Longest lag.
+    pub min_lag_millis: u64,
+    /// Maximum delay of a report or cache event in milliseconds.
     #[builder(default = 2000)]
-    pub max_lag: u64,
-    /// Part of the cache events that are lost.
+    pub max_lag_millis: u64,
+    /// Fraction of cache events that are lost.
     #[builder(default = 0.1)]
     pub lost_events: f64,
-    /// Slowness of the straggling target.
+    /// Factor by which the straggling target is slower.
     #[builder(default = 1.6)]
     pub straggler: f64,
-    /// Whether one target dies for ten seconds in the middle.
+    /// Whether one target crashes halfway through the run and is down for ten seconds.
     #[builder(default = true)]
-    pub death: bool,
-    /// Whether all targets of a zone die for ten seconds in the middle.
+    pub target_crash: bool,
+    /// Whether all targets of a zone crash halfway through the run and are down for ten seconds.
     #[builder(default = false)]
-    pub zone_death: bool,
+    pub zone_outage: bool,
 }
 
-/// What one policy came to at one load.
+/// Result of one policy at one load.
 #[derive(Debug, Clone, Default)]
 pub struct RouteResult {
-    /// Time to the first token in milliseconds, of answered requests.
+    /// Time to first token of answered requests, in milliseconds.
     pub first_token: Distribution,
-    /// Time from arrival to the final refusal in milliseconds.
+    /// Time from arrival to the final refusal, in milliseconds.
     pub refusal_time: Distribution,
-    /// Requests that arrived.
+    /// Number of requests that arrived.
     pub asked: u64,
-    /// Answered within the contract.
+    /// Number of requests answered within the contract.
     pub in_contract: u64,
-    /// Answered in all.
+    /// Number of requests answered.
     pub answered: u64,
-    /// Refused in the end.
+    /// Number of requests finally refused.
     pub refused: u64,
-    /// Attempts after a refusal or a loss.
+    /// Number of attempts after a refusal or a lost connection.
     pub retries: u64,
-    /// Second attempts beside slow ones.
+    /// Number of hedges: second attempts that run beside a slow first one.
     pub hedges: u64,
-    /// Offers sent.
+    /// Number of offers sent.
     pub attempts: u64,
-    /// Requests asked in each second, and those of them not answered in the contract.
+    /// For each second, the number of requests that arrived and how many of them were not answered
+    /// within the contract.
     pub seconds: Vec<(u64, u64)>,
-    /// Requests asked and offers sent while the zone was dead.
+    /// Requests that arrived and offers sent during the zone outage.
     pub outage: (u64, u64),
-    /// Prompt tokens asked for and found in a cache.
+    /// Prompt tokens of all offered attempts.
     pub prompt_tokens: u64,
-    /// Found in a cache.
+    /// Prompt tokens found in a cache.
     pub cached_tokens: u64,
 }
 
-/// A row of the report.
+/// One row of the report.
 #[derive(Debug, Clone, Serialize)]
 pub struct RouteReport {
-    /// First token at the median, in milliseconds.
+    /// Median time to first token in milliseconds.
     pub first_token_p50: f64,
-    /// At the 95th percentile.
+    /// 95th percentile of the time to first token in milliseconds.
     pub first_token_p95: f64,
-    /// At the 99th percentile.
+    /// 99th percentile of the time to first token in milliseconds.
     pub first_token_p99: f64,
-    /// Part of the requests that were not answered within the contract.
+    /// Fraction of requests not answered within the contract.
     pub contract_misses: f64,
-    /// Part of the prompt tokens that were cached.
+    /// Fraction of prompt tokens that were cached.
     pub hit_rate: f64,
-    /// Part of the requests that were refused.
+    /// Fraction of requests refused.
     pub refused: f64,
-    /// Retries for each request.
+    /// Retries per request.
     pub retries: f64,
-    /// Hedges for each request.
+    /// Hedges per request.
     pub hedges: f64,
-    /// Answers within the contract as a part of capacity.
+    /// Rate of answers within the contract, as a fraction of capacity.
     pub goodput: f64,
-    /// Longest time to a refusal in milliseconds, at the 99th percentile.
+    /// 99th percentile of the time to a refusal in milliseconds.
     pub refusal_p99: f64,
-    /// p99 first token as a part of the omniscient policy's.
+    /// p99 time to first token relative to the omniscient policy's.
     pub ratio_omniscient: f64,
 }
 
@@ -127,39 +128,41 @@
     }
 }
 
-/// Policies in the order of the report; the last two are the limit and ours.
+/// Policies in report order. The last two are the upper bound and porthoist's own.
 pub const POLICIES: [&str; 6] =
     ["random", "round_robin", "least_reported", "two_choices", "omniscient", "porthoist"];
 
-/// Requests a second that the omniscient policy answers with at most one in a hundred out of the contract.
+/// Requests per second at which the omniscient policy still answers 99% of the requests within the
+/// contract.
 pub fn capacity(settings: &RouteSettings) -> f64 {
-    let steady = RouteSettings { death: false, seconds: 40, ..*settings };
-    let (mut low, mut high) = (0.0, settings.targets as f64 * FLOOD_PER_TARGET);
-    for _ in 0..CAPACITY_ROUNDS {
+    let steady = RouteSettings { target_crash: false, seconds: 40, ..*settings };
+    let (mut low, mut high) = (0.0, settings.targets as f64 * MAX_RATE_PER_TARGET);
+    for _ in 0..CAPACITY_BISECTIONS {
         let rate = f64::midpoint(low, high);
         let result = simulation::run(&steady, "omniscient", rate);
-        let kept = result.in_contract as f64 >= 0.99 * result.asked as f64;
-        if kept { low = rate } else { high = rate }
+        let sustained = result.in_contract as f64 >= 0.99 * result.asked as f64;
+        if sustained { low = rate } else { high = rate }
     }
     low
 }
 
-fn counted_seconds(settings: &RouteSettings) -> f64 {
-    settings.seconds as f64 * (1.0 - 1.0 / simulation::WARM_PART as f64)
+fn measured_seconds(settings: &RouteSettings) -> f64 {
+    settings.seconds as f64 * (1.0 - 1.0 / simulation::WARM_UP_DIVISOR as f64)
 }
 
-/// Requests a second for each target that are far too many.
-const FLOOD_PER_TARGET: f64 = 60.0;
-/// Halvings of the range in which the capacity lies.
-const CAPACITY_ROUNDS: usize = 9;
+/// Upper bound of the capacity search, in requests per second and target. It is far above the
+/// capacity.
+const MAX_RATE_PER_TARGET: f64 = 60.0;
+/// Number of bisection steps of the capacity search.
+const CAPACITY_BISECTIONS: usize = 9;
 
-/// Runs all policies at a load and reports them.
+/// Simulates all policies at a load, given as a fraction of capacity.
 pub fn compare(settings: &RouteSettings, capacity: f64, load: f64) -> BTreeMap<&'static str, RouteReport> {
     let run = |policy: &&'static str| (*policy, simulation::run(settings, policy, capacity * load));
     let results: BTreeMap<&str, RouteResult> = POLICIES.iter().map(run).collect();
     let omniscient = &results["omniscient"];
     let report = |(name, result): (&&'static str, &RouteResult)| {
-        (*name, result.report(capacity, counted_seconds(settings), omniscient))
+        (*name, result.report(capacity, measured_seconds(settings), omniscient))
     };
     results.iter().map(report).collect()
 }
--- a/crates/porthoist-lab/src/route/chooser.rs
+++ b/crates/porthoist-lab/src/route/chooser.rs
@@ -1,6 +1,6 @@
-//! How each policy chooses a target.
+//! Target choosers of the compared policies.
 
-use super::engine::EngineFake;
+use super::engine::SimEngine;
 use super::workload::SimRequest;
 use porthoist_core::{AttemptId, LoadReport, ServiceName, TargetName, UnixDeadline, UnixMillis, ZoneName};
 use porthoist_policy::router::{RouteQuery, RouteTarget, Router, RouterSettings};
@@ -8,38 +8,38 @@
 use rand_pcg::Pcg64Mcg;
 use std::fmt;
 
-/// What a choice is made for.
+/// Input of a choice.
 #[derive(Debug, Clone, Copy)]
-pub struct ChooseCase<'a> {
-    /// The present time in microseconds.
+pub struct ChoiceContext<'a> {
+    /// Current time in microseconds.
     pub now: u64,
     /// The request.
     pub request: &'a SimRequest,
-    /// When its first token is due.
+    /// Deadline of its first token.
     pub deadline: UnixDeadline,
-    /// Targets that failed already.
+    /// Targets at which the request already failed.
     pub exclude: &'a [usize],
 }
 
-/// The choices of one entry.
+/// Chooses targets for one entry.
 pub trait TargetChooser: fmt::Debug {
-    /// Chooses a target; `truth` is for the omniscient only.
-    fn choose(&mut self, case: &ChooseCase<'_>, truth: &[EngineFake]) -> Option<usize>;
-    /// An attempt is sent.
-    fn sent(&mut self, _case: &ChooseCase<'_>, _target: usize, _attempt: AttemptId) {}
-    /// The first token of an attempt came back.
+    /// Chooses a target. Only the omniscient policy may look at `engines`.
+    fn choose(&mut self, context: &ChoiceContext<'_>, engines: &[SimEngine]) -> Option<usize>;
+    /// Records that an attempt was sent.
+    fn sent(&mut self, _case: &ChoiceContext<'_>, _target: usize, _attempt: AttemptId) {}
+    /// Records the first token of an attempt.
     fn first_token(&mut self, _now: u64, _target: usize, _attempt: AttemptId) {}
-    /// An attempt is over.
+    /// Records the end of an attempt.
     fn done(&mut self, _target: usize, _attempt: AttemptId) {}
-    /// A load report arrives.
+    /// Records a load report.
     fn report(&mut self, _target: usize, _load: LoadReport) {}
-    /// A cache event arrives.
+    /// Records a cache event.
     fn cache_event(&mut self, _target: usize, _added: &[u64], _removed: &[u64]) {}
-    /// A target broke a connection.
-    fn lost(&mut self, _now: u64, _target: usize) {}
+    /// Records that the connection to a target was lost.
+    fn connection_lost(&mut self, _now: u64, _target: usize) {}
 }
 
-/// Random choice.
+/// Chooses a random target.
 #[derive(Debug)]
 pub struct RandomChooser {
     random: Pcg64Mcg,
@@ -47,13 +47,14 @@
 }
 
 impl TargetChooser for RandomChooser {
-    fn choose(&mut self, case: &ChooseCase<'_>, _truth: &[EngineFake]) -> Option<usize> {
-        let open: Vec<usize> = (0..self.targets).filter(|target| !case.exclude.contains(target)).collect();
-        (!open.is_empty()).then(|| open[self.random.random_range(0..open.len())])
+    fn choose(&mut self, context: &ChoiceContext<'_>, _truth: &[SimEngine]) -> Option<usize> {
+        let candidates: Vec<usize> =
+            (0..self.targets).filter(|target| !context.exclude.contains(target)).collect();
+        (!candidates.is_empty()).then(|| candidates[self.random.random_range(0..candidates.len())])
     }
 }
 
-/// One after the other.
+/// Chooses the targets in turn.
 #[derive(Debug)]
 pub struct RoundRobinChooser {
     next: usize,
@@ -61,10 +62,10 @@
 }
 
 impl TargetChooser for RoundRobinChooser {
-    fn choose(&mut self, case: &ChooseCase<'_>, _truth: &[EngineFake]) -> Option<usize> {
+    fn choose(&mut self, context: &ChoiceContext<'_>, _truth: &[SimEngine]) -> Option<usize> {
         for _ in 0..self.targets {
             self.next = (self.next + 1) % self.targets;
-            if !case.exclude.contains(&self.next) {
+            if !context.exclude.contains(&self.next) {
                 return Some(self.next);
             }
         }
@@ -72,29 +73,30 @@
     }
 }
 
-/// The least loaded by the last report, of all or of two drawn at random.
+/// Chooses the least loaded target according to the last reports, among all targets or among a
+/// random sample.
 #[derive(Debug)]
 pub struct ReportedChooser {
     random: Pcg64Mcg,
     loads: Vec<LoadReport>,
-    drawn: Option<usize>,
+    sample_size: Option<usize>,
 }
 
 impl TargetChooser for ReportedChooser {
-    fn choose(&mut self, case: &ChooseCase<'_>, _truth: &[EngineFake]) -> Option<usize> {
-        let mut open: Vec<usize> =
-            (0..self.loads.len()).filter(|target| !case.exclude.contains(target)).collect();
-        if let Some(drawn) = self.drawn {
-            while open.len() > drawn {
-                let index = self.random.random_range(0..open.len());
-                open.swap_remove(index);
+    fn choose(&mut self, context: &ChoiceContext<'_>, _truth: &[SimEngine]) -> Option<usize> {
+        let mut candidates: Vec<usize> =
+            (0..self.loads.len()).filter(|target| !context.exclude.contains(target)).collect();
+        if let Some(sample_size) = self.sample_size {
+            while candidates.len() > sample_size {
+                let index = self.random.random_range(0..candidates.len());
+                candidates.swap_remove(index);
             }
         }
         let key = |target: &usize| {
             let load = &self.loads[*target];
             (load.queued + load.running, load.queued_tokens)
         };
-        open.into_iter().min_by_key(key)
+        candidates.into_iter().min_by_key(key)
     }
 
     fn report(&mut self, target: usize, load: LoadReport) {
@@ -104,19 +106,20 @@
     }
 }
 
-/// Sees the true queues and caches of all targets at once.
+/// Chooses by the actual queues and caches of all targets.
 #[derive(Debug)]
 pub struct OmniscientChooser;
 
 impl TargetChooser for OmniscientChooser {
-    fn choose(&mut self, case: &ChooseCase<'_>, truth: &[EngineFake]) -> Option<usize> {
-        let open = (0..truth.len()).filter(|target| !case.exclude.contains(target) && !truth[*target].dead);
-        let cost = |target: &usize| truth[*target].true_millis(case.request);
-        open.min_by(|left, right| cost(left).total_cmp(&cost(right)))
+    fn choose(&mut self, context: &ChoiceContext<'_>, engines: &[SimEngine]) -> Option<usize> {
+        let candidates = (0..engines.len())
+            .filter(|target| !context.exclude.contains(target) && !engines[*target].is_down);
+        let cost = |target: &usize| engines[*target].actual_millis(context.request);
+        candidates.min_by(|left, right| cost(left).total_cmp(&cost(right)))
     }
 }
 
-/// The daemon's router.
+/// Chooses with the daemon's router.
 #[derive(Debug)]
 pub struct RouterChooser {
     router: Router,
@@ -150,31 +153,31 @@
 
     fn query<'a>(
         service: &'a ServiceName,
-        case: &ChooseCase<'a>,
+        context: &ChoiceContext<'a>,
         exclude: &'a [TargetName],
     ) -> RouteQuery<'a> {
         RouteQuery {
             service,
-            now: UnixMillis(case.now / 1000),
-            deadline: case.deadline,
-            prompt_tokens: case.request.prompt_tokens,
-            prefix_blocks: &case.request.blocks,
+            now: UnixMillis(context.now / 1000),
+            deadline: context.deadline,
+            prompt_tokens: context.request.prompt_tokens,
+            prefix_blocks: &context.request.blocks,
             exclude,
         }
     }
 }
 
 impl TargetChooser for RouterChooser {
-    fn choose(&mut self, case: &ChooseCase<'_>, _truth: &[EngineFake]) -> Option<usize> {
+    fn choose(&mut self, context: &ChoiceContext<'_>, _truth: &[SimEngine]) -> Option<usize> {
         let exclude: Vec<TargetName> =
-            case.exclude.iter().map(|target| self.names[*target].clone()).collect();
-        let query = Self::query(&self.service, case, &exclude);
+            context.exclude.iter().map(|target| self.names[*target].clone()).collect();
+        let query = Self::query(&self.service, context, &exclude);
         let choice = self.router.choose(&query).ok()?;
         self.names.iter().position(|name| *name == choice.target)
     }
 
-    fn sent(&mut self, case: &ChooseCase<'_>, target: usize, attempt: AttemptId) {
-        let query = Self::query(&self.service, case, &[]);
+    fn sent(&mut self, context: &ChoiceContext<'_>, target: usize, attempt: AttemptId) {
+        let query = Self::query(&self.service, context, &[]);
         self.router.sent(query.now, &self.names[target], attempt, &query);
     }
 
@@ -194,13 +197,13 @@
         self.router.cache_events(&self.names[target], added, removed);
     }
 
-    fn lost(&mut self, now: u64, target: usize) {
+    fn connection_lost(&mut self, now: u64, target: usize) {
         self.router.reset(&self.names[target]);
         self.router.unreachable(UnixMillis(now / 1000), &self.names[target]);
     }
 }
 
-/// The chooser of one entry under a policy of [`super::POLICIES`].
+/// Creates the chooser of one entry for a policy in [`super::POLICIES`].
 pub fn chooser(
     policy: &str,
     entry: usize,
@@ -213,8 +216,8 @@
     match policy {
         "random" => Box::new(RandomChooser { random, targets }),
         "round_robin" => Box::new(RoundRobinChooser { next: entry, targets }),
-        "least_reported" => Box::new(ReportedChooser { random, loads, drawn: None }),
-        "two_choices" => Box::new(ReportedChooser { random, loads, drawn: Some(2) }),
+        "least_reported" => Box::new(ReportedChooser { random, loads, sample_size: None }),
+        "two_choices" => Box::new(ReportedChooser { random, loads, sample_size: Some(2) }),
         "omniscient" => Box::new(OmniscientChooser),
         _ => Box::new(RouterChooser::new(entry, entries, targets, seed)),
     }
--- a/crates/porthoist-lab/src/route/simulation.rs
+++ b/crates/porthoist-lab/src/route/simulation.rs
@@ -1,7 +1,7 @@
-//! The event loop: arrivals, offers, answers, late reports, a death.
+//! Event loop of the simulation: arrivals, offers, answers, delayed reports and target crashes.
 
-use super::chooser::{ChooseCase, TargetChooser, chooser};
-use super::engine::{EngineFake, EngineStart};
+use super::chooser::{ChoiceContext, TargetChooser, chooser};
+use super::engine::{EngineStart, SimEngine};
 use super::workload::{SimRequest, SimWorkload};
 use super::{RouteResult, RouteSettings};
 use porthoist_core::{
@@ -16,18 +16,18 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-/// One way between an entry and a target of the same zone, in microseconds.
-const SAME_ZONE_MICROS: u64 = 300;
-/// One way to another zone.
-const OTHER_ZONE_MICROS: u64 = 1500;
-/// Targets report so often, in microseconds.
-const REPORT_MICROS: u64 = 500_000;
-/// Queues look for passed deadlines so often, in microseconds.
-const EXPIRY_MICROS: u64 = 20_000;
-/// Length of the death in microseconds.
-pub const DEATH_MICROS: u64 = 10_000_000;
-/// Part of the run that warms the caches and is not counted.
-pub const WARM_PART: u64 = 5;
+/// One-way latency between an entry and a target in the same zone, in microseconds.
+const SAME_ZONE_LATENCY_MICROS: u64 = 300;
+/// One-way latency between different zones, in microseconds.
+const OTHER_ZONE_LATENCY_MICROS: u64 = 1500;
+/// Interval between the load reports of a target, in microseconds.
+const REPORT_INTERVAL_MICROS: u64 = 500_000;
+/// Interval between two checks for expired requests, in microseconds.
+const EXPIRY_INTERVAL_MICROS: u64 = 20_000;
+/// Duration of a target's outage in microseconds.
+pub const OUTAGE_MICROS: u64 = 10_000_000;
+/// The first `1 / WARM_UP_DIVISOR` of the run warms the caches and is not measured.
+pub const WARM_UP_DIVISOR: u64 = 5;
 const RETRY_SHARE: f64 = 0.1;
 const RETRY_BURST: f64 = 20.0;
 
@@ -43,19 +43,19 @@
     Heartbeat { target: usize },
     Expire,
     Hedge { request: u64 },
-    Die { target: usize },
-    Revive { target: usize },
+    Crash { target: usize },
+    Restart { target: usize },
 }
 
 #[derive(Debug)]
-struct OpenRequest {
+struct ActiveRequest {
     request: SimRequest,
     deadline: UnixDeadline,
     attempts: u32,
-    open: Vec<(AttemptId, usize)>,
+    in_flight: Vec<(AttemptId, usize)>,
     exclude: Vec<usize>,
     answered: bool,
-    counted: bool,
+    measured: bool,
 }
 
 struct Simulation<'a> {
@@ -64,22 +64,22 @@
     now: u64,
     events: BinaryHeap<Reverse<(u64, u64, SimEvent)>>,
     next_event: u64,
-    engines: Vec<EngineFake>,
+    engines: Vec<SimEngine>,
     lives: Vec<u32>,
     choosers: Vec<Box<dyn TargetChooser>>,
     budgets: Vec<RetryBudget>,
     hedges: Vec<HedgePolicy>,
     workload: SimWorkload,
     upcoming: Option<SimRequest>,
-    requests: HashMap<u64, OpenRequest>,
+    requests: HashMap<u64, ActiveRequest>,
     next_request: u64,
     reports: Vec<LoadReport>,
-    changes: Vec<(Vec<u64>, Vec<u64>)>,
+    cache_changes: Vec<(Vec<u64>, Vec<u64>)>,
     random: Pcg64Mcg,
     result: RouteResult,
 }
 
-/// Runs a policy at a rate of requests a second.
+/// Simulates a policy at a rate in requests per second.
 pub fn run(settings: &RouteSettings, policy: &str, rate: f64) -> RouteResult {
     let slowness = |target: usize| if target == 1 { settings.straggler } else { 1.0 };
     let mut simulation = Simulation {
@@ -88,7 +88,7 @@
         now: 0,
         events: BinaryHeap::new(),
         next_event: 0,
-        engines: (0..settings.targets).map(|target| EngineFake::new(slowness(target))).collect(),
+        engines: (0..settings.targets).map(|target| SimEngine::new(slowness(target))).collect(),
         lives: vec![0; settings.targets],
         choosers: (0..settings.entries)
             .map(|entry| chooser(policy, entry, settings.entries, settings.targets, settings.seed))
@@ -100,7 +100,7 @@
         requests: HashMap::new(),
         next_request: 0,
         reports: Vec::new(),
-        changes: Vec::new(),
+        cache_changes: Vec::new(),
         random: Pcg64Mcg::seed_from_u64(settings.seed ^ 0x5eed),
         result: RouteResult::default(),
     };
@@ -109,7 +109,7 @@
 }
 
 impl Simulation<'_> {
-    fn at(&mut self, time: u64, event: SimEvent) {
+    fn schedule(&mut self, time: u64, event: SimEvent) {
         self.next_event += 1;
         self.events.push(Reverse((time, self.next_event, event)));
     }
@@ -118,15 +118,15 @@
         let end = self.settings.seconds * 1_000_000;
         self.schedule_arrival();
         for target in 0..self.engines.len() {
-            self.at(target as u64 * 10_000, SimEvent::Heartbeat { target });
+            self.schedule(target as u64 * 10_000, SimEvent::Heartbeat { target });
         }
-        self.at(EXPIRY_MICROS, SimEvent::Expire);
-        if self.settings.death {
-            self.at(end / 2, SimEvent::Die { target: 2 });
+        self.schedule(EXPIRY_INTERVAL_MICROS, SimEvent::Expire);
+        if self.settings.target_crash {
+            self.schedule(end / 2, SimEvent::Crash { target: 2 });
         }
-        if self.settings.zone_death {
+        if self.settings.zone_outage {
             for target in (0..self.engines.len()).step_by(3) {
-                self.at(end / 2, SimEvent::Die { target });
+                self.schedule(end / 2, SimEvent::Crash { target });
             }
         }
         while let Some(Reverse((time, _number, event))) = self.events.pop() {
@@ -151,14 +151,14 @@
                 self.choosers[entry].report(target, self.reports[report]);
             }
             SimEvent::Cache { entry, target, change } => {
-                let (added, removed) = &self.changes[change];
+                let (added, removed) = &self.cache_changes[change];
                 self.choosers[entry].cache_event(target, added, removed);
             }
             SimEvent::Heartbeat { target } => self.heartbeat(target),
             SimEvent::Expire => self.expire(),
             SimEvent::Hedge { request } => self.hedge(request),
-            SimEvent::Die { target } => self.die(target),
-            SimEvent::Revive { target } => self.engines[target] = self.engines[target].reborn(),
+            SimEvent::Crash { target } => self.crash(target),
+            SimEvent::Restart { target } => self.engines[target] = self.engines[target].restarted(),
         }
     }
 
@@ -166,16 +166,17 @@
         in_outage(self.settings, self.now)
     }
 
-    /// Counts a request as asked, and not answered until it is.
-    fn note_second(&mut self, at: u64, asked: bool) {
-        note_second(&mut self.result, at, asked);
+    /// Counts an arriving request as not answered within the contract, and removes it from that
+    /// count once it is.
+    fn record_second(&mut self, at: u64, asked: bool) {
+        record_second(&mut self.result, at, asked);
     }
 
     fn schedule_arrival(&mut self) {
         let request = self.workload.next_request();
         let at = request.at;
         self.upcoming = Some(request);
-        self.at(at, SimEvent::Arrive);
+        self.schedule(at, SimEvent::Arrive);
     }
 
     fn arrive(&mut self) {
@@ -183,125 +184,132 @@
         let id = self.next_request;
         self.next_request += 1;
         let entry = request.entry;
-        let counted = request.at >= self.settings.seconds * 1_000_000 / WARM_PART;
+        let measured = request.at >= self.settings.seconds * 1_000_000 / WARM_UP_DIVISOR;
         let deadline = UnixDeadline(UnixMillis(self.now / 1000 + self.settings.contract_millis));
-        let open = OpenRequest {
+        let active = ActiveRequest {
             request,
             deadline,
             attempts: 0,
-            open: Vec::new(),
+            in_flight: Vec::new(),
             exclude: Vec::new(),
             answered: false,
-            counted,
+            measured,
         };
-        self.requests.insert(id, open);
-        self.result.asked += u64::from(counted);
+        self.requests.insert(id, active);
+        self.result.asked += u64::from(measured);
         self.result.outage.0 += u64::from(self.in_outage());
-        self.note_second(self.now, true);
+        self.record_second(self.now, true);
         self.budgets[entry].first_attempt();
         self.send(id);
         if self.hedging
             && let Some(at) = self.hedges[entry].hedge_at(UnixMillis(self.now / 1000))
         {
-            self.at(at.0 * 1000, SimEvent::Hedge { request: id });
+            self.schedule(at.0 * 1000, SimEvent::Hedge { request: id });
         }
         self.schedule_arrival();
     }
 
-    /// Sends an attempt, or refuses for good if nobody is left.
+    /// Sends an attempt, or refuses the request if no target is left.
     fn send(&mut self, id: u64) {
-        let Some(open) = self.requests.get_mut(&id) else { return };
-        let entry = open.request.entry;
-        let case = ChooseCase {
+        let Some(active) = self.requests.get_mut(&id) else { return };
+        let entry = active.request.entry;
+        let context = ChoiceContext {
             now: self.now,
-            request: &open.request,
-            deadline: open.deadline,
-            exclude: &open.exclude,
+            request: &active.request,
+            deadline: active.deadline,
+            exclude: &active.exclude,
         };
-        let Some(target) = self.choosers[entry].choose(&case, &self.engines) else {
+        let Some(target) = self.choosers[entry].choose(&context, &self.engines) else {
             return self.refuse(id);
         };
-        let attempt =
-            AttemptId { entry: IncarnationId(entry as u64), request: RequestId(id), attempt: open.attempts };
-        self.choosers[entry].sent(&case, target, attempt);
-        open.attempts += 1;
-        open.open.push((attempt, target));
+        let attempt = AttemptId {
+            entry: IncarnationId(entry as u64),
+            request: RequestId(id),
+            attempt: active.attempts,
+        };
+        self.choosers[entry].sent(&context, target, attempt);
+        active.attempts += 1;
+        active.in_flight.push((attempt, target));
         self.result.attempts += 1;
         self.result.outage.1 += u64::from(in_outage(self.settings, self.now));
-        let at = self.now + one_way(entry, target);
-        self.at(at, SimEvent::Offer { attempt, target });
+        let at = self.now + one_way_micros(entry, target);
+        self.schedule(at, SimEvent::Offer { attempt, target });
     }
 
     fn offer(&mut self, attempt: AttemptId, target: usize) {
-        let Some(open) = self.requests.get(&attempt.request.0) else { return };
-        if !open.open.contains(&(attempt, target)) {
+        let Some(active) = self.requests.get(&attempt.request.0) else { return };
+        if !active.in_flight.contains(&(attempt, target)) {
             return;
         }
-        let back = self.now + one_way(open.request.entry, target);
+        let refused_at = self.now + one_way_micros(active.request.entry, target);
         let engine = &mut self.engines[target];
-        if engine.dead {
+        if engine.is_down {
             let (verdict, reason) = (RunVerdict::NotRun, RefusalReason::Unreachable);
-            return self.at(back, SimEvent::Refused { attempt, target, verdict, reason });
+            return self.schedule(refused_at, SimEvent::Refused { attempt, target, verdict, reason });
         }
-        let uncached = engine.uncached(&open.request);
-        if open.counted {
-            self.result.prompt_tokens += u64::from(open.request.prompt_tokens);
-            self.result.cached_tokens += u64::from(open.request.prompt_tokens - uncached);
+        let uncached = engine.uncached(&active.request);
+        if active.measured {
+            self.result.prompt_tokens += u64::from(active.request.prompt_tokens);
+            self.result.cached_tokens += u64::from(active.request.prompt_tokens - uncached);
         }
-        match engine.offer(self.now, attempt, &open.request, open.deadline) {
+        match engine.offer(self.now, attempt, &active.request, active.deadline) {
             (AdmissionDecision::Refused(reason, _retry_at), _) => {
                 let verdict = RunVerdict::NotRun;
-                self.at(back, SimEvent::Refused { attempt, target, verdict, reason });
+                self.schedule(refused_at, SimEvent::Refused { attempt, target, verdict, reason });
             }
-            (_, Some(start)) => self.started(target, start),
+            (_, Some(start)) => self.schedule_tokens(target, start),
             (_, None) => {}
         }
     }
 
-    fn started(&mut self, target: usize, start: EngineStart) {
+    fn schedule_tokens(&mut self, target: usize, start: EngineStart) {
         let EngineStart { attempt, first_token, last_token } = start;
         let life = self.lives[target];
-        self.at(first_token, SimEvent::FirstToken { attempt, target, life });
-        self.at(last_token, SimEvent::Finish { attempt, target, life });
+        self.schedule(first_token, SimEvent::FirstToken { attempt, target, life });
+        self.schedule(last_token, SimEvent::Finish { attempt, target, life });
     }
 
     fn first_token(&mut self, attempt: AttemptId, target: usize, life: u32) {
         if life != self.lives[target] {
             return;
         }
-        let Some(open) = self.requests.get_mut(&attempt.request.0) else { return };
-        if !open.open.contains(&(attempt, target)) {
+        let Some(active) = self.requests.get_mut(&attempt.request.0) else { return };
+        if !active.in_flight.contains(&(attempt, target)) {
             return;
         }
-        let entry = open.request.entry;
-        let change = self.engines[target].first_token(attempt, &open.request);
+        let entry = active.request.entry;
+        let change = self.engines[target].first_token(attempt, &active.request);
         self.choosers[entry].first_token(self.now, target, attempt);
-        if !open.answered {
-            open.answered = true;
-            let took = (self.now + one_way(entry, target) - open.request.at) as f64 / 1000.0;
-            self.hedges[entry].observe(took as u64);
-            if open.counted {
+        if !active.answered {
+            active.answered = true;
+            let first_token_millis =
+                (self.now + one_way_micros(entry, target) - active.request.at) as f64 / 1000.0;
+            self.hedges[entry].observe(first_token_millis as u64);
+            if active.measured {
                 self.result.answered += 1;
-                self.result.first_token.add(took);
-                self.result.in_contract += u64::from(took <= self.settings.contract_millis as f64);
+                self.result.first_token.add(first_token_millis);
+                self.result.in_contract +=
+                    u64::from(first_token_millis <= self.settings.contract_millis as f64);
             }
-            let (asked_at, kept) = (open.request.at, took <= self.settings.contract_millis as f64);
-            if kept {
-                note_second(&mut self.result, asked_at, false);
+            let (asked_at, in_contract) =
+                (active.request.at, first_token_millis <= self.settings.contract_millis as f64);
+            if in_contract {
+                record_second(&mut self.result, asked_at, false);
             }
-            let losers: Vec<_> = open.open.iter().copied().filter(|other| other.0 != attempt).collect();
-            open.open.retain(|other| other.0 == attempt);
-            for (loser, loser_target) in losers {
-                self.cancel(entry, loser, loser_target);
+            let superseded: Vec<_> =
+                active.in_flight.iter().copied().filter(|other| other.0 != attempt).collect();
+            active.in_flight.retain(|other| other.0 == attempt);
+            for (superseded_attempt, superseded_target) in superseded {
+                self.cancel(entry, superseded_attempt, superseded_target);
             }
         }
-        self.tell_cache(target, change.added, change.removed);
+        self.send_cache_change(target, change.added, change.removed);
     }
 
     fn cancel(&mut self, entry: usize, attempt: AttemptId, target: usize) {
         self.choosers[entry].done(target, attempt);
         for start in self.engines[target].finished(self.now, attempt) {
-            self.started(target, start);
+            self.schedule_tokens(target, start);
         }
     }
 
@@ -309,42 +317,42 @@
         if life != self.lives[target] {
             return;
         }
-        let Some(open) = self.requests.get(&attempt.request.0) else { return };
-        if !open.open.contains(&(attempt, target)) {
+        let Some(active) = self.requests.get(&attempt.request.0) else { return };
+        if !active.in_flight.contains(&(attempt, target)) {
             return;
         }
-        let entry = open.request.entry;
+        let entry = active.request.entry;
         self.requests.remove(&attempt.request.0);
         self.cancel(entry, attempt, target);
-        self.tell_load(entry, target);
+        self.send_load_report(entry, target);
     }
 
     fn failed(&mut self, attempt: AttemptId, target: usize, verdict: RunVerdict, reason: RefusalReason) {
         let id = attempt.request.0;
-        let Some(open) = self.requests.get_mut(&id) else { return };
-        let entry = open.request.entry;
-        open.open.retain(|other| other.0 != attempt);
-        open.exclude.push(target);
+        let Some(active) = self.requests.get_mut(&id) else { return };
+        let entry = active.request.entry;
+        active.in_flight.retain(|other| other.0 != attempt);
+        active.exclude.push(target);
         self.choosers[entry].done(target, attempt);
         if matches!(reason, RefusalReason::Unreachable | RefusalReason::ConnectionLost) {
-            self.choosers[entry].lost(self.now, target);
+            self.choosers[entry].connection_lost(self.now, target);
         }
         let failed = FailedAttempt {
             reason,
             verdict,
             repeat: RepeatPolicy::Safe,
-            partly_delivered: open.answered,
-            attempts: open.attempts,
-            deadline: open.deadline,
+            partly_delivered: active.answered,
+            attempts: active.attempts,
+            deadline: active.deadline,
         };
-        let others = !open.open.is_empty();
-        let done = open.answered;
-        self.tell_load(entry, target);
-        if others {
+        let has_other_attempts = !active.in_flight.is_empty();
+        let was_answered = active.answered;
+        self.send_load_report(entry, target);
+        if has_other_attempts {
             return;
         }
-        if done {
-            // A stream that is resumed elsewhere: its first token is out already.
+        if was_answered {
+            // A stream that would resume at another target; its first token was already counted.
             self.requests.remove(&id);
             return;
         }
@@ -358,22 +366,22 @@
     }
 
     fn refuse(&mut self, id: u64) {
-        let Some(open) = self.requests.remove(&id) else { return };
-        if open.counted && !open.answered {
+        let Some(active) = self.requests.remove(&id) else { return };
+        if active.measured && !active.answered {
             self.result.refused += 1;
-            self.result.refusal_time.add((self.now - open.request.at) as f64 / 1000.0);
+            self.result.refusal_time.add((self.now - active.request.at) as f64 / 1000.0);
         }
     }
 
     fn hedge(&mut self, id: u64) {
-        let Some(open) = self.requests.get_mut(&id) else { return };
-        if open.answered || open.open.len() != 1 {
+        let Some(active) = self.requests.get_mut(&id) else { return };
+        if active.answered || active.in_flight.len() != 1 {
             return;
         }
-        let entry = open.request.entry;
-        let first = open.open[0].1;
-        if !open.exclude.contains(&first) {
-            open.exclude.push(first);
+        let entry = active.request.entry;
+        let first = active.in_flight[0].1;
+        if !active.exclude.contains(&first) {
+            active.exclude.push(first);
         }
         if self.budgets[entry].try_spend() {
             self.result.hedges += 1;
@@ -388,64 +396,65 @@
                 self.failed(attempt, target, verdict, reason);
             }
         }
-        self.at(self.now + EXPIRY_MICROS, SimEvent::Expire);
+        self.schedule(self.now + EXPIRY_INTERVAL_MICROS, SimEvent::Expire);
     }
 
-    fn die(&mut self, target: usize) {
+    fn crash(&mut self, target: usize) {
         self.lives[target] += 1;
-        self.engines[target].dead = true;
-        let mut lost: Vec<AttemptId> = Vec::new();
-        for open in self.requests.values() {
-            lost.extend(open.open.iter().filter(|other| other.1 == target).map(|other| other.0));
+        self.engines[target].is_down = true;
+        let mut lost_attempts: Vec<AttemptId> = Vec::new();
+        for active in self.requests.values() {
+            lost_attempts
+                .extend(active.in_flight.iter().filter(|other| other.1 == target).map(|other| other.0));
         }
-        lost.sort_unstable();
-        for attempt in lost {
+        lost_attempts.sort_unstable();
+        for attempt in lost_attempts {
             let (verdict, reason) = (RunVerdict::MayHaveRun, RefusalReason::ConnectionLost);
-            let at = self.now + OTHER_ZONE_MICROS;
-            self.at(at, SimEvent::Refused { attempt, target, verdict, reason });
+            let at = self.now + OTHER_ZONE_LATENCY_MICROS;
+            self.schedule(at, SimEvent::Refused { attempt, target, verdict, reason });
         }
-        self.at(self.now + DEATH_MICROS, SimEvent::Revive { target });
+        self.schedule(self.now + OUTAGE_MICROS, SimEvent::Restart { target });
     }
 
     fn heartbeat(&mut self, target: usize) {
-        if !self.engines[target].dead {
+        if !self.engines[target].is_down {
             for entry in 0..self.choosers.len() {
-                self.tell_load(entry, target);
+                self.send_load_report(entry, target);
             }
         }
-        self.at(self.now + REPORT_MICROS, SimEvent::Heartbeat { target });
+        self.schedule(self.now + REPORT_INTERVAL_MICROS, SimEvent::Heartbeat { target });
     }
 
     fn lag(&mut self) -> u64 {
-        1000 * self.random.random_range(self.settings.min_lag..=self.settings.max_lag)
+        1000 * self.random.random_range(self.settings.min_lag_millis..=self.settings.max_lag_millis)
     }
 
-    fn tell_load(&mut self, entry: usize, target: usize) {
+    fn send_load_report(&mut self, entry: usize, target: usize) {
         let report = self.reports.len();
         self.reports.push(self.engines[target].load(self.now));
         let at = self.now + self.lag();
-        self.at(at, SimEvent::Report { entry, target, report });
+        self.schedule(at, SimEvent::Report { entry, target, report });
     }
 
-    fn tell_cache(&mut self, target: usize, added: Vec<u64>, removed: Vec<u64>) {
-        let change = self.changes.len();
-        self.changes.push((added, removed));
+    fn send_cache_change(&mut self, target: usize, added: Vec<u64>, removed: Vec<u64>) {
+        let change = self.cache_changes.len();
+        self.cache_changes.push((added, removed));
         for entry in 0..self.choosers.len() {
             if self.random.random_bool(self.settings.lost_events) {
                 continue;
             }
             let at = self.now + self.lag();
-            self.at(at, SimEvent::Cache { entry, target, change });
+            self.schedule(at, SimEvent::Cache { entry, target, change });
         }
     }
 }
 
 fn in_outage(settings: &RouteSettings, now: u64) -> bool {
-    let begins = settings.seconds * 1_000_000 / 2;
-    settings.zone_death && (begins..begins + DEATH_MICROS).contains(&now)
+    let outage_start = settings.seconds * 1_000_000 / 2;
+    settings.zone_outage && (outage_start..outage_start + OUTAGE_MICROS).contains(&now)
 }
 
-fn note_second(result: &mut RouteResult, at: u64, asked: bool) {
+fn record_second(result: &mut RouteResult, at: u64, asked: bool) {
     let second = (at / 1_000_000) as usize;
     if result.seconds.len() <= second {
         result.seconds.resize(second + 1, (0, 0));
@@ -458,6 +467,6 @@
     }
 }
 
-fn one_way(entry: usize, target: usize) -> u64 {
-    if entry % 3 == target % 3 { SAME_ZONE_MICROS } else { OTHER_ZONE_MICROS }
+fn one_way_micros(entry: usize, target: usize) -> u64 {
+    if entry % 3 == target % 3 { SAME_ZONE_LATENCY_MICROS } else { OTHER_ZONE_LATENCY_MICROS }
 }
--- a/crates/porthoist-lab/tests/lab.rs
+++ b/crates/porthoist-lab/tests/lab.rs
@@ -23,7 +23,7 @@
 #[test]
 fn routing_beats_two_choices_and_comes_near_the_omniscient() {
     // The first fifth, in which the caches are cold, is not counted.
-    let settings = RouteSettings::builder().seed(1).seconds(50).death(false).build();
+    let settings = RouteSettings::builder().seed(1).seconds(50).target_crash(false).build();
     let rows = compare(&settings, 500.0, 0.7);
     let again = compare(&settings, 500.0, 0.7);
     assert_eq!(serde_json::to_value(&rows).unwrap(), serde_json::to_value(&again).unwrap());
