--- a/crates/porthoist-lab/src/cmd/limits.rs
+++ b/crates/porthoist-lab/src/cmd/limits.rs
@@ -39,7 +39,7 @@
     let cases = vec![
         run_case(&small(0.0).build(), "10 teams, 3 entries, even"),
         run_case(&small(0.9).build(), "10 teams, 3 entries, 9 in 10 at one entry"),
-        run_case(&small(0.9).cut(true).build(), "10 teams, 3 entries, skewed, cut for 10 s"),
+        run_case(&small(0.9).partition(true).build(), "10 teams, 3 entries, skewed, cut for 10 s"),
         run_case(&small(0.9).replace(true).build(), "10 teams, 3 entries, skewed, one replaced every 5 s"),
         run_case(&large.skew(0.3).build(), "41,000 teams, 63 entries, 3 in 10 at one entry"),
     ];
--- a/crates/porthoist-lab/src/cmd/needs.rs
+++ b/crates/porthoist-lab/src/cmd/needs.rs
@@ -1,6 +1,6 @@
 //! `porthoist-lab needs`.
 
-use crate::needs::{LimitWay, NeedsReport, NeedsSettings, play};
+use crate::needs::{LimitMethod, NeedsReport, NeedsSettings, simulate};
 use crate::report::ReportFormat;
 use argh::FromArgs;
 use porthoist_core::RequestRate;
@@ -28,8 +28,8 @@
     format: ReportFormat,
 }
 
-/// Numbers of entries: now, and in two years.
-const ENTRIES: [u32; 5] = [3, 7, 42, 149, 600];
+/// Simulated numbers of entries, from the present size to the size expected in two years.
+const ENTRY_COUNTS: [u32; 5] = [3, 7, 42, 149, 600];
 
 #[derive(Debug, Serialize)]
 struct EntriesCase {
@@ -39,10 +39,10 @@
 
 /// Runs the command.
 pub fn run(args: &NeedsArgs) -> miette::Result<String> {
-    let cases = ENTRIES.map(|entries| {
+    let cases = ENTRY_COUNTS.map(|entries| {
         let settings = NeedsSettings::builder().seed(args.seed).entries(entries).limit(args.limit);
-        let settings = settings.seconds(args.seconds).clocks_apart(args.clocks_apart).build();
-        EntriesCase { entries, ways: LimitWay::ALL.map(|way| play(&settings, way)).into() }
+        let settings = settings.seconds(args.seconds).max_clock_offset_millis(args.clocks_apart).build();
+        EntriesCase { entries, ways: LimitMethod::ALL.map(|method| simulate(&settings, method)).into() }
     });
     Ok(args.format.show(&cases, || text(args, &cases)))
 }
--- a/crates/porthoist-lab/src/needs.rs
+++ b/crates/porthoist-lab/src/needs.rs
@@ -1,6 +1,8 @@
-//! Ways to keep a target's limit over entries that can't hear each other: the daemon's turns beside others.
+//! Compares methods to enforce a target's rate limit across entries that can't communicate: the
+//! daemon's turns and simpler ones.
 //!
-//! All callers want the one target. They come in rushes, so that what an entry may save up while nobody comes shows.
+//! All callers use the same target. They arrive in rushes, which shows how much an entry may save
+//! up while there are no callers.
 
 use porthoist_core::{RequestRate, UnixMillis, ZoneName};
 use porthoist_policy::proxy::targets::TargetLife;
@@ -12,40 +14,42 @@
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
 
-/// Targets from which entries assume how many others send, where nobody counts them.
-const TARGETS: usize = 100;
-/// Span in milliseconds in which requests are counted.
-const SPAN_MILLIS: u64 = 4_000;
-/// Rushes begin every so many milliseconds and last half of that.
-const RUSH_MILLIS: u64 = 20_000;
-/// Requests that a caller sends to each entry a second in a rush.
-const ENTRY_RATE: f64 = 10.0;
-/// Part of the limit that buckets are filled with, as the daemon's turns are.
-const GIVEN_PART: f64 = 0.75;
-/// Entries that hold the limit where they are chosen by hash.
-const CHOSEN: usize = 3;
+/// Number of targets from which entries estimate the number of sending entries if nobody counts
+/// them.
+const ASSUMED_TARGETS: usize = 100;
+/// Window in milliseconds over which requests are counted.
+const COUNT_WINDOW_MILLIS: u64 = 4_000;
+/// Period of the rushes in milliseconds. A rush lasts half of it.
+const RUSH_PERIOD_MILLIS: u64 = 20_000;
+/// Requests per second and entry during a rush.
+const RUSH_RATE_PER_ENTRY: f64 = 10.0;
+/// Fraction of the limit at which buckets are refilled, the same as for the daemon's turns.
+const USABLE_FRACTION: f64 = 0.75;
+/// Number of entries that share the limit if they are chosen by hash.
+const CHOSEN_ENTRIES: usize = 3;
 
-/// A way to keep a limit.
+/// A method to enforce a limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum LimitWay {
-    /// The daemon's: each entry has its turns, by its place.
+pub enum LimitMethod {
+    /// The daemon's method: each entry sends at its turns, which follow from its position.
     Turns,
-    /// The same where entries know no place.
+    /// The daemon's method if entries don't know their position.
     TurnsUncounted,
-    /// Each entry has a bucket of one request, filled with its part.
+    /// Each entry has a bucket for one request, refilled at its share of the limit.
     Buckets,
-    /// A few entries, alike for all, have a bucket of one request, filled with their part.
+    /// A few entries, the same for everyone, each have a bucket for one request, refilled at their
+    /// share of the limit.
     Chosen,
-    /// Each entry keeps the limit for itself.
+    /// Each entry enforces the limit on its own.
     Alone,
 }
 
-impl LimitWay {
-    /// All, in the order in which they are shown.
+impl LimitMethod {
+    /// All methods in report order.
     pub const ALL: [Self; 5] = [Self::Turns, Self::TurnsUncounted, Self::Buckets, Self::Chosen, Self::Alone];
 
-    /// Its name in reports.
+    /// Name in reports.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Turns => "turns",
@@ -57,51 +61,51 @@
     }
 }
 
-/// What is played.
+/// Settings of the simulation.
 #[derive(Debug, Clone, Copy, bon::Builder)]
 pub struct NeedsSettings {
-    /// Draws the callers.
+    /// Seed of the random generator.
     pub seed: u64,
-    /// Entries, in one zone.
+    /// Number of entries, all in one zone.
     pub entries: u32,
-    /// The limit.
+    /// Rate limit of the target.
     pub limit: RequestRate,
-    /// Simulated seconds.
+    /// Duration in simulated seconds.
     pub seconds: u64,
-    /// By how much clocks differ at most, in milliseconds.
+    /// Maximum clock offset between entries, in milliseconds.
     #[builder(default)]
-    pub clocks_apart: u64,
+    pub max_clock_offset_millis: u64,
 }
 
-/// What came of one way.
+/// Result of one method.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct NeedsReport {
-    /// The way.
-    pub way: LimitWay,
-    /// The most requests in any 4 s.
+    /// The method.
+    pub way: LimitMethod,
+    /// Maximum number of requests in any window of 4 s.
     pub most: usize,
-    /// How many are allowed: one and a half times the limit, and five.
+    /// Number of requests allowed in such a window: 1.5 times the limit, plus 5.
     pub allowed: usize,
-    /// Part of the limit that is used while callers come.
+    /// Fraction of the limit that is used during rushes.
     pub used: f64,
 }
 
-/// One entry's permission to send.
-enum SendGate {
+/// Limits the requests that one entry sends.
+enum SendLimiter {
     Turns(SendTurns),
     Bucket { filled: f64, last: u64, per_milli: f64 },
-    Closed,
+    Blocked,
 }
 
-impl SendGate {
+impl SendLimiter {
     fn take(&mut self, now: u64) -> bool {
         match self {
             Self::Turns(turns) => {
-                let free = turns.free(UnixMillis(now));
-                if free {
+                let has_turn = turns.free(UnixMillis(now));
+                if has_turn {
                     turns.take(UnixMillis(now));
                 }
-                free
+                has_turn
             }
             Self::Bucket { filled, last, per_milli } => {
                 *filled = (*filled + now.saturating_sub(*last) as f64 * *per_milli).min(1.0);
@@ -110,76 +114,81 @@
                 *filled -= if full { 1.0 } else { 0.0 };
                 full
             }
-            Self::Closed => false,
+            Self::Blocked => false,
         }
     }
 }
 
-/// Plays one way.
-pub fn play(settings: &NeedsSettings, way: LimitWay) -> NeedsReport {
+/// Simulates one method.
+pub fn simulate(settings: &NeedsSettings, method: LimitMethod) -> NeedsReport {
     let mut random = Pcg64Mcg::seed_from_u64(settings.seed);
-    let begin = 1_700_000_000_000;
-    let mut entries: Vec<(SendGate, u64)> = (0..settings.entries)
+    let start_millis = 1_700_000_000_000;
+    let mut entries: Vec<(SendLimiter, u64)> = (0..settings.entries)
         .map(|index| {
-            let ahead = random.random_range(0..=settings.clocks_apart);
-            (gate(settings, way, index, UnixMillis(begin + ahead)), ahead)
+            let clock_offset_millis = random.random_range(0..=settings.max_clock_offset_millis);
+            (
+                new_limiter(settings, method, index, UnixMillis(start_millis + clock_offset_millis)),
+                clock_offset_millis,
+            )
         })
         .collect();
     let mut sends = Vec::new();
     for milli in 0..settings.seconds * 1_000 {
-        if !rush(milli) {
+        if !is_rush(milli) {
             continue;
         }
-        for (gate, ahead) in &mut entries {
-            let comes = random.random::<f64>() < ENTRY_RATE / 1_000.0;
-            if comes && gate.take(begin + milli + *ahead) {
+        for (limiter, clock_offset_millis) in &mut entries {
+            let arrives = random.random::<f64>() < RUSH_RATE_PER_ENTRY / 1_000.0;
+            if arrives && limiter.take(start_millis + milli + *clock_offset_millis) {
                 sends.push(milli);
             }
         }
     }
-    report(settings, way, &sends)
+    report(settings, method, &sends)
 }
 
-fn rush(milli: u64) -> bool {
-    milli % RUSH_MILLIS >= RUSH_MILLIS / 2
+fn is_rush(milli: u64) -> bool {
+    milli % RUSH_PERIOD_MILLIS >= RUSH_PERIOD_MILLIS / 2
 }
 
-fn gate(settings: &NeedsSettings, way: LimitWay, index: u32, now: UnixMillis) -> SendGate {
+fn new_limiter(settings: &NeedsSettings, method: LimitMethod, index: u32, now: UnixMillis) -> SendLimiter {
     let NeedsSettings { entries, limit, seed, .. } = *settings;
-    let bucket = |rate: f64| SendGate::Bucket { filled: 0.0, last: now.0, per_milli: rate / 1_000.0 };
-    let turns = |place: Option<EntryPosition>| {
+    let bucket = |rate: f64| SendLimiter::Bucket { filled: 0.0, last: now.0, per_milli: rate / 1_000.0 };
+    let turns = |position: Option<EntryPosition>| {
         let zone: ZoneName = "z".parse().expect("a valid name");
         let life = TargetLife::from("t".parse::<porthoist_core::TargetName>().expect("a valid name"));
-        let uncounted =
-            UncountedEntry { entries: assumed_entries(TARGETS), seed: seed * 1_000 + u64::from(index) };
-        let sender = SenderPosition::new(place, &zone, std::slice::from_ref(&zone), uncounted);
+        let uncounted = UncountedEntry {
+            entries: assumed_entries(ASSUMED_TARGETS),
+            seed: seed * 1_000 + u64::from(index),
+        };
+        let sender = SenderPosition::new(position, &zone, std::slice::from_ref(&zone), uncounted);
         let mut turns = SendTurns::default();
         let rate = TargetRate { rate: limit, source: RateSource::Announced };
         turns.set(TurnRound::new(rate, sender, &life), now);
-        SendGate::Turns(turns)
+        SendLimiter::Turns(turns)
     };
-    match way {
-        LimitWay::Turns => turns(Some(EntryPosition { index, entries })),
-        LimitWay::TurnsUncounted => turns(None),
-        LimitWay::Buckets => bucket(GIVEN_PART * limit.0 / f64::from(entries)),
-        LimitWay::Chosen if (index as usize) < CHOSEN => {
-            bucket(GIVEN_PART * limit.0 / CHOSEN.min(entries as usize) as f64)
+    match method {
+        LimitMethod::Turns => turns(Some(EntryPosition { index, entries })),
+        LimitMethod::TurnsUncounted => turns(None),
+        LimitMethod::Buckets => bucket(USABLE_FRACTION * limit.0 / f64::from(entries)),
+        LimitMethod::Chosen if (index as usize) < CHOSEN_ENTRIES => {
+            bucket(USABLE_FRACTION * limit.0 / CHOSEN_ENTRIES.min(entries as usize) as f64)
         }
-        LimitWay::Chosen => SendGate::Closed,
-        LimitWay::Alone => bucket(GIVEN_PART * limit.0),
+        LimitMethod::Chosen => SendLimiter::Blocked,
+        LimitMethod::Alone => bucket(USABLE_FRACTION * limit.0),
     }
 }
 
-fn report(settings: &NeedsSettings, way: LimitWay, sends: &[u64]) -> NeedsReport {
+fn report(settings: &NeedsSettings, method: LimitMethod, sends: &[u64]) -> NeedsReport {
     let within = |from: u64| {
-        sends.partition_point(|at| *at < from + SPAN_MILLIS) - sends.partition_point(|at| *at < from)
+        sends.partition_point(|at| *at < from + COUNT_WINDOW_MILLIS) - sends.partition_point(|at| *at < from)
     };
-    let busy = (0..settings.seconds * 1_000).filter(|milli| rush(*milli)).count() as f64 / 1_000.0;
-    let span = SPAN_MILLIS as f64 / 1_000.0;
+    let rush_seconds = (0..settings.seconds * 1_000).filter(|milli| is_rush(*milli)).count() as f64 / 1_000.0;
+    let window_seconds = COUNT_WINDOW_MILLIS as f64 / 1_000.0;
     NeedsReport {
-        way,
+        way: method,
         most: sends.iter().map(|at| within(*at)).max().unwrap_or_default(),
-        allowed: (1.5 * settings.limit.0 * span + 5.0) as usize,
-        used: crate::report::rounded(sends.len() as f64 / busy / settings.limit.0),
+        allowed: (1.5 * settings.limit.0 * window_seconds + 5.0) as usize,
+        used: crate::report::rounded(sends.len() as f64 / rush_seconds / settings.limit.0),
     }
 }
--- a/crates/porthoist-lab/tests/lab.rs
+++ b/crates/porthoist-lab/tests/lab.rs
@@ -3,7 +3,7 @@
 use porthoist_core::RequestRate;
 use porthoist_lab::experts::{ExpertsSettings, report, run};
 use porthoist_lab::limits::{LimitSettings, run as run_limits};
-use porthoist_lab::needs::{LimitWay, NeedsSettings, play};
+use porthoist_lab::needs::{LimitMethod, NeedsSettings, simulate};
 use porthoist_lab::overload::callers::CallerLoad;
 use porthoist_lab::overload::groups::{GroupFault, compare as compare_groups};
 use porthoist_lab::overload::{OverloadSettings, compare as compare_rules};
@@ -46,15 +46,15 @@
     for clocks_apart in [0, 5_000] {
         for entries in [3, 7, 42, 149, 600] {
             let settings = NeedsSettings::builder().seed(1).entries(entries).limit(RequestRate(1.0));
-            let settings = settings.seconds(100).clocks_apart(clocks_apart).build();
-            let turns = play(&settings, LimitWay::Turns);
+            let settings = settings.seconds(100).max_clock_offset_millis(clocks_apart).build();
+            let turns = simulate(&settings, LimitMethod::Turns);
             assert!(turns.most <= turns.allowed && turns.used >= 0.6, "{entries} entries: {turns:?}");
-            let uncounted = play(&settings, LimitWay::TurnsUncounted);
+            let uncounted = simulate(&settings, LimitMethod::TurnsUncounted);
             assert!(entries > 149 || uncounted.most <= uncounted.allowed, "{entries} entries: {uncounted:?}");
         }
     }
     let settings = NeedsSettings::builder().seed(1).entries(42).limit(RequestRate(1.0)).seconds(100).build();
-    let buckets = play(&settings, LimitWay::Buckets);
+    let buckets = simulate(&settings, LimitMethod::Buckets);
     assert!(buckets.most > buckets.allowed, "{buckets:?}");
 }
 
