--- a/crates/porthoist-lab/src/cmd/experts.rs
+++ b/crates/porthoist-lab/src/cmd/experts.rs
@@ -51,15 +51,15 @@
     // A quarter more slots than experts; a rank of 64 holds three.
     let slots = if ranks >= 64 { 3 } else { 128 * 5 / 4 / ranks };
     let mut drift = crate::experts::drift::DriftSettings::default();
-    drift.jump_seconds *= args.calm;
-    drift.straggler_seconds *= args.calm;
+    drift.jump_interval_seconds *= args.calm;
+    drift.straggler_interval_seconds *= args.calm;
     let defaults = ExpertsSettings::builder().ranks(ranks).slots(slots).seed(args.seed).build();
     ExpertsSettings {
         seconds: args.seconds,
         lag_millis: args.lag_ms,
         expert_bytes: (defaults.expert_bytes as f64 * args.cost) as u64,
-        switch_stall: defaults.switch_stall * args.cost,
-        load_stall: defaults.load_stall * args.cost,
+        switch_stall_millis: defaults.switch_stall_millis * args.cost,
+        load_stall_millis: defaults.load_stall_millis * args.cost,
         drift,
         ..defaults
     }
@@ -88,7 +88,7 @@
     };
     let line = |(name, result): (&String, &PolicyResult)| PlotSeries {
         name: name.clone(),
-        points: result.course.clone(),
+        points: result.skew_over_time.clone(),
     };
     let series: Vec<PlotSeries> = results.iter().map(line).collect();
     draw_lines(Path::new(path), &frame, &series)
--- a/crates/porthoist-lab/src/experts.rs
+++ b/crates/porthoist-lab/src/experts.rs
@@ -1,7 +1,7 @@
-//! Expert placement under drifting popularity: policies side by side on the same steps.
+//! Simulates expert placement under drifting popularity and compares policies on the same steps.
 //!
-//! A group of ranks runs in lock-step on tokens whose experts are drawn from a drifting popularity; each policy has
-//! the same ranks, slots, lag and costs.
+//! A group of ranks runs in lock-step on tokens whose experts are drawn from a drifting popularity.
+//! All policies have the same ranks, slots, lag and costs.
 
 pub mod drift;
 pub mod policy;
@@ -16,53 +16,54 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Settings of the experiment; the page docs/measurements/EXPERTS.md says where they come from.
+/// Settings of the simulation. docs/measurements/EXPERTS.md gives their origin.
 #[derive(Debug, Clone, bon::Builder)]
 pub struct ExpertsSettings {
-    /// Ranks in the group.
+    /// Number of ranks in the group.
     pub ranks: usize,
-    /// Experts in the layer.
+    /// Number of experts in the layer.
     #[builder(default = 128)]
     pub experts: usize,
-    /// Expert slots of each rank.
+    /// Expert slots per rank.
     pub slots: usize,
-    /// Seed.
+    /// Seed of the random generator.
     pub seed: u64,
-    /// Simulated seconds.
+    /// Duration in simulated seconds.
     #[builder(default = 1800)]
     pub seconds: u64,
-    /// Popularity is known so late, in milliseconds.
+    /// Delay in milliseconds after which popularity is known.
     #[builder(default = 1000)]
     pub lag_millis: u64,
-    /// Bytes of one expert.
+    /// Size of one expert in bytes.
     #[builder(default = 44_000_000)]
     pub expert_bytes: u64,
-    /// Bytes a second that the weight store gives to the group.
+    /// Bytes per second that the group can load from the weight store.
     #[builder(default = 2_000_000_000)]
-    pub store_rate: u64,
-    /// Stall of the whole group at a switch, in milliseconds.
+    pub store_bytes_per_second: u64,
+    /// Stall of the whole group at a switch of the map, in milliseconds.
     #[builder(default = 2.0)]
-    pub switch_stall: f64,
-    /// Stall for each expert loaded, in milliseconds.
+    pub switch_stall_millis: f64,
+    /// Additional stall per loaded expert, in milliseconds.
     #[builder(default = 0.5)]
-    pub load_stall: f64,
-    /// Drift of popularity and speed.
+    pub load_stall_millis: f64,
+    /// Drift of popularity and rank speeds.
     #[builder(default)]
     pub drift: DriftSettings,
 }
 
-/// Time between two looks at the group, in milliseconds.
+/// Simulation step in milliseconds.
 pub const TICK_MILLIS: u64 = 100;
-/// Steps looked at in each tick.
+/// Simulated steps per tick.
 const STEPS_PER_TICK: usize = 2;
-/// Time of a step of a perfectly balanced, healthy group, in milliseconds.
+/// Step time of a perfectly balanced, healthy group, in milliseconds.
 pub const STEP_MILLIS: f64 = 4.5;
-/// Part of a step that expert work takes at perfect balance; the rest does not depend on the map.
-const EXPERT_PART: f64 = 0.5;
-/// Tokens of a step times the experts that each goes to.
+/// Fraction of a step that expert work takes at perfect balance. The rest does not depend on the
+/// map.
+const EXPERT_FRACTION: f64 = 0.5;
+/// Tokens per step times experts per token.
 pub const STEP_TOKENS: f64 = 32_768.0;
 
-/// What one policy came to.
+/// Result of one policy.
 #[derive(Debug, Clone, Default)]
 pub struct PolicyResult {
     skew: Distribution,
@@ -70,30 +71,31 @@
     bytes_moved: u64,
     stall_millis: f64,
     switches: u64,
-    /// Mean skew in each ten seconds, for the plot.
-    pub course: Vec<(f64, f64)>,
+    /// Start in seconds and mean skew in milliseconds of each interval of ten seconds, for the
+    /// plot.
+    pub skew_over_time: Vec<(f64, f64)>,
 }
 
-/// One policy's row of the report.
+/// Report row of one policy.
 #[derive(Debug, Clone, Serialize)]
 pub struct PolicyReport {
-    /// Skew at the median: the slowest rank's time beyond the mean, in milliseconds.
+    /// Median skew in milliseconds: the slowest rank's time beyond the mean.
     pub skew_p50: f64,
-    /// The same at the 99th percentile.
+    /// 99th percentile of the skew in milliseconds.
     pub skew_p99: f64,
-    /// Step time at the 99th percentile, in milliseconds, stalls left out.
+    /// 99th percentile of the step time in milliseconds, without stalls.
     pub step_time_p99: f64,
     /// Bytes loaded from the weight store.
     pub bytes_moved: u64,
-    /// Stalls of the whole group, in milliseconds.
+    /// Total stall of the whole group, in milliseconds.
     pub stall_ms: f64,
-    /// Switches of the map with loads.
+    /// Number of map switches that loaded experts.
     pub switches: u64,
-    /// Part of the static map's value, for each key.
+    /// Each value relative to that of the static map.
     pub ratio_static: BTreeMap<&'static str, f64>,
-    /// Part of the full re-balance's value, for each key.
+    /// Each value relative to that of the full re-balance.
     pub ratio_full: BTreeMap<&'static str, f64>,
-    /// Part of the gap between the static map and the oracle that is closed, in p99 skew.
+    /// Fraction of the gap in p99 skew between the static map and the oracle that is closed.
     pub gap_closed_p99: f64,
 }
 
@@ -108,12 +110,12 @@
         ]
     }
 
-    fn report(&self, of_static: &Self, of_full: &Self, of_oracle: &Self) -> PolicyReport {
+    fn report(&self, static_result: &Self, full_result: &Self, oracle_result: &Self) -> PolicyReport {
         let ratios = |base: &Self| {
             let pairs = self.values().into_iter().zip(base.values());
-            pairs.map(|((key, own), (_key, other))| (key, ratio(own, other))).collect()
+            pairs.map(|((key, value), (_key, base_value))| (key, ratio(value, base_value))).collect()
         };
-        let gap = of_static.skew.at(0.99) - of_oracle.skew.at(0.99);
+        let gap = static_result.skew.at(0.99) - oracle_result.skew.at(0.99);
         PolicyReport {
             skew_p50: rounded(self.skew.at(0.5)),
             skew_p99: rounded(self.skew.at(0.99)),
@@ -121,14 +123,14 @@
             bytes_moved: self.bytes_moved,
             stall_ms: rounded(self.stall_millis),
             switches: self.switches,
-            ratio_static: ratios(of_static),
-            ratio_full: ratios(of_full),
-            gap_closed_p99: ratio(of_static.skew.at(0.99) - self.skew.at(0.99), gap),
+            ratio_static: ratios(static_result),
+            ratio_full: ratios(full_result),
+            gap_closed_p99: ratio(static_result.skew.at(0.99) - self.skew.at(0.99), gap),
         }
     }
 }
 
-/// The policy rows of the two users' profiles.
+/// Policy rows of the two users' profiles.
 pub fn profiles() -> [(&'static str, PolicyRow); 2] {
     [
         ("rambursa", PolicyRow { skew_weight: 4.0, move_weight: 1.0, map: 0 }),
@@ -136,79 +138,80 @@
     ]
 }
 
-/// Runs all policies on the same drift and returns their results by name.
+/// Simulates all policies with the same drift and returns their results by name.
 pub fn run(settings: &ExpertsSettings) -> BTreeMap<String, PolicyResult> {
     let mut drift = DriftModel::new(settings);
-    let initial = drift.truth();
+    let initial = drift.actual();
     let map = place_from_scratch(&initial, settings.ranks, settings.slots);
-    let mut policies = contestants(settings, &initial, &map);
+    let mut policies = create_policies(settings, &initial, &map);
     let ticks = settings.seconds * 1000 / TICK_MILLIS;
     for tick in 0..ticks {
         let now = tick * TICK_MILLIS;
         drift.advance(now);
-        let truth = drift.truth();
+        let actual = drift.actual();
         for (_name, policy) in &mut policies {
-            policy.advance(now, &truth, drift.observed());
+            policy.advance(now, &actual, drift.observed());
         }
         for _ in 0..STEPS_PER_TICK {
             let step = drift.step();
             for (_name, policy) in &mut policies {
-                policy.step(now, &step);
+                policy.record_step(now, &step);
             }
         }
     }
     policies.into_iter().map(|(name, policy)| (name, policy.finish())).collect()
 }
 
-fn contestants(
+fn create_policies(
     settings: &ExpertsSettings,
     initial: &GroupEstimate,
     map: &ExpertMap,
 ) -> Vec<(String, GroupPolicy)> {
-    let make = |kind| GroupPolicy::new(kind, settings, initial, map.clone());
+    let create = |kind| GroupPolicy::new(kind, settings, initial, map.clone());
     let mut all = vec![
-        ("static".to_owned(), make(PolicyKind::Static)),
-        ("full".to_owned(), make(PolicyKind::Full)),
-        ("oracle".to_owned(), make(PolicyKind::Oracle)),
+        ("static".to_owned(), create(PolicyKind::Static)),
+        ("full".to_owned(), create(PolicyKind::Full)),
+        ("oracle".to_owned(), create(PolicyKind::Oracle)),
     ];
     for (name, row) in profiles() {
-        all.push((name.to_owned(), make(PolicyKind::Porthoist(row))));
+        all.push((name.to_owned(), create(PolicyKind::Porthoist(row))));
     }
     all
 }
 
-/// The report of a run: a row for each policy.
+/// Creates the report of a run, with one row per policy.
 pub fn report(results: &BTreeMap<String, PolicyResult>) -> BTreeMap<String, PolicyReport> {
-    let (of_static, of_full, of_oracle) = (&results["static"], &results["full"], &results["oracle"]);
+    let (static_result, full_result, oracle_result) =
+        (&results["static"], &results["full"], &results["oracle"]);
     let row = |(name, result): (&String, &PolicyResult)| {
-        (name.clone(), result.report(of_static, of_full, of_oracle))
+        (name.clone(), result.report(static_result, full_result, oracle_result))
     };
     results.iter().map(row).collect()
 }
 
 impl PolicyResult {
-    /// Takes one step on a map.
-    pub(crate) fn step(&mut self, now: u64, map: &ExpertMap, step: &GroupEstimate) {
-        let healthy = STEP_MILLIS * EXPERT_PART * map.ranks() as f64;
-        let times: Vec<f64> = rank_times(map, step).into_iter().map(|time| time * healthy).collect();
+    /// Records one step on a map.
+    pub(crate) fn record_step(&mut self, now: u64, map: &ExpertMap, step: &GroupEstimate) {
+        let expert_millis = STEP_MILLIS * EXPERT_FRACTION * map.ranks() as f64;
+        let times: Vec<f64> = rank_times(map, step).into_iter().map(|time| time * expert_millis).collect();
         let slowest = times.iter().copied().fold(0.0, f64::max);
         let mean = times.iter().sum::<f64>() / times.len() as f64;
         let skew = slowest - mean;
         self.skew.add(skew);
-        self.step_time.add(STEP_MILLIS * (1.0 - EXPERT_PART) + slowest);
+        self.step_time.add(STEP_MILLIS * (1.0 - EXPERT_FRACTION) + slowest);
         let bin = (now / 10_000) as usize;
-        if self.course.len() <= bin {
-            self.course.resize(bin + 1, (0.0, 0.0));
+        if self.skew_over_time.len() <= bin {
+            self.skew_over_time.resize(bin + 1, (0.0, 0.0));
         }
         let steps = (10_000 / TICK_MILLIS) as f64 * STEPS_PER_TICK as f64;
-        self.course[bin].0 = bin as f64 * 10.0;
-        self.course[bin].1 += skew / steps;
+        self.skew_over_time[bin].0 = bin as f64 * 10.0;
+        self.skew_over_time[bin].1 += skew / steps;
     }
 
-    /// Takes a switch of the map that loaded experts.
-    pub(crate) fn switched(&mut self, settings: &ExpertsSettings, loads: usize) {
+    /// Records a map switch that loaded experts.
+    pub(crate) fn record_switch(&mut self, settings: &ExpertsSettings, loads: usize) {
         self.switches += 1;
         self.bytes_moved += loads as u64 * settings.expert_bytes;
-        self.stall_millis += settings.switch_stall + settings.load_stall * loads as f64;
+        self.stall_millis += settings.switch_stall_millis + settings.load_stall_millis * loads as f64;
     }
 }
--- a/crates/porthoist-lab/src/experts/policy.rs
+++ b/crates/porthoist-lab/src/experts/policy.rs
@@ -1,31 +1,32 @@
-//! The policies: static map, full re-balance, oracle, and porthoist's planner.
+//! The compared policies: static map, full re-balance, oracle, and porthoist's planner.
 
-use super::drift::LateWindow;
+use super::drift::DelayedWindow;
 use super::{ExpertsSettings, PolicyResult};
 use porthoist_policy::placement::estimate::GroupEstimator;
 use porthoist_policy::placement::map::ExpertMap;
 use porthoist_policy::placement::{GroupEstimate, PlannerSettings, place_from_scratch, plan, reshare};
 use porthoist_policy::table::PolicyRow;
 
-/// Time between two full re-balances in milliseconds.
-pub const FULL_MILLIS: u64 = 10_000;
-/// The oracle finds its map anew so often, in milliseconds.
-const ORACLE_MILLIS: u64 = 500;
+/// Interval between two full re-balances in milliseconds.
+pub const REBALANCE_INTERVAL_MILLIS: u64 = 10_000;
+/// Interval in milliseconds at which the oracle computes a new map.
+const ORACLE_INTERVAL_MILLIS: u64 = 500;
 
-/// Which policy.
+/// Kind of policy.
 #[derive(Debug, Clone)]
 pub enum PolicyKind {
-    /// The first map for ever.
+    /// Keeps the initial map.
     Static,
-    /// Everything placed anew in every interval, from the same late counts.
+    /// Computes a new map in every interval, from the same delayed counts as the planner.
     Full,
-    /// Sees the true popularity and speed at once and moves for nothing: the limit.
+    /// Knows the actual popularity and speeds without delay and moves experts at no cost: the lower
+    /// bound of the skew.
     Oracle,
     /// Porthoist's planner with a policy row.
     Porthoist(PolicyRow),
 }
 
-/// A map that is being loaded.
+/// A map whose experts are being loaded.
 #[derive(Debug)]
 struct PendingMap {
     ready_at: u64,
@@ -33,7 +34,7 @@
     loads: usize,
 }
 
-/// One group under one policy.
+/// A group with one policy.
 #[derive(Debug)]
 pub struct GroupPolicy {
     kind: PolicyKind,
@@ -41,12 +42,12 @@
     estimator: GroupEstimator,
     map: ExpertMap,
     pending: Option<PendingMap>,
-    next_full: u64,
+    next_rebalance: u64,
     result: PolicyResult,
 }
 
 impl GroupPolicy {
-    /// A group on its first map.
+    /// Creates a group with an initial map.
     pub fn new(
         kind: PolicyKind,
         settings: &ExpertsSettings,
@@ -59,13 +60,14 @@
             estimator: GroupEstimator::new(initial),
             map,
             pending: None,
-            next_full: FULL_MILLIS,
+            next_rebalance: REBALANCE_INTERVAL_MILLIS,
             result: PolicyResult::default(),
         }
     }
 
-    /// Moves on to a time, with the truth (for the oracle) and what became known.
-    pub fn advance(&mut self, now: u64, truth: &GroupEstimate, observed: &[LateWindow]) {
+    /// Advances to a time in milliseconds. `actual` is for the oracle only; `observed` are the
+    /// windows that became known.
+    pub fn advance(&mut self, now: u64, actual: &GroupEstimate, observed: &[DelayedWindow]) {
         if self.pending.as_ref().is_some_and(|pending| pending.ready_at <= now) {
             self.switch();
         }
@@ -76,19 +78,19 @@
         match self.kind.clone() {
             PolicyKind::Static | PolicyKind::Porthoist(_) if observed.is_empty() => {}
             PolicyKind::Static => {}
-            PolicyKind::Full => self.full(now),
-            PolicyKind::Oracle => self.oracle(now, truth),
-            PolicyKind::Porthoist(row) => self.planned(now, &row),
+            PolicyKind::Full => self.rebalance(now),
+            PolicyKind::Oracle => self.place_by_actual(now, actual),
+            PolicyKind::Porthoist(row) => self.apply_plan(now, &row),
         }
     }
 
     fn switch(&mut self) {
         let Some(pending) = self.pending.take() else { return };
         self.map = pending.map;
-        self.result.switched(&self.settings, pending.loads);
+        self.result.record_switch(&self.settings, pending.loads);
     }
 
-    /// Loads what the next map needs; it is used when all is there.
+    /// Loads the experts that the next map needs. The map takes effect once all are loaded.
     fn load(&mut self, now: u64, map: ExpertMap) {
         let loads = map.replicas_missing_in(&self.map);
         if loads == 0 {
@@ -96,27 +98,27 @@
             return;
         }
         let bytes = loads as u64 * self.settings.expert_bytes;
-        let ready_at = now + bytes * 1000 / self.settings.store_rate;
+        let ready_at = now + bytes * 1000 / self.settings.store_bytes_per_second;
         self.pending = Some(PendingMap { ready_at, map, loads });
     }
 
-    fn full(&mut self, now: u64) {
-        if now < self.next_full || self.pending.is_some() {
+    fn rebalance(&mut self, now: u64) {
+        if now < self.next_rebalance || self.pending.is_some() {
             return;
         }
-        self.next_full = now + FULL_MILLIS;
+        self.next_rebalance = now + REBALANCE_INTERVAL_MILLIS;
         let map = place_from_scratch(&self.estimator.estimate(), self.settings.ranks, self.settings.slots);
         self.load(now, map);
     }
 
-    fn oracle(&mut self, now: u64, truth: &GroupEstimate) {
-        if now.is_multiple_of(ORACLE_MILLIS) {
-            self.map = place_from_scratch(truth, self.settings.ranks, self.settings.slots);
+    fn place_by_actual(&mut self, now: u64, actual: &GroupEstimate) {
+        if now.is_multiple_of(ORACLE_INTERVAL_MILLIS) {
+            self.map = place_from_scratch(actual, self.settings.ranks, self.settings.slots);
         }
-        self.map = reshare(&self.map, truth);
+        self.map = reshare(&self.map, actual);
     }
 
-    fn planned(&mut self, now: u64, row: &PolicyRow) {
+    fn apply_plan(&mut self, now: u64, row: &PolicyRow) {
         let estimate = self.estimator.estimate();
         self.map = reshare(&self.map, &estimate);
         if self.pending.is_some() {
@@ -128,12 +130,12 @@
         }
     }
 
-    /// Takes one step.
-    pub fn step(&mut self, now: u64, step: &GroupEstimate) {
-        self.result.step(now, &self.map, step);
+    /// Records one step.
+    pub fn record_step(&mut self, now: u64, step: &GroupEstimate) {
+        self.result.record_step(now, &self.map, step);
     }
 
-    /// What it came to.
+    /// Returns the result.
     pub fn finish(self) -> PolicyResult {
         self.result
     }
