--- a/crates/porthoist-lab/src/capacity.rs
+++ b/crates/porthoist-lab/src/capacity.rs
@@ -1,6 +1,7 @@
-//! Slopes of memory, processor time and bytes, measured on the daemon's own types in this process.
+//! Slopes of memory, processor time and message sizes, measured on the daemon's own types in this
+//! process.
 //!
-//! docs/CAPACITY.md works the size in two years out from them.
+//! docs/CAPACITY.md derives the size expected in two years from them.
 
 use crate::report::rounded;
 use porthoist_core::{
@@ -29,43 +30,43 @@
 /// One measured slope.
 #[derive(Debug, Clone, Serialize)]
 pub struct CapacitySlope {
-    /// What is measured.
+    /// Name of the measured quantity.
     pub name: &'static str,
-    /// Its unit.
+    /// Unit of the value.
     pub unit: &'static str,
-    /// The figure.
+    /// Measured value.
     pub value: f64,
 }
 
-/// Teams at the size in two years.
+/// Number of teams expected in two years.
 const TEAMS: usize = 41_000;
-/// Targets that one entry follows.
+/// Number of targets that one entry follows.
 const TARGETS: usize = 128;
-const ROUNDS: usize = 20_000;
+const CALLS: usize = 20_000;
 const PAGE_BYTES: u64 = 4096;
 
 /// Resident memory of this process.
-fn resident() -> ByteSize {
+fn resident_memory() -> ByteSize {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages: u64 = text.split(' ').nth(1).and_then(|pages| pages.parse().ok()).unwrap_or(0);
     ByteSize(pages * PAGE_BYTES)
 }
 
-/// Bytes that each of `count` things adds, and the things themselves.
-fn bytes_each<T>(count: usize, make: impl FnOnce() -> T) -> (f64, T) {
-    let before = resident();
-    let built = make();
-    let grown = resident().0.saturating_sub(before.0);
-    (grown as f64 / count as f64, built)
+/// Creates `count` items and returns the memory growth per item in bytes, and the items.
+fn bytes_per_item<T>(count: usize, create: impl FnOnce() -> T) -> (f64, T) {
+    let before = resident_memory();
+    let items = create();
+    let growth = resident_memory().0.saturating_sub(before.0);
+    (growth as f64 / count as f64, items)
 }
 
-/// Microseconds of one call.
-fn micros_each(rounds: usize, mut call: impl FnMut(usize)) -> f64 {
-    let began = Instant::now();
-    for round in 0..rounds {
-        call(round);
+/// Mean duration of one call in microseconds.
+fn micros_per_call(calls: usize, mut call: impl FnMut(usize)) -> f64 {
+    let started_at = Instant::now();
+    for call_index in 0..calls {
+        call(call_index);
     }
-    began.elapsed().as_secs_f64() * 1e6 / rounds as f64
+    started_at.elapsed().as_secs_f64() * 1e6 / calls as f64
 }
 
 fn slope(name: &'static str, unit: &'static str, value: f64) -> CapacitySlope {
@@ -93,19 +94,20 @@
 
 /// Measures all slopes.
 pub fn measure() -> Vec<CapacitySlope> {
-    // What is built is never freed, so that each growth of memory is that of the thing alone.
+    // The created items are never freed, so that freed memory can't hide the growth of a later
+    // measurement.
     let mut slopes = target();
     slopes.extend(configuration());
     slopes.extend(limits());
     slopes.extend(routing());
     slopes.extend(messages());
     slopes.extend(placement());
-    slopes.extend(marks());
+    slopes.extend(crash_marks());
     slopes
 }
 
 fn configuration() -> Vec<CapacitySlope> {
-    let (row_bytes, mut state) = bytes_each(TEAMS, || {
+    let (row_bytes, mut state) = bytes_per_item(TEAMS, || {
         let mut state: ConfigState = ConfigState::default();
         let rows = (0..TEAMS).map(team_row).collect();
         state.adopt(ConfigChange { since: 0, revision: 1, rows });
@@ -113,8 +115,9 @@
     });
     let json = serde_json::to_vec(&state.snapshot()).unwrap_or_default().len();
     let mut revision = 1;
-    let adopt = micros_each(20, |round| {
-        let change = ConfigChange { since: revision, revision: revision + 1, rows: vec![team_row(round)] };
+    let adopt = micros_per_call(20, |call_index| {
+        let change =
+            ConfigChange { since: revision, revision: revision + 1, rows: vec![team_row(call_index)] };
         revision += 1;
         state.adopt(change);
         black_box(state.clone());
@@ -131,7 +134,7 @@
     let limit = TeamLimit { rate: RequestRate(50.0), concurrency: 100 };
     let names: Vec<TeamName> = (0..TEAMS).map(team).collect();
     let now = UnixMillis(1_000_000);
-    let (team_bytes, mut limiter) = bytes_each(TEAMS, || {
+    let (team_bytes, mut limiter) = bytes_per_item(TEAMS, || {
         let mut limiter = EntryLimiter::new(63);
         for name in &names {
             black_box(limiter.admit(now, name, limit).is_ok());
@@ -139,24 +142,24 @@
         }
         limiter
     });
-    let admit = micros_each(ROUNDS, |round| {
-        let name = &names[round % names.len()];
+    let admit = micros_per_call(CALLS, |call_index| {
+        let name = &names[call_index % names.len()];
         black_box(limiter.admit(now, name, limit).is_ok());
         limiter.release(name);
     });
-    let due = micros_each(50, |round| {
-        black_box(limiter.due(now.plus(round as u64)));
+    let due = micros_per_call(50, |call_index| {
+        black_box(limiter.due(now.plus(call_index as u64)));
     });
     let buckets = 20 * TEAMS;
-    let (kept_bytes, mut coordinator) = bytes_each(buckets, || {
+    let (bucket_bytes, mut coordinator) = bytes_per_item(buckets, || {
         let mut coordinator = LimitCoordinator::new();
         for team in 0..buckets as u64 {
             coordinator.settle(now, SettleAsk { team, debt: 1, wanted: 0 }, limit);
         }
         coordinator
     });
-    let settle = micros_each(ROUNDS, |round| {
-        let team = (round % TEAMS) as u64;
+    let settle = micros_per_call(CALLS, |call_index| {
+        let team = (call_index % TEAMS) as u64;
         black_box(coordinator.settle(now, SettleAsk { team, debt: 1, wanted: 1 }, limit));
     });
     std::mem::forget((limiter, coordinator));
@@ -164,7 +167,7 @@
         slope("limits: memory of an active team at an entry", "B", team_bytes),
         slope("limits: admit a request", "us", admit),
         slope("limits: look for due settlements among 41,000 active teams", "us", due),
-        slope("limits: memory of a kept bucket", "B", kept_bytes),
+        slope("limits: memory of a kept bucket", "B", bucket_bytes),
         slope("limits: settle a team", "us", settle),
     ]
 }
@@ -174,7 +177,7 @@
     let service: ServiceName = "model".parse().expect("valid");
     let names: Vec<TargetName> =
         (0..TARGETS).map(|index| format!("target-{index}").parse().expect("valid")).collect();
-    let (target_bytes, mut router) = bytes_each(TARGETS, || {
+    let (target_bytes, mut router) = bytes_per_item(TARGETS, || {
         let mut router = Router::new(RouterSettings::builder().zone(zone.clone()).build());
         for (index, name) in names.iter().enumerate() {
             router.upsert(RouteTarget {
@@ -199,13 +202,13 @@
         prefix_blocks: &blocks,
         exclude: &[],
     };
-    let choose = micros_each(ROUNDS, |round| {
+    let choose = micros_per_call(CALLS, |call_index| {
         if let Ok(choice) = router.choose(&query) {
-            router.sent(query.now, &choice.target, attempt(round), &query);
-            router.done(&choice.target, attempt(round));
+            router.sent(query.now, &choice.target, attempt(call_index), &query);
+            router.done(&choice.target, attempt(call_index));
         }
     });
-    let (decision_bytes, log) = bytes_each(1_000_000, || {
+    let (decision_bytes, log) = bytes_per_item(1_000_000, || {
         let mut log = DecisionLog::new(1_000_000);
         for index in 0..1_000_000 {
             let kind = DecisionKind::Offered {
@@ -232,15 +235,15 @@
     let deadline = UnixDeadline(UnixMillis(1_000_000));
     let now = UnixMillis(1);
     let count = 100_000;
-    let (ticket_bytes, mut gate) = bytes_each(count, || {
+    let (ticket_bytes, mut gate) = bytes_per_item(count, || {
         let mut gate = GateMachine::new(incarnation, 2 * count);
         for _ in 0..count {
             gate.mint(now, deadline);
         }
         gate
     });
-    let offer = micros_each(ROUNDS, |round| {
-        let key = GateKey::Ticket(round as u64 + 1);
+    let offer = micros_per_call(CALLS, |call_index| {
+        let key = GateKey::Ticket(call_index as u64 + 1);
         let offer = GateOffer { key, incarnation, fingerprint: 1, deadline };
         black_box(gate.offer(now, offer, || Ok(())));
         gate.finished(key);
@@ -275,7 +278,7 @@
 
 fn messages() -> Vec<CapacitySlope> {
     let request = request_offer(2000);
-    let encode = micros_each(ROUNDS, |_round| {
+    let encode = micros_per_call(CALLS, |_call_index| {
         let mut message = capnp::message::Builder::new_default();
         write_offer(message.init_root::<offer::Builder<'_>>(), &request);
         let reader = message.into_reader();
@@ -291,7 +294,7 @@
     write_outcome(message.init_root::<outcome::Builder<'_>>(), &refused, &load);
     let outcome_bytes = capnp::serialize::write_message_to_words(&message).len();
     let mut message = capnp::message::Builder::new_default();
-    let own = FleetDigest {
+    let own_digest = FleetDigest {
         node: "entry-123".parse().expect("valid"),
         zone: "zone-1".parse().expect("valid"),
         revision: 1,
@@ -299,8 +302,8 @@
         wants_hosts: false,
         hosts: Vec::new(),
     };
-    let written = write_digest(message.init_root::<digest::Builder<'_>>(), &own).is_ok();
-    let digest_bytes = capnp::serialize::write_message_to_words(&message).len() * usize::from(written);
+    let is_valid = write_digest(message.init_root::<digest::Builder<'_>>(), &own_digest).is_ok();
+    let digest_bytes = capnp::serialize::write_message_to_words(&message).len() * usize::from(is_valid);
     let ask_bytes = |count: u64| {
         let asks: Vec<SettleAsk> = (0..count).map(|team| SettleAsk { team, debt: 1, wanted: 1 }).collect();
         let mut message = capnp::message::Builder::new_default();
@@ -326,84 +329,87 @@
     let settings = PlannerSettings::builder().skew_weight(4.0).move_weight(1.0).build();
     let map =
         place_from_scratch(&GroupEstimate { popularity: vec![1.0 / 128.0; 128], ..estimate.clone() }, 64, 3);
-    let planned = micros_each(5, |_round| {
+    let plan_micros = micros_per_call(5, |_call_index| {
         black_box(plan(&map, &estimate, &settings));
     });
-    let mut slopes = vec![slope("placement: plan for 64 ranks and 128 experts after a jump", "us", planned)];
-    slopes.extend(even_maps());
+    let mut slopes =
+        vec![slope("placement: plan for 64 ranks and 128 experts after a jump", "us", plan_micros)];
+    slopes.extend(equal_share_maps());
     slopes
 }
 
-/// Bodies whose marks are timed: a usual one, the longest whose answer is remembered, and the longest that entries take.
-const MARKED_BODIES: [(usize, &str); 3] = [
+/// Sizes of the bodies that are marked: a usual one, the longest whose answer is kept, and the
+/// longest that entries accept.
+const BODY_CASES: [(usize, &str); 3] = [
     (3 * 1024, "marks: of a request with a body of 3 KB"),
     (16 * 1024, "marks: of a request with a body of 16 KB"),
     (4 * 1024 * 1024, "marks: of a request with a body of 4 MB"),
 ];
 
-/// The price of telling whether a request is one that targets died under.
-fn marks() -> Vec<CapacitySlope> {
+/// Cost of checking whether a request is one that crashed targets.
+fn crash_marks() -> Vec<CapacitySlope> {
     let head = |body_bytes| MarkedHead {
         host: "refunds.example",
         path: "/receipts/read?market=7",
         team: Some("border"),
         body_bytes,
     };
-    let unknown = micros_each(10_000, |index| {
+    let head_micros = micros_per_call(10_000, |index| {
         black_box(head(index).digest());
     });
-    let mut slopes = vec![slope("marks: of a request without its body", "us", unknown)];
-    slopes.extend(MARKED_BODIES.map(|(bytes, name)| {
+    let mut slopes = vec![slope("marks: of a request without its body", "us", head_micros)];
+    slopes.extend(BODY_CASES.map(|(bytes, name)| {
         let body = vec![7; bytes];
-        let micros = micros_each(20, |_round| {
+        let micros = micros_per_call(20, |_call_index| {
             black_box(head(bytes).mark(&body));
         });
         slope(name, "us", micros)
     }));
-    let mut book = QuarantineTracker::default();
+    let mut tracker = QuarantineTracker::default();
     let report = CrashReport { died: UnixMillis(1_000), ranked: true, by: "entry-1".into() };
     for index in 0..MAX_MARKS {
         let mark = head(index).mark(&[]);
-        book.died(&CrashKey { mark, target: "t".into() }, report.clone(), UnixMillis(1_000));
+        tracker.died(&CrashKey { mark, target: "t".into() }, report.clone(), UnixMillis(1_000));
     }
-    let asked = micros_each(1_000, |index| {
-        black_box(book.knows_head(index as u64));
+    let lookup = micros_per_call(1_000, |index| {
+        black_box(tracker.knows_head(index as u64));
     });
-    slopes.push(slope("marks: a request asked about in a full book", "us", asked));
+    slopes.push(slope("marks: a request asked about in a full book", "us", lookup));
     slopes
 }
 
-/// Ranks of the groups that expert maps are planned for.
-const GROUP_RANKS: [(usize, &str); 3] = [
+/// Numbers of ranks for which expert maps are planned.
+const RANK_CASES: [(usize, &str); 3] = [
     (24, "expert maps: plan for 24 ranks after a shift, 16 sets of 258 experts"),
     (63, "expert maps: plan for 63 ranks after a shift, 16 sets of 258 experts"),
     (129, "expert maps: plan for 129 ranks after a shift, 16 sets of 258 experts"),
 ];
-/// Sets, and experts in each.
-const SETS: usize = 16;
-const SET_EXPERTS: usize = 258;
+/// Number of expert sets, and number of experts in each set.
+const EXPERT_SETS: usize = 16;
+const EXPERTS_PER_SET: usize = 258;
 
-/// One plan after half of the demand went to other experts, with two copies a rank.
-fn even_maps() -> Vec<CapacitySlope> {
-    let timed = |(ranks, name): (usize, &'static str)| {
-        let places = SET_EXPERTS.div_ceil(ranks) + 1;
-        let held = |rank: usize| {
-            (0..places).map(|place| ExpertId(((place * ranks + rank) % SET_EXPERTS) as u16)).collect()
+/// Cost of one plan after half of the demand moved to other experts, with at most two new copies
+/// per rank.
+fn equal_share_maps() -> Vec<CapacitySlope> {
+    let measure_group = |(ranks, name): (usize, &'static str)| {
+        let places = EXPERTS_PER_SET.div_ceil(ranks) + 1;
+        let slots_of = |rank: usize| {
+            (0..places).map(|place| ExpertId(((place * ranks + rank) % EXPERTS_PER_SET) as u16)).collect()
         };
-        let map = EqualShareMap::new(vec![(0..ranks).map(held).collect(); SETS]);
-        let demand: Vec<Vec<f64>> = (0..SETS).map(shifted_demand).collect();
+        let map = EqualShareMap::new(vec![(0..ranks).map(slots_of).collect(); EXPERT_SETS]);
+        let demand: Vec<Vec<f64>> = (0..EXPERT_SETS).map(shifted_demand).collect();
         let bounds = EqualShareBounds { places, spare: 2, new_a_rank: 2, move_price: 0.6 / ranks as f64 };
-        let micros = micros_each(5, |_round| {
+        let micros = micros_per_call(5, |_call_index| {
             black_box(improve(&map, &demand, &[], &bounds));
         });
         slope(name, "us", micros)
     };
-    GROUP_RANKS.into_iter().map(timed).collect()
+    RANK_CASES.into_iter().map(measure_group).collect()
 }
 
-/// A few experts of a set get much of its demand.
+/// Demand of a set in which a few experts get a large part.
 fn shifted_demand(set: usize) -> Vec<f64> {
-    let weight = |expert: usize| 1.0 / (1.0 + ((expert * 7 + set * 31) % SET_EXPERTS) as f64);
-    let total: f64 = (0..SET_EXPERTS).map(weight).sum();
-    (0..SET_EXPERTS).map(|expert| weight(expert) / total).collect()
+    let weight = |expert: usize| 1.0 / (1.0 + ((expert * 7 + set * 31) % EXPERTS_PER_SET) as f64);
+    let total: f64 = (0..EXPERTS_PER_SET).map(weight).sum();
+    (0..EXPERTS_PER_SET).map(|expert| weight(expert) / total).collect()
 }
--- a/crates/porthoist-lab/src/load.rs
+++ b/crates/porthoist-lab/src/load.rs
@@ -1,4 +1,5 @@
-//! Load on running processes: the same requests through an entry and straight to the engine, in turns.
+//! Load on running processes: the same requests through an entry and directly to the engine, in
+//! turns.
 
 use crate::report::{Distribution, rounded};
 use bytes::Bytes;
@@ -9,108 +10,115 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What is asked for, how often and how long.
+/// Requests to send, their rate and the duration.
 #[derive(Debug, Clone)]
 pub struct LoadPlan {
-    /// URL of the request.
+    /// URL of the requests.
     pub url: String,
-    /// Team header, for an entry.
+    /// Value of the team header, for requests to an entry; empty for none.
     pub team: String,
-    /// Body.
+    /// Body of the requests.
     pub body: String,
-    /// Requests a second; 0 sends as fast as the connections allow.
+    /// Requests per second; 0 sends as fast as the connections allow.
     pub rate: u64,
-    /// Connections.
+    /// Number of connections.
     pub connections: usize,
-    /// How long, in milliseconds.
+    /// Duration in milliseconds.
     pub millis: u64,
 }
 
-/// What came of it.
+/// Result of one load.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct LoadResult {
-    /// Requests answered with 200.
+    /// Number of requests answered with status 200.
     pub answered: u64,
-    /// Requests refused, with their status.
+    /// Number of requests answered with another status.
     pub refused: u64,
-    /// Requests without an answer.
+    /// Number of requests without an answer.
     pub failed: u64,
-    /// Answers a second.
+    /// Answers per second.
     pub answers_per_second: f64,
-    /// Latency at the median in milliseconds, from the planned time.
+    /// Median latency in milliseconds, from the planned send time.
     pub p50_ms: f64,
-    /// At the 99th percentile.
+    /// 99th percentile of the latency in milliseconds.
     pub p99_ms: f64,
-    /// At the 99.9th percentile.
+    /// 99.9th percentile of the latency in milliseconds.
     pub p999_ms: f64,
 }
 
 #[derive(Debug, Default)]
-struct Tally {
+struct LoadCounts {
     latency: Distribution,
     answered: u64,
     refused: u64,
     failed: u64,
 }
 
-/// Sends the load and waits for its end. Latency counts from the planned time, so that a stall is not left out.
+/// Sends the load and waits until it ends. Latency counts from the planned send time, so that a
+/// stall includes the requests it delayed.
 pub async fn send(plan: &LoadPlan) -> LoadResult {
-    let tally = Arc::new(Mutex::new(Tally::default()));
-    let began = Instant::now();
-    let ends = began + Duration::from_millis(plan.millis);
+    let total = Arc::new(Mutex::new(LoadCounts::default()));
+    let started_at = Instant::now();
+    let ends_at = started_at + Duration::from_millis(plan.millis);
     let mut workers = Vec::with_capacity(plan.connections);
     for worker in 0..plan.connections {
-        let (plan, tally) = (plan.clone(), Arc::clone(&tally));
-        workers.push(tokio::spawn(work(plan, worker, began, ends, tally)));
+        let (plan, total) = (plan.clone(), Arc::clone(&total));
+        workers.push(tokio::spawn(run_worker(plan, worker, started_at, ends_at, total)));
     }
     for worker in workers {
-        // A worker that panicked has already said so.
+        // The panic message of a worker is already printed.
         drop(worker.await);
     }
-    let seconds = began.elapsed().as_secs_f64();
-    let tally = tally.lock().expect("no worker panics while it counts");
+    let seconds = started_at.elapsed().as_secs_f64();
+    let total = total.lock().expect("no worker panics while it counts");
     LoadResult {
-        answered: tally.answered,
-        refused: tally.refused,
-        failed: tally.failed,
-        answers_per_second: rounded(tally.answered as f64 / seconds),
-        p50_ms: rounded(tally.latency.at(0.5)),
-        p99_ms: rounded(tally.latency.at(0.99)),
-        p999_ms: rounded(tally.latency.at(0.999)),
+        answered: total.answered,
+        refused: total.refused,
+        failed: total.failed,
+        answers_per_second: rounded(total.answered as f64 / seconds),
+        p50_ms: rounded(total.latency.at(0.5)),
+        p99_ms: rounded(total.latency.at(0.99)),
+        p999_ms: rounded(total.latency.at(0.999)),
     }
 }
 
-async fn work(plan: LoadPlan, worker: usize, began: Instant, ends: Instant, tally: Arc<Mutex<Tally>>) {
+async fn run_worker(
+    plan: LoadPlan,
+    worker: usize,
+    started_at: Instant,
+    ends_at: Instant,
+    total: Arc<Mutex<LoadCounts>>,
+) {
     let client = HttpClient::new();
-    let gap = if plan.rate == 0 { 0.0 } else { plan.connections as f64 / plan.rate as f64 };
-    let offset = gap * worker as f64 / plan.connections as f64;
-    let mut own = Tally::default();
+    let interval = if plan.rate == 0 { 0.0 } else { plan.connections as f64 / plan.rate as f64 };
+    let offset = interval * worker as f64 / plan.connections as f64;
+    let mut counts = LoadCounts::default();
     let mut sent = 0_u32;
     loop {
-        let planned = match plan.rate {
+        let planned_at = match plan.rate {
             0 => Instant::now(),
-            _ => began + Duration::from_secs_f64(offset + gap * f64::from(sent)),
+            _ => started_at + Duration::from_secs_f64(offset + interval * f64::from(sent)),
         };
-        if planned >= ends {
+        if planned_at >= ends_at {
             break;
         }
-        tokio::time::sleep_until(planned.into()).await;
+        tokio::time::sleep_until(planned_at.into()).await;
         sent += 1;
-        let start = if plan.rate == 0 { Instant::now() } else { planned };
+        let measured_from = if plan.rate == 0 { Instant::now() } else { planned_at };
         match client.fetch(request(&plan)).await {
             Ok(answer) if answer.status() == 200 => {
-                own.answered += 1;
-                own.latency.add(start.elapsed().as_secs_f64() * 1000.0);
+                counts.answered += 1;
+                counts.latency.add(measured_from.elapsed().as_secs_f64() * 1000.0);
             }
-            Ok(_refused) => own.refused += 1,
-            Err(_lost) => own.failed += 1,
+            Ok(_refused) => counts.refused += 1,
+            Err(_error) => counts.failed += 1,
         }
     }
-    let mut all = tally.lock().expect("no worker panics while it counts");
-    all.answered += own.answered;
-    all.refused += own.refused;
-    all.failed += own.failed;
-    all.latency.merge(&own.latency);
+    let mut total = total.lock().expect("no worker panics while it counts");
+    total.answered += counts.answered;
+    total.refused += counts.refused;
+    total.failed += counts.failed;
+    total.latency.merge(&counts.latency);
 }
 
 fn request(plan: &LoadPlan) -> Request<Full<Bytes>> {
