--- a/crates/porthoist-lab/src/cmd.rs
+++ b/crates/porthoist-lab/src/cmd.rs
@@ -1,4 +1,4 @@
-//! The subcommands, a file for each.
+//! The subcommands, one per file.
 
 pub mod capacity;
 pub mod experts;
@@ -12,7 +12,7 @@
 
 use argh::FromArgs;
 
-/// Measure porthoist: experiments with its decisions against baselines, and load on its processes.
+/// Measure porthoist: simulate its decisions in comparison with baselines, and load its processes.
 #[derive(Debug, FromArgs)]
 pub struct LabArgs {
     #[argh(subcommand)]
@@ -33,7 +33,7 @@
     Storm(storm::StormArgs),
 }
 
-/// Runs a command and returns its report.
+/// Runs a subcommand and returns its report.
 pub fn run(args: LabArgs) -> miette::Result<String> {
     match args.command {
         LabCommand::Capacity(args) => capacity::run(&args),
--- a/crates/porthoist-lab/src/cmd/capacity.rs
+++ b/crates/porthoist-lab/src/cmd/capacity.rs
@@ -1,11 +1,12 @@
-//! `porthoist-lab capacity`.
+//! The `capacity` subcommand.
 
 use crate::capacity::{CapacitySlope, measure};
 use crate::report::ReportFormat;
 use argh::FromArgs;
 use std::fmt::Write as _;
 
-/// Measure the slopes of docs/CAPACITY.md: memory, processor time and bytes of the daemon's own types.
+/// Measure the slopes of docs/CAPACITY.md: memory, processor time and message sizes of the daemon's
+/// own types.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "capacity")]
 pub struct CapacityArgs {
@@ -14,7 +15,7 @@
     format: ReportFormat,
 }
 
-/// Runs the command.
+/// Runs the subcommand and returns its report.
 pub fn run(args: &CapacityArgs) -> miette::Result<String> {
     let slopes = measure();
     Ok(args.format.show(&slopes, || text(&slopes)))
--- a/crates/porthoist-lab/src/cmd/experts.rs
+++ b/crates/porthoist-lab/src/cmd/experts.rs
@@ -1,4 +1,4 @@
-//! `porthoist-lab experts`.
+//! The `experts` subcommand.
 
 use crate::experts::{ExpertsSettings, PolicyReport, PolicyResult, report, run as run_policies};
 use crate::plot::{PlotFrame, PlotSeries, draw_lines};
@@ -9,32 +9,34 @@
 use std::fmt::Write as _;
 use std::path::Path;
 
-/// Compare expert placement under drifting popularity with a static map, a full re-balance and an oracle.
+/// Compare expert placement under drifting popularity with a static map, a full re-balance and an
+/// oracle.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "experts")]
 pub struct ExpertsArgs {
     /// seed (default 1)
     #[argh(option, default = "1")]
     seed: u64,
-    /// ranks: 8 or 64; without it both
+    /// number of ranks: 8 or 64 (default both)
     #[argh(option)]
     ranks: Option<usize>,
     /// simulated seconds (default 1800)
     #[argh(option, default = "1800")]
     seconds: u64,
-    /// popularity is known so late, in milliseconds (default 1000)
+    /// delay after which popularity is known, in milliseconds (default 1000)
     #[argh(option, default = "1000")]
     lag_ms: u64,
-    /// factor on the time between jumps and stragglers (default 1)
+    /// factor on the mean time between jumps and between stragglers (default 1)
     #[argh(option, default = "1.0")]
     calm: f64,
-    /// factor on the cost of loads: bytes and stalls (default 1)
+    /// factor on the cost of loading experts: bytes and stalls (default 1)
     #[argh(option, default = "1.0")]
     cost: f64,
     /// text or json
     #[argh(option, default = "ReportFormat::Text")]
     format: ReportFormat,
-    /// SVG file for a plot of the skew over time, with RANKS in its name replaced
+    /// SVG file for a plot of the skew over time; RANKS in its name is replaced by the number of
+    /// ranks
     #[argh(option)]
     plot: Option<String>,
 }
@@ -48,7 +50,7 @@
 }
 
 fn settings(args: &ExpertsArgs, ranks: usize) -> ExpertsSettings {
-    // A quarter more slots than experts; a rank of 64 holds three.
+    // A quarter more slots than experts in total; with 64 ranks, three slots per rank.
     let slots = if ranks >= 64 { 3 } else { 128 * 5 / 4 / ranks };
     let mut drift = crate::experts::drift::DriftSettings::default();
     drift.jump_interval_seconds *= args.calm;
@@ -65,7 +67,7 @@
     }
 }
 
-/// Runs the command.
+/// Runs the subcommand and returns its report.
 pub fn run(args: &ExpertsArgs) -> miette::Result<String> {
     let sizes = args.ranks.map_or_else(|| vec![8, 64], |ranks| vec![ranks]);
     let mut groups = BTreeMap::new();
@@ -76,8 +78,8 @@
         }
         groups.insert(ranks, report(&results));
     }
-    let all = ExpertsReport { seed: args.seed, seconds: args.seconds, lag_ms: args.lag_ms, groups };
-    Ok(args.format.show(&all, || text(&all)))
+    let comparison = ExpertsReport { seed: args.seed, seconds: args.seconds, lag_ms: args.lag_ms, groups };
+    Ok(args.format.show(&comparison, || text(&comparison)))
 }
 
 fn plot(path: &str, ranks: usize, results: &BTreeMap<String, PolicyResult>) -> Result<(), String> {
@@ -94,9 +96,12 @@
     draw_lines(Path::new(path), &frame, &series)
 }
 
-fn text(all: &ExpertsReport) -> String {
-    let mut text = format!("seed {}, {} s, popularity {} ms late\n", all.seed, all.seconds, all.lag_ms);
-    for (ranks, rows) in &all.groups {
+fn text(comparison: &ExpertsReport) -> String {
+    let mut text = format!(
+        "seed {}, {} s, popularity {} ms late\n",
+        comparison.seed, comparison.seconds, comparison.lag_ms
+    );
+    for (ranks, rows) in &comparison.groups {
         writeln!(
             text,
             "{ranks} ranks: skew ms p50 p99, step ms p99, GB moved, stall ms, gap closed, bytes of full"
--- a/crates/porthoist-lab/src/cmd/groups.rs
+++ b/crates/porthoist-lab/src/cmd/groups.rs
@@ -1,4 +1,4 @@
-//! `porthoist-lab groups`.
+//! The `groups` subcommand.
 
 use crate::overload::groups::{GroupFault, GroupsReport, compare};
 use crate::plot::{PlotFrame, draw_lines, series_of};
@@ -9,20 +9,20 @@
 use std::fmt::Write as _;
 use std::path::Path;
 
-/// Compare ways to judge groups while one of three is slow, held or cut off.
+/// Compare ways to treat the groups of a service while one of three is slow, held or cut off.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "groups")]
 pub struct GroupsArgs {
     /// seed (default 1)
     #[argh(option, default = "1")]
     seed: u64,
-    /// played seconds (default 20)
+    /// simulated seconds (default 20)
     #[argh(option, default = "20")]
     seconds: u64,
     /// text or json
     #[argh(option, default = "ReportFormat::Text")]
     format: ReportFormat,
-    /// SVG file for a plot of the credit by fault, in the order of the text
+    /// SVG file for a plot of the credit by fault, in the order of the text report
     #[argh(option)]
     plot: Option<String>,
 }
@@ -33,7 +33,7 @@
     ways: BTreeMap<&'static str, GroupsReport>,
 }
 
-/// Runs the command.
+/// Runs the subcommand and returns its report.
 pub fn run(args: &GroupsArgs) -> miette::Result<String> {
     let simulate =
         |fault: GroupFault| FaultRows { fault: fault.name(), ways: compare(fault, args.seconds, args.seed) };
--- a/crates/porthoist-lab/src/cmd/limits.rs
+++ b/crates/porthoist-lab/src/cmd/limits.rs
@@ -1,4 +1,4 @@
-//! `porthoist-lab limits`.
+//! The `limits` subcommand.
 
 use crate::limits::{LimitReport, LimitSettings, run as run_case};
 use crate::report::ReportFormat;
@@ -6,7 +6,8 @@
 use serde::Serialize;
 use std::fmt::Write as _;
 
-/// Measure limits under skewed entries, a cut and replaced entries, with 10 and with 41,000 teams.
+/// Measure team limits under skewed arrivals, a network partition and replaced entries, with 10 and
+/// with 41,000 teams.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "limits")]
 pub struct LimitsArgs {
@@ -22,18 +23,19 @@
 }
 
 #[derive(Debug, Serialize)]
-struct AllCases {
+struct LimitComparison {
     seed: u64,
     cases: Vec<LimitReport>,
 }
 
-/// Runs the command.
+/// Runs the subcommand and returns its report.
 pub fn run(args: &LimitsArgs) -> miette::Result<String> {
     let small = |skew: f64| {
         let base = LimitSettings::builder().seed(args.seed).seconds(args.seconds);
         base.teams(10).entries(3).rate(600.0).skew(skew)
     };
-    // A zone at the size in two years: a ninth of 570 entries, of 10,000 requests a second.
+    // One zone at the size expected in two years: a ninth of 570 entries and of 10,000 requests per
+    // second.
     let large =
         LimitSettings::builder().seed(args.seed).seconds(args.seconds).teams(41_000).entries(63).rate(1111.0);
     let cases = vec![
@@ -43,16 +45,16 @@
         run_case(&small(0.9).replace(true).build(), "10 teams, 3 entries, skewed, one replaced every 5 s"),
         run_case(&large.skew(0.3).build(), "41,000 teams, 63 entries, 3 in 10 at one entry"),
     ];
-    let all = AllCases { seed: args.seed, cases };
-    Ok(args.format.show(&all, || text(&all)))
+    let comparison = LimitComparison { seed: args.seed, cases };
+    Ok(args.format.show(&comparison, || text(&comparison)))
 }
 
-fn text(all: &AllCases) -> String {
+fn text(comparison: &LimitComparison) -> String {
     let mut text = format!(
         "seed {}: over, over in the cut, unused, refused below limit, messages/s, bytes/s\n",
-        all.seed
+        comparison.seed
     );
-    for case in &all.cases {
+    for case in &comparison.cases {
         writeln!(
             text,
             "  {:<48} {:>7.4} {:>7.4} {:>7.4} {:>7.4} {:>7.2} {:>8.1}",
--- a/crates/porthoist-lab/src/cmd/load.rs
+++ b/crates/porthoist-lab/src/cmd/load.rs
@@ -1,4 +1,4 @@
-//! `porthoist-lab load`.
+//! The `load` subcommand.
 
 use crate::load::{LoadPlan, LoadResult, send};
 use crate::report::{ReportFormat, rounded};
@@ -6,11 +6,12 @@
 use miette::IntoDiagnostic as _;
 use serde::Serialize;
 
-/// Measure an entry and its target against the engine asked directly, in turns, on loopback.
+/// Measure an entry and its target in comparison with direct requests to the engine, in turns, on
+/// loopback.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "load")]
 pub struct LoadArgs {
-    /// URL of the entry's callers' listener, http://127.0.0.1:PORT
+    /// URL of the entry's listener for callers, http://127.0.0.1:PORT
     #[argh(option)]
     entry: String,
     /// URL of the engine
@@ -22,22 +23,22 @@
     /// model (default demo-model)
     #[argh(option, default = "String::from(\"demo-model\")")]
     model: String,
-    /// requests a second (default 2000)
+    /// requests per second (default 2000)
     #[argh(option, default = "2000")]
     rate: u64,
-    /// connections (default 32)
+    /// number of connections (default 32)
     #[argh(option, default = "32")]
     connections: usize,
-    /// length of each turn in milliseconds (default 4000)
+    /// duration of each turn in milliseconds (default 4000)
     #[argh(option, default = "4000")]
     turn_ms: u64,
-    /// turns for each side (default 3)
+    /// number of turns for each side (default 3)
     #[argh(option, default = "3")]
     turns: usize,
-    /// stream the answers
+    /// request streamed answers
     #[argh(switch)]
     stream: bool,
-    /// tokens of an answer (default 4)
+    /// tokens per answer (default 4)
     #[argh(option, default = "4")]
     tokens: u32,
     /// text or json
@@ -56,10 +57,10 @@
     flat_out_direct: LoadResult,
 }
 
-/// Most requests a second that are asked for: the load is for loopback and bounded.
+/// Maximum number of requests per second. The load is bounded because it is for loopback only.
 const MAX_RATE: u64 = 50_000;
 
-fn checked_url(text: &str) -> miette::Result<String> {
+fn loopback_url(text: &str) -> miette::Result<String> {
     let uri: hyper::Uri = text.parse().into_diagnostic()?;
     let host = uri.host().unwrap_or("");
     if !matches!(host, "127.0.0.1" | "localhost" | "[::1]") {
@@ -82,22 +83,22 @@
     }
 }
 
-/// Runs the command.
+/// Runs the subcommand and returns its report.
 pub fn run(args: &LoadArgs) -> miette::Result<String> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
         .enable_all()
         .build()
         .into_diagnostic()?;
-    let direct = plan(args, checked_url(&args.direct)?, "");
-    let entry = plan(args, checked_url(&args.entry)?, &args.team);
+    let direct = plan(args, loopback_url(&args.direct)?, "");
+    let entry = plan(args, loopback_url(&args.entry)?, &args.team);
     let report = runtime.block_on(measure(args, direct, entry));
     Ok(args.format.show(&report, || text(&report)))
 }
 
 async fn measure(args: &LoadArgs, direct: LoadPlan, entry: LoadPlan) -> LoadReport {
     let (mut direct_turns, mut entry_turns) = (Vec::new(), Vec::new());
-    // The first turn of each warms up connections and is not reported.
+    // The first turn of each side warms up connections and is not reported.
     send(&LoadPlan { millis: 500, ..direct.clone() }).await;
     send(&LoadPlan { millis: 500, ..entry.clone() }).await;
     for _ in 0..args.turns {
@@ -106,12 +107,12 @@
     }
     let flat_out_direct = send(&LoadPlan { rate: 0, ..direct }).await;
     let flat_out = send(&LoadPlan { rate: 0, ..entry }).await;
-    let added =
+    let added_latency =
         |value: fn(&LoadResult) -> f64| rounded(median(&entry_turns, value) - median(&direct_turns, value));
     LoadReport {
         rate: args.rate,
-        added_p50_ms: added(|turn| turn.p50_ms),
-        added_p99_ms: added(|turn| turn.p99_ms),
+        added_p50_ms: added_latency(|turn| turn.p50_ms),
+        added_p99_ms: added_latency(|turn| turn.p99_ms),
         direct: direct_turns,
         entry: entry_turns,
         flat_out,
--- a/crates/porthoist-lab/src/cmd/needs.rs
+++ b/crates/porthoist-lab/src/cmd/needs.rs
@@ -1,4 +1,4 @@
-//! `porthoist-lab needs`.
+//! The `needs` subcommand.
 
 use crate::needs::{LimitMethod, NeedsReport, NeedsSettings, simulate};
 use crate::report::ReportFormat;
@@ -7,20 +7,21 @@
 use serde::Serialize;
 use std::fmt::Write as _;
 
-/// Measure ways to keep a limit that a target names over 3 to 600 entries that can't hear each other.
+/// Compare methods to enforce the rate limit that a target announces across 3 to 600 entries that
+/// can't communicate.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "needs")]
 pub struct NeedsArgs {
     /// seed (default 1)
     #[argh(option, default = "1")]
     seed: u64,
-    /// the limit, in requests a second (default 1)
+    /// the limit, in requests per second (default 1)
     #[argh(option, default = "RequestRate(1.0)")]
     limit: RequestRate,
     /// simulated seconds (default 300)
     #[argh(option, default = "300")]
     seconds: u64,
-    /// by how many milliseconds clocks differ at most (default 0)
+    /// maximum clock offset between entries, in milliseconds (default 0)
     #[argh(option, default = "0")]
     clocks_apart: u64,
     /// text or json
@@ -37,7 +38,7 @@
     ways: Vec<NeedsReport>,
 }
 
-/// Runs the command.
+/// Runs the subcommand and returns its report.
 pub fn run(args: &NeedsArgs) -> miette::Result<String> {
     let cases = ENTRY_COUNTS.map(|entries| {
         let settings = NeedsSettings::builder().seed(args.seed).entries(entries).limit(args.limit);
--- a/crates/porthoist-lab/src/cmd/overload.rs
+++ b/crates/porthoist-lab/src/cmd/overload.rs
@@ -1,4 +1,4 @@
-//! `porthoist-lab overload`.
+//! The `overload` subcommand.
 
 use crate::overload::callers::CallerLoad;
 use crate::overload::{OverloadReport, OverloadSettings, compare};
@@ -15,14 +15,14 @@
 /// Simulated outages, in seconds.
 const OUTAGE_SECONDS: [u64; 4] = [1, 3, 6, 10];
 
-/// Compare who waits and who is refused under overload with fixed rules and one that knows all.
+/// Compare queueing and refusals under overload with fixed rules and an omniscient one.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "overload")]
 pub struct OverloadArgs {
     /// seed (default 1)
     #[argh(option, default = "1")]
     seed: u64,
-    /// played seconds (default 40)
+    /// simulated seconds (default 40)
     #[argh(option, default = "40")]
     seconds: u64,
     /// text or json
@@ -52,7 +52,7 @@
     steady.into_iter().chain(others).chain(outages).collect()
 }
 
-/// Runs the command.
+/// Runs the subcommand and returns its report.
 pub fn run(args: &OverloadArgs) -> miette::Result<String> {
     let simulate = |(name, load): (String, CallerLoad)| {
         let settings = OverloadSettings::builder().seed(args.seed).load(load).seconds(args.seconds).build();
--- a/crates/porthoist-lab/src/cmd/route.rs
+++ b/crates/porthoist-lab/src/cmd/route.rs
@@ -1,4 +1,4 @@
-//! `porthoist-lab route`.
+//! The `route` subcommand.
 
 use crate::plot::{PlotFrame, PlotSeries, draw_lines};
 use crate::report::{ReportFormat, rounded};
@@ -9,7 +9,7 @@
 use std::fmt::Write as _;
 use std::path::Path;
 
-/// Compare routing under late load reports with simple policies and an omniscient one.
+/// Compare routing with delayed load reports with simple policies and an omniscient one.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "route")]
 pub struct RouteArgs {
@@ -19,37 +19,37 @@
     /// simulated seconds (default 120)
     #[argh(option, default = "120")]
     seconds: u64,
-    /// percentages of capacity, joined by commas (default 50,80,95,120)
+    /// loads in percent of capacity, separated by commas (default 50,80,95,120)
     #[argh(option, default = "String::from(\"50,80,95,120\")")]
     loads: String,
-    /// longest lag of reports and cache events in milliseconds (default 2000)
+    /// maximum delay of reports and cache events in milliseconds (default 2000)
     #[argh(option, default = "2000")]
     max_lag_ms: u64,
-    /// slowness of the straggling target (default 1.6)
+    /// factor by which the straggling target is slower (default 1.6)
     #[argh(option, default = "1.6")]
     straggler: f64,
-    /// independent entries (default 3)
+    /// number of independent entries (default 3)
     #[argh(option, default = "3")]
     entries: usize,
-    /// no target dies
+    /// don't crash a target
     #[argh(switch)]
     no_death: bool,
     /// text or json
     #[argh(option, default = "ReportFormat::Text")]
     format: ReportFormat,
-    /// SVG file for a plot of the p99 first token
+    /// SVG file for a plot of the p99 time to first token
     #[argh(option)]
     plot: Option<String>,
 }
 
 #[derive(Debug, Serialize)]
-struct AllLoads {
+struct RouteComparison {
     seed: u64,
     capacity: f64,
     loads: BTreeMap<u32, BTreeMap<&'static str, RouteReport>>,
 }
 
-/// Runs the command.
+/// Runs the subcommand and returns its report.
 pub fn run(args: &RouteArgs) -> miette::Result<String> {
     let settings = RouteSettings::builder()
         .seed(args.seed)
@@ -66,14 +66,14 @@
             text.trim().parse().map_err(|_parse| miette::miette!("--loads: {text:?} is not a percentage"))?;
         loads.insert(percent, compare(&settings, capacity, f64::from(percent) / 100.0));
     }
-    let all = AllLoads { seed: args.seed, capacity: rounded(capacity), loads };
+    let comparison = RouteComparison { seed: args.seed, capacity: rounded(capacity), loads };
     if let Some(path) = &args.plot {
-        plot(path, &all).map_err(miette::Report::msg)?;
+        plot(path, &comparison).map_err(miette::Report::msg)?;
     }
-    Ok(args.format.show(&all, || text(&all)))
+    Ok(args.format.show(&comparison, || text(&comparison)))
 }
 
-fn plot(path: &str, all: &AllLoads) -> Result<(), String> {
+fn plot(path: &str, comparison: &RouteComparison) -> Result<(), String> {
     let frame = PlotFrame {
         title: "First token at the 99th percentile".to_owned(),
         x_label: "load (% of capacity)".to_owned(),
@@ -81,7 +81,7 @@
     };
     let line = |policy: &&'static str| PlotSeries {
         name: (*policy).to_owned(),
-        points: all
+        points: comparison
             .loads
             .iter()
             .map(|(load, rows)| (f64::from(*load), rows[policy].first_token_p99))
@@ -91,9 +91,9 @@
     draw_lines(Path::new(path), &frame, &series)
 }
 
-fn text(all: &AllLoads) -> String {
-    let mut text = format!("seed {}, capacity {:.1} requests/s\n", all.seed, all.capacity);
-    for (load, rows) in &all.loads {
+fn text(comparison: &RouteComparison) -> String {
+    let mut text = format!("seed {}, capacity {:.1} requests/s\n", comparison.seed, comparison.capacity);
+    for (load, rows) in &comparison.loads {
         writeln!(
             text,
             "{load}%: first token ms p50 p95 p99, of omniscient, misses, hits, refused, retries, hedges, goodput, refusal p99"
