--- a/crates/porthoist-lab/src/cmd/capacity.rs
+++ b/crates/porthoist-lab/src/cmd/capacity.rs
@@ -18,7 +18,7 @@
 /// Runs the subcommand and returns its report.
 pub fn run(args: &CapacityArgs) -> miette::Result<String> {
     let slopes = measure();
-    Ok(args.format.show(&slopes, || text(&slopes)))
+    Ok(args.format.render(&slopes, || text(&slopes)))
 }
 
 fn text(slopes: &[CapacitySlope]) -> String {
--- a/crates/porthoist-lab/src/cmd/experts.rs
+++ b/crates/porthoist-lab/src/cmd/experts.rs
@@ -1,7 +1,7 @@
 //! The `experts` subcommand.
 
 use crate::experts::{ExpertsSettings, PolicyReport, PolicyResult, report, run as run_policies};
-use crate::plot::{PlotFrame, PlotSeries, draw_lines};
+use crate::plot::{PlotLabels, PlotSeries, draw_lines};
 use crate::report::ReportFormat;
 use argh::FromArgs;
 use serde::Serialize;
@@ -79,11 +79,11 @@
         groups.insert(ranks, report(&results));
     }
     let comparison = ExpertsReport { seed: args.seed, seconds: args.seconds, lag_ms: args.lag_ms, groups };
-    Ok(args.format.show(&comparison, || text(&comparison)))
+    Ok(args.format.render(&comparison, || text(&comparison)))
 }
 
 fn plot(path: &str, ranks: usize, results: &BTreeMap<String, PolicyResult>) -> Result<(), String> {
-    let frame = PlotFrame {
+    let labels = PlotLabels {
         title: format!("Step-time skew of {ranks} ranks, mean of ten seconds"),
         x_label: "time (s)".to_owned(),
         y_label: "skew (ms)".to_owned(),
@@ -93,7 +93,7 @@
         points: result.skew_over_time.clone(),
     };
     let series: Vec<PlotSeries> = results.iter().map(line).collect();
-    draw_lines(Path::new(path), &frame, &series)
+    draw_lines(Path::new(path), &labels, &series)
 }
 
 fn text(comparison: &ExpertsReport) -> String {
--- a/crates/porthoist-lab/src/cmd/groups.rs
+++ b/crates/porthoist-lab/src/cmd/groups.rs
@@ -1,7 +1,7 @@
 //! The `groups` subcommand.
 
 use crate::overload::groups::{GroupFault, GroupsReport, compare};
-use crate::plot::{PlotFrame, draw_lines, series_of};
+use crate::plot::{PlotLabels, draw_lines, named_series};
 use crate::report::ReportFormat;
 use argh::FromArgs;
 use serde::Serialize;
@@ -41,11 +41,11 @@
     if let Some(path) = &args.plot {
         plot(path, &all).map_err(miette::Report::msg)?;
     }
-    Ok(args.format.show(&all, || text(args, &all)))
+    Ok(args.format.render(&all, || text(args, &all)))
 }
 
 fn plot(path: &str, all: &[FaultRows]) -> Result<(), String> {
-    let frame = PlotFrame {
+    let labels = PlotLabels {
         title: "Credit a stream while one of three groups is disturbed".to_owned(),
         x_label: all.iter().map(|rows| rows.fault).collect::<Vec<_>>().join(", "),
         y_label: "credit".to_owned(),
@@ -55,7 +55,7 @@
     let points = |name: &'static str| {
         all.iter().enumerate().map(|(index, rows)| (index as f64, rows.ways[name].credit)).collect()
     };
-    draw_lines(Path::new(path), &frame, &series_of(&names, points))
+    draw_lines(Path::new(path), &labels, &named_series(&names, points))
 }
 
 fn text(args: &GroupsArgs, all: &[FaultRows]) -> String {
--- a/crates/porthoist-lab/src/cmd/limits.rs
+++ b/crates/porthoist-lab/src/cmd/limits.rs
@@ -46,7 +46,7 @@
         run_case(&large.skew(0.3).build(), "41,000 teams, 63 entries, 3 in 10 at one entry"),
     ];
     let comparison = LimitComparison { seed: args.seed, cases };
-    Ok(args.format.show(&comparison, || text(&comparison)))
+    Ok(args.format.render(&comparison, || text(&comparison)))
 }
 
 fn text(comparison: &LimitComparison) -> String {
--- a/crates/porthoist-lab/src/cmd/load.rs
+++ b/crates/porthoist-lab/src/cmd/load.rs
@@ -93,7 +93,7 @@
     let direct = plan(args, loopback_url(&args.direct)?, "");
     let entry = plan(args, loopback_url(&args.entry)?, &args.team);
     let report = runtime.block_on(measure(args, direct, entry));
-    Ok(args.format.show(&report, || text(&report)))
+    Ok(args.format.render(&report, || text(&report)))
 }
 
 async fn measure(args: &LoadArgs, direct: LoadPlan, entry: LoadPlan) -> LoadReport {
--- a/crates/porthoist-lab/src/cmd/needs.rs
+++ b/crates/porthoist-lab/src/cmd/needs.rs
@@ -45,7 +45,7 @@
         let settings = settings.seconds(args.seconds).max_clock_offset_millis(args.clocks_apart).build();
         EntriesCase { entries, ways: LimitMethod::ALL.map(|method| simulate(&settings, method)).into() }
     });
-    Ok(args.format.show(&cases, || text(args, &cases)))
+    Ok(args.format.render(&cases, || text(args, &cases)))
 }
 
 fn text(args: &NeedsArgs, cases: &[EntriesCase]) -> String {
--- a/crates/porthoist-lab/src/cmd/overload.rs
+++ b/crates/porthoist-lab/src/cmd/overload.rs
@@ -2,7 +2,7 @@
 
 use crate::overload::callers::CallerLoad;
 use crate::overload::{OverloadReport, OverloadSettings, compare};
-use crate::plot::{PlotFrame, draw_lines, series_of};
+use crate::plot::{PlotLabels, draw_lines, named_series};
 use crate::report::ReportFormat;
 use argh::FromArgs;
 use serde::Serialize;
@@ -63,11 +63,11 @@
     if let Some(path) = &args.plot {
         plot(path, &all).map_err(miette::Report::msg)?;
     }
-    Ok(args.format.show(&all, || text(args, &all)))
+    Ok(args.format.render(&all, || text(args, &all)))
 }
 
 fn plot(path: &str, all: &[LoadRows]) -> Result<(), String> {
-    let frame = PlotFrame {
+    let labels = PlotLabels {
         title: "Credit a stream under steady load".to_owned(),
         x_label: "load, as part of what the group bears".to_owned(),
         y_label: "credit".to_owned(),
@@ -77,7 +77,7 @@
     let points = |name: &'static str| {
         all.iter().filter_map(|rows| Some((rows.steady?, rows.rules[name].credit))).collect()
     };
-    draw_lines(Path::new(path), &frame, &series_of(&names, points))
+    draw_lines(Path::new(path), &labels, &named_series(&names, points))
 }
 
 fn text(args: &OverloadArgs, all: &[LoadRows]) -> String {
--- a/crates/porthoist-lab/src/cmd/route.rs
+++ b/crates/porthoist-lab/src/cmd/route.rs
@@ -1,6 +1,6 @@
 //! The `route` subcommand.
 
-use crate::plot::{PlotFrame, PlotSeries, draw_lines};
+use crate::plot::{PlotLabels, PlotSeries, draw_lines};
 use crate::report::{ReportFormat, rounded};
 use crate::route::{POLICIES, RouteReport, RouteSettings, capacity, compare};
 use argh::FromArgs;
@@ -70,11 +70,11 @@
     if let Some(path) = &args.plot {
         plot(path, &comparison).map_err(miette::Report::msg)?;
     }
-    Ok(args.format.show(&comparison, || text(&comparison)))
+    Ok(args.format.render(&comparison, || text(&comparison)))
 }
 
 fn plot(path: &str, comparison: &RouteComparison) -> Result<(), String> {
-    let frame = PlotFrame {
+    let labels = PlotLabels {
         title: "First token at the 99th percentile".to_owned(),
         x_label: "load (% of capacity)".to_owned(),
         y_label: "first token (ms)".to_owned(),
@@ -88,7 +88,7 @@
             .collect(),
     };
     let series: Vec<PlotSeries> = POLICIES.iter().map(line).collect();
-    draw_lines(Path::new(path), &frame, &series)
+    draw_lines(Path::new(path), &labels, &series)
 }
 
 fn text(comparison: &RouteComparison) -> String {
--- a/crates/porthoist-lab/src/cmd/storm.rs
+++ b/crates/porthoist-lab/src/cmd/storm.rs
@@ -55,7 +55,7 @@
     let rate = capacity(&steady) * f64::from(args.load) / 100.0;
     let result = simulate(&settings, "porthoist", rate);
     let report = report(args, &result);
-    Ok(args.format.show(&report, || format!(
+    Ok(args.format.render(&report, || format!(
             "seed {}, {}% of capacity, a third of the targets dead for 10 s: {} offers a request, {} in the outage, \
              {} out of contract in it, recovered after {} s",
             report.seed,
--- a/crates/porthoist-lab/src/experts.rs
+++ b/crates/porthoist-lab/src/experts.rs
@@ -102,9 +102,9 @@
 impl PolicyResult {
     fn values(&self) -> [(&'static str, f64); 5] {
         [
-            ("skew_p50", self.skew.at(0.5)),
-            ("skew_p99", self.skew.at(0.99)),
-            ("step_time_p99", self.step_time.at(0.99)),
+            ("skew_p50", self.skew.value_at(0.5)),
+            ("skew_p99", self.skew.value_at(0.99)),
+            ("step_time_p99", self.step_time.value_at(0.99)),
             ("bytes_moved", self.bytes_moved as f64),
             ("stall_ms", self.stall_millis),
         ]
@@ -115,17 +115,17 @@
             let pairs = self.values().into_iter().zip(base.values());
             pairs.map(|((key, value), (_key, base_value))| (key, ratio(value, base_value))).collect()
         };
-        let gap = static_result.skew.at(0.99) - oracle_result.skew.at(0.99);
+        let gap = static_result.skew.value_at(0.99) - oracle_result.skew.value_at(0.99);
         PolicyReport {
-            skew_p50: rounded(self.skew.at(0.5)),
-            skew_p99: rounded(self.skew.at(0.99)),
-            step_time_p99: rounded(self.step_time.at(0.99)),
+            skew_p50: rounded(self.skew.value_at(0.5)),
+            skew_p99: rounded(self.skew.value_at(0.99)),
+            step_time_p99: rounded(self.step_time.value_at(0.99)),
             bytes_moved: self.bytes_moved,
             stall_ms: rounded(self.stall_millis),
             switches: self.switches,
             ratio_static: ratios(static_result),
             ratio_full: ratios(full_result),
-            gap_closed_p99: ratio(static_result.skew.at(0.99) - self.skew.at(0.99), gap),
+            gap_closed_p99: ratio(static_result.skew.value_at(0.99) - self.skew.value_at(0.99), gap),
         }
     }
 }
--- a/crates/porthoist-lab/src/lib.rs
+++ b/crates/porthoist-lab/src/lib.rs
@@ -1,7 +1,7 @@
-//! Load generator and experiments.
+//! Load generator and simulations of porthoist.
 //!
-//! The experiments drive the daemon's own routing, admission, limits and placement against small queueing fakes, and
-//! compare them with baselines in the same run, from a seed.
+//! The simulations run the daemon's own routing, admission, limits and placement against small
+//! queueing models, and compare them with baselines on the same seed.
 
 pub mod capacity;
 pub mod cmd;
--- a/crates/porthoist-lab/src/load.rs
+++ b/crates/porthoist-lab/src/load.rs
@@ -76,9 +76,9 @@
         refused: total.refused,
         failed: total.failed,
         answers_per_second: rounded(total.answered as f64 / seconds),
-        p50_ms: rounded(total.latency.at(0.5)),
-        p99_ms: rounded(total.latency.at(0.99)),
-        p999_ms: rounded(total.latency.at(0.999)),
+        p50_ms: rounded(total.latency.value_at(0.5)),
+        p99_ms: rounded(total.latency.value_at(0.99)),
+        p999_ms: rounded(total.latency.value_at(0.999)),
     }
 }
 
--- a/crates/porthoist-lab/src/main.rs
+++ b/crates/porthoist-lab/src/main.rs
@@ -1,4 +1,4 @@
-//! `porthoist-lab`: load and experiments.
+//! `porthoist-lab`: load generator and simulations.
 
 use porthoist_lab::cmd::LabArgs;
 
--- a/crates/porthoist-lab/src/overload.rs
+++ b/crates/porthoist-lab/src/overload.rs
@@ -230,7 +230,7 @@
             refused_once: rounded(fraction(CallerOutcome::RefusedOnce)),
             refused_twice: rounded(refused_twice),
             left: rounded(fraction(CallerOutcome::Left)),
-            refused_wait_p99: rounded(self.refused_waits.at(0.99)),
+            refused_wait_p99: rounded(self.refused_waits.value_at(0.99)),
             credit: rounded(in_time + LATE_CREDIT * late - REFUSED_TWICE_COST * refused_twice),
         }
     }
--- a/crates/porthoist-lab/src/report.rs
+++ b/crates/porthoist-lab/src/report.rs
@@ -1,4 +1,4 @@
-//! Distributions and ratios of the reports.
+//! Distributions, ratios and formats of the reports.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
@@ -6,10 +6,10 @@
 
 /// Values are recorded in thousandths of their unit.
 const SCALE: f64 = 1000.0;
-/// Largest value told apart, in thousandths.
+/// Largest recorded value, in thousandths; larger ones count as this one.
 const MAX_VALUE: u64 = 3_600_000_000;
 
-/// A distribution of values that are not negative.
+/// Distribution of non-negative values.
 #[derive(Debug, Clone)]
 pub struct Distribution(Histogram<u64>);
 
@@ -30,8 +30,8 @@
         self.0.add(&other.0).expect("both have the same bounds");
     }
 
-    /// The value at a quantile, 0 where nothing was added.
-    pub fn at(&self, quantile: f64) -> f64 {
+    /// Value at a quantile; 0 if the distribution is empty.
+    pub fn value_at(&self, quantile: f64) -> f64 {
         self.0.value_at_quantile(quantile) as f64 / SCALE
     }
 
@@ -40,24 +40,24 @@
         self.0.len()
     }
 
-    /// Their mean.
+    /// Mean of the values.
     pub fn mean(&self) -> f64 {
         self.0.mean() / SCALE
     }
 }
 
-/// How a report is printed.
+/// Output format of a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportFormat {
-    /// For people.
+    /// Text for people.
     Text,
-    /// For scripts.
+    /// JSON for scripts.
     Json,
 }
 
 impl ReportFormat {
-    /// A report in this format; `text` makes it for people.
-    pub fn show(self, report: &impl Serialize, text: impl FnOnce() -> String) -> String {
+    /// Renders a report in this format. `text` creates the text version.
+    pub fn render(self, report: &impl Serialize, text: impl FnOnce() -> String) -> String {
         match self {
             Self::Json => json_text(report),
             Self::Text => text(),
@@ -77,17 +77,17 @@
     }
 }
 
-/// Rounds to four significant decimals, so that a report reads well and stays the same for a seed.
+/// Rounds to four decimals, to keep reports readable and reproducible from a seed.
 pub fn rounded(value: f64) -> f64 {
     (value * 10_000.0).round() / 10_000.0
 }
 
-/// A part of a whole, 0 where the whole is 0.
+/// Ratio of a part to a whole; 0 if the whole is 0.
 pub fn ratio(part: f64, whole: f64) -> f64 {
     if whole > 0.0 { rounded(part / whole) } else { 0.0 }
 }
 
-/// A value as indented JSON.
+/// Formats a value as indented JSON.
 pub fn json_text<T: Serialize>(value: &T) -> String {
     serde_json::to_string_pretty(value).unwrap_or_default()
 }
--- a/crates/porthoist-lab/src/route.rs
+++ b/crates/porthoist-lab/src/route.rs
@@ -111,10 +111,10 @@
 impl RouteResult {
     fn report(&self, capacity: f64, seconds: f64, omniscient: &Self) -> RouteReport {
         let asked = self.asked as f64;
-        let p99 = self.first_token.at(0.99);
+        let p99 = self.first_token.value_at(0.99);
         RouteReport {
-            first_token_p50: rounded(self.first_token.at(0.5)),
-            first_token_p95: rounded(self.first_token.at(0.95)),
+            first_token_p50: rounded(self.first_token.value_at(0.5)),
+            first_token_p95: rounded(self.first_token.value_at(0.95)),
             first_token_p99: rounded(p99),
             contract_misses: ratio(asked - self.in_contract as f64, asked),
             hit_rate: ratio(self.cached_tokens as f64, self.prompt_tokens as f64),
@@ -122,8 +122,8 @@
             retries: ratio(self.retries as f64, asked),
             hedges: ratio(self.hedges as f64, asked),
             goodput: ratio(self.in_contract as f64 / seconds, capacity),
-            refusal_p99: rounded(self.refusal_time.at(0.99)),
-            ratio_omniscient: ratio(p99, omniscient.first_token.at(0.99)),
+            refusal_p99: rounded(self.refusal_time.value_at(0.99)),
+            ratio_omniscient: ratio(p99, omniscient.first_token.value_at(0.99)),
         }
     }
 }
