--- a/crates/porthoist-lab/src/cmd/needs.rs
+++ b/crates/porthoist-lab/src/cmd/needs.rs
@@ -1,7 +1,7 @@
 //! The `needs` subcommand.
 
-use crate::needs::{LimitMethod, NeedsReport, NeedsSettings, simulate};
 use crate::report::ReportFormat;
+use crate::target_limits::{LimitMethod, TargetLimitReport, TargetLimitSettings, simulate};
 use argh::FromArgs;
 use porthoist_core::RequestRate;
 use serde::Serialize;
@@ -35,13 +35,13 @@
 #[derive(Debug, Serialize)]
 struct EntriesCase {
     entries: u32,
-    ways: Vec<NeedsReport>,
+    ways: Vec<TargetLimitReport>,
 }
 
 /// Runs the subcommand and returns its report.
 pub fn run(args: &NeedsArgs) -> miette::Result<String> {
     let cases = ENTRY_COUNTS.map(|entries| {
-        let settings = NeedsSettings::builder().seed(args.seed).entries(entries).limit(args.limit);
+        let settings = TargetLimitSettings::builder().seed(args.seed).entries(entries).limit(args.limit);
         let settings = settings.seconds(args.seconds).max_clock_offset_millis(args.clocks_apart).build();
         EntriesCase { entries, ways: LimitMethod::ALL.map(|method| simulate(&settings, method)).into() }
     });
@@ -51,7 +51,7 @@
 fn text(args: &NeedsArgs, cases: &[EntriesCase]) -> String {
     let mut text = format!("seed {}, limit {}: most in 4 s (allowed), part used\n", args.seed, args.limit);
     for EntriesCase { entries, ways } in cases {
-        for NeedsReport { way, most, allowed, used } in ways {
+        for TargetLimitReport { way, most, allowed, used } in ways {
             writeln!(text, "  {entries:>4} entries  {:<24} {most:>5} ({allowed})  {used:.3}", way.as_str())
                 .expect("writing to a string can't fail");
         }
--- a/crates/porthoist-lab/src/needs.rs
+++ b/crates/porthoist-lab/src/target_limits.rs
@@ -63,7 +63,7 @@
 
 /// Settings of the simulation.
 #[derive(Debug, Clone, Copy, bon::Builder)]
-pub struct NeedsSettings {
+pub struct TargetLimitSettings {
     /// Seed of the random generator.
     pub seed: u64,
     /// Number of entries, all in one zone.
@@ -79,7 +79,7 @@
 
 /// Result of one method.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
-pub struct NeedsReport {
+pub struct TargetLimitReport {
     /// The method.
     pub way: LimitMethod,
     /// Maximum number of requests in any window of 4 s.
@@ -120,7 +120,7 @@
 }
 
 /// Simulates one method.
-pub fn simulate(settings: &NeedsSettings, method: LimitMethod) -> NeedsReport {
+pub fn simulate(settings: &TargetLimitSettings, method: LimitMethod) -> TargetLimitReport {
     let mut random = Pcg64Mcg::seed_from_u64(settings.seed);
     let start_millis = 1_700_000_000_000;
     let mut entries: Vec<(SendLimiter, u64)> = (0..settings.entries)
@@ -151,8 +151,13 @@
     milli % RUSH_PERIOD_MILLIS >= RUSH_PERIOD_MILLIS / 2
 }
 
-fn new_limiter(settings: &NeedsSettings, method: LimitMethod, index: u32, now: UnixMillis) -> SendLimiter {
-    let NeedsSettings { entries, limit, seed, .. } = *settings;
+fn new_limiter(
+    settings: &TargetLimitSettings,
+    method: LimitMethod,
+    index: u32,
+    now: UnixMillis,
+) -> SendLimiter {
+    let TargetLimitSettings { entries, limit, seed, .. } = *settings;
     let bucket = |rate: f64| SendLimiter::Bucket { filled: 0.0, last: now.0, per_milli: rate / 1_000.0 };
     let turns = |position: Option<EntryPosition>| {
         let zone: ZoneName = "z".parse().expect("a valid name");
@@ -179,13 +184,13 @@
     }
 }
 
-fn report(settings: &NeedsSettings, method: LimitMethod, sends: &[u64]) -> NeedsReport {
+fn report(settings: &TargetLimitSettings, method: LimitMethod, sends: &[u64]) -> TargetLimitReport {
     let within = |from: u64| {
         sends.partition_point(|at| *at < from + COUNT_WINDOW_MILLIS) - sends.partition_point(|at| *at < from)
     };
     let rush_seconds = (0..settings.seconds * 1_000).filter(|milli| is_rush(*milli)).count() as f64 / 1_000.0;
     let window_seconds = COUNT_WINDOW_MILLIS as f64 / 1_000.0;
-    NeedsReport {
+    TargetLimitReport {
         way: method,
         most: sends.iter().map(|at| within(*at)).max().unwrap_or_default(),
         allowed: (1.5 * settings.limit.0 * window_seconds + 5.0) as usize,
--- a/crates/porthoist-lab/tests/lab.rs
+++ b/crates/porthoist-lab/tests/lab.rs
@@ -4,11 +4,11 @@
 use porthoist_core::RequestRate;
 use porthoist_lab::experts::{ExpertsSettings, report, run};
 use porthoist_lab::limits::{LimitSettings, run as run_limits};
-use porthoist_lab::needs::{LimitMethod, NeedsSettings, simulate};
 use porthoist_lab::overload::callers::CallerLoad;
 use porthoist_lab::overload::groups::{GroupFault, compare as compare_groups};
 use porthoist_lab::overload::{OverloadSettings, compare as compare_rules};
 use porthoist_lab::route::{RouteSettings, compare};
+use porthoist_lab::target_limits::{LimitMethod, TargetLimitSettings, simulate};
 use test_case::test_case;
 
 #[test]
@@ -47,7 +47,7 @@
 fn turns_enforce_a_target_limit_for_any_number_of_entries() {
     for clocks_apart in [0, 5_000] {
         for entries in [3, 7, 42, 149, 600] {
-            let settings = NeedsSettings::builder().seed(1).entries(entries).limit(RequestRate(1.0));
+            let settings = TargetLimitSettings::builder().seed(1).entries(entries).limit(RequestRate(1.0));
             let settings = settings.seconds(100).max_clock_offset_millis(clocks_apart).build();
             let turns = simulate(&settings, LimitMethod::Turns);
             assert!(turns.most <= turns.allowed && turns.used >= 0.6, "{entries} entries: {turns:?}");
@@ -55,7 +55,8 @@
             assert!(entries > 149 || uncounted.most <= uncounted.allowed, "{entries} entries: {uncounted:?}");
         }
     }
-    let settings = NeedsSettings::builder().seed(1).entries(42).limit(RequestRate(1.0)).seconds(100).build();
+    let settings =
+        TargetLimitSettings::builder().seed(1).entries(42).limit(RequestRate(1.0)).seconds(100).build();
     let buckets = simulate(&settings, LimitMethod::Buckets);
     assert!(buckets.most > buckets.allowed, "{buckets:?}");
 }
