--- a/crates/porthoist-lab/src/limits.rs
+++ b/crates/porthoist-lab/src/limits.rs
@@ -15,8 +15,8 @@
 pub struct LimitSettings {
     /// Seed of the random generator.
     pub seed: u64,
-    /// Number of teams. One in ten, at most 20, is large and sends more requests than its limit
-    /// allows.
+    /// Number of teams. One in ten, at least 1 and at most 20, is large and sends more requests
+    /// than its limit allows.
     pub teams: usize,
     /// Number of entries in the zone.
     pub entries: usize,
--- a/crates/porthoist-lab/src/overload.rs
+++ b/crates/porthoist-lab/src/overload.rs
@@ -84,7 +84,7 @@
     for tick in 0..ticks {
         simulation.tick(UnixMillis(tick * TICK_MILLIS), true);
     }
-    // No new callers arrive, so that the remaining requests can finish.
+    // Continues without new callers, so that the remaining requests can finish.
     for tick in ticks..ticks + 2 * DEADLINE_MILLIS / TICK_MILLIS {
         simulation.tick(UnixMillis(tick * TICK_MILLIS), false);
     }
--- a/crates/porthoist-lab/src/route.rs
+++ b/crates/porthoist-lab/src/route.rs
@@ -75,9 +75,9 @@
     pub seconds: Vec<(u64, u64)>,
     /// Requests that arrived and offers sent during the zone outage.
     pub outage: (u64, u64),
-    /// Prompt tokens of all offered attempts.
+    /// Prompt tokens of all offers that reached a running target.
     pub prompt_tokens: u64,
-    /// Prompt tokens found in a cache.
+    /// Prompt tokens of these offers that were found in a cache.
     pub cached_tokens: u64,
 }
 
