--- a/crates/porthoist-lab/src/cmd/groups.rs
+++ b/crates/porthoist-lab/src/cmd/groups.rs
@@ -1,7 +1,7 @@
-//! `porthoist-lab groups`.
+//! The `groups` subcommand.
 
 use crate::overload::groups::{GroupFault, GroupsReport, compare};
-use crate::plot::{PlotFrame, draw_lines, series_of};
+use crate::plot::{PlotLabels, draw_lines, named_series};
 use crate::report::ReportFormat;
 use argh::FromArgs;
 use serde::Serialize;
@@ -9,20 +9,20 @@
 use std::fmt::Write as _;
 use std::path::Path;
 
-/// Compare ways to judge groups while one of three is slow, held or cut off.
+/// Compare ways to treat the groups of a service while one of three is slow, held or cut off.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "groups")]
 pub struct GroupsArgs {
     /// seed (default 1)
     #[argh(option, default = "1")]
     seed: u64,
-    /// played seconds (default 20)
+    /// simulated seconds (default 20)
     #[argh(option, default = "20")]
     seconds: u64,
     /// text or json
     #[argh(option, default = "ReportFormat::Text")]
     format: ReportFormat,
-    /// SVG file for a plot of the credit by fault, in the order of the text
+    /// SVG file for a plot of the credit by fault, in the order of the text report
     #[argh(option)]
     plot: Option<String>,
 }
@@ -33,19 +33,19 @@
     ways: BTreeMap<&'static str, GroupsReport>,
 }
 
-/// Runs the command.
+/// Runs the subcommand and returns its report.
 pub fn run(args: &GroupsArgs) -> miette::Result<String> {
-    let play =
+    let simulate =
         |fault: GroupFault| FaultRows { fault: fault.name(), ways: compare(fault, args.seconds, args.seed) };
-    let all: Vec<FaultRows> = GroupFault::ALL.into_iter().map(play).collect();
+    let all: Vec<FaultRows> = GroupFault::ALL.into_iter().map(simulate).collect();
     if let Some(path) = &args.plot {
         plot(path, &all).map_err(miette::Report::msg)?;
     }
-    Ok(args.format.show(&all, || text(args, &all)))
+    Ok(args.format.render(&all, || text(args, &all)))
 }
 
 fn plot(path: &str, all: &[FaultRows]) -> Result<(), String> {
-    let frame = PlotFrame {
+    let labels = PlotLabels {
         title: "Credit a stream while one of three groups is disturbed".to_owned(),
         x_label: all.iter().map(|rows| rows.fault).collect::<Vec<_>>().join(", "),
         y_label: "credit".to_owned(),
@@ -53,9 +53,9 @@
     let names: Vec<&'static str> =
         all.first().map_or_else(Vec::new, |rows| rows.ways.keys().copied().collect());
     let points = |name: &'static str| {
-        all.iter().enumerate().map(|(place, rows)| (place as f64, rows.ways[name].credit)).collect()
+        all.iter().enumerate().map(|(index, rows)| (index as f64, rows.ways[name].credit)).collect()
     };
-    draw_lines(Path::new(path), &frame, &series_of(&names, points))
+    draw_lines(Path::new(path), &labels, &named_series(&names, points))
 }
 
 fn text(args: &GroupsArgs, all: &[FaultRows]) -> String {
--- a/crates/porthoist-lab/src/cmd/overload.rs
+++ b/crates/porthoist-lab/src/cmd/overload.rs
@@ -1,8 +1,8 @@
-//! `porthoist-lab overload`.
+//! The `overload` subcommand.
 
 use crate::overload::callers::CallerLoad;
 use crate::overload::{OverloadReport, OverloadSettings, compare};
-use crate::plot::{PlotFrame, draw_lines, series_of};
+use crate::plot::{PlotLabels, draw_lines, named_series};
 use crate::report::ReportFormat;
 use argh::FromArgs;
 use serde::Serialize;
@@ -10,19 +10,19 @@
 use std::fmt::Write as _;
 use std::path::Path;
 
-/// Parts of what the group bears that are played steadily.
-const STEADY_PARTS: [f64; 6] = [0.6, 0.8, 1.0, 1.2, 1.4, 1.6];
-/// Outages that are played, in seconds.
-const OUTAGES: [u64; 4] = [1, 3, 6, 10];
+/// Simulated steady loads as fractions of the group's capacity.
+const STEADY_LOADS: [f64; 6] = [0.6, 0.8, 1.0, 1.2, 1.4, 1.6];
+/// Simulated outages, in seconds.
+const OUTAGE_SECONDS: [u64; 4] = [1, 3, 6, 10];
 
-/// Compare who waits and who is refused under overload with fixed rules and one that knows all.
+/// Compare queueing and refusals under overload with fixed rules and an omniscient one.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "overload")]
 pub struct OverloadArgs {
     /// seed (default 1)
     #[argh(option, default = "1")]
     seed: u64,
-    /// played seconds (default 40)
+    /// simulated seconds (default 40)
     #[argh(option, default = "40")]
     seconds: u64,
     /// text or json
@@ -42,8 +42,8 @@
 }
 
 fn loads() -> Vec<(String, CallerLoad)> {
-    let steady = STEADY_PARTS.map(|part| (format!("steady {part:.1}"), CallerLoad::Steady(part)));
-    let outages = OUTAGES.map(|seconds| (format!("down {seconds} s"), CallerLoad::Outage(seconds)));
+    let steady = STEADY_LOADS.map(|fraction| (format!("steady {fraction:.1}"), CallerLoad::Steady(fraction)));
+    let outages = OUTAGE_SECONDS.map(|seconds| (format!("down {seconds} s"), CallerLoad::Outage(seconds)));
     let others = [
         ("rush".to_owned(), CallerLoad::Rush),
         ("shifts".to_owned(), CallerLoad::Shifts),
@@ -52,22 +52,22 @@
     steady.into_iter().chain(others).chain(outages).collect()
 }
 
-/// Runs the command.
+/// Runs the subcommand and returns its report.
 pub fn run(args: &OverloadArgs) -> miette::Result<String> {
-    let play = |(name, load): (String, CallerLoad)| {
+    let simulate = |(name, load): (String, CallerLoad)| {
         let settings = OverloadSettings::builder().seed(args.seed).load(load).seconds(args.seconds).build();
-        let steady = if let CallerLoad::Steady(part) = load { Some(part) } else { None };
+        let steady = if let CallerLoad::Steady(fraction) = load { Some(fraction) } else { None };
         LoadRows { load: name, steady, rules: compare(&settings) }
     };
-    let all: Vec<LoadRows> = loads().into_iter().map(play).collect();
+    let all: Vec<LoadRows> = loads().into_iter().map(simulate).collect();
     if let Some(path) = &args.plot {
         plot(path, &all).map_err(miette::Report::msg)?;
     }
-    Ok(args.format.show(&all, || text(args, &all)))
+    Ok(args.format.render(&all, || text(args, &all)))
 }
 
 fn plot(path: &str, all: &[LoadRows]) -> Result<(), String> {
-    let frame = PlotFrame {
+    let labels = PlotLabels {
         title: "Credit a stream under steady load".to_owned(),
         x_label: "load, as part of what the group bears".to_owned(),
         y_label: "credit".to_owned(),
@@ -77,7 +77,7 @@
     let points = |name: &'static str| {
         all.iter().filter_map(|rows| Some((rows.steady?, rows.rules[name].credit))).collect()
     };
-    draw_lines(Path::new(path), &frame, &series_of(&names, points))
+    draw_lines(Path::new(path), &labels, &named_series(&names, points))
 }
 
 fn text(args: &OverloadArgs, all: &[LoadRows]) -> String {
