--- a/crates/porthoist-standin/src/engine.rs
+++ b/crates/porthoist-standin/src/engine.rs
@@ -75,7 +75,7 @@
     16
 }
 
-const WORDS: [&str; 16] = [
+const ANSWER_WORDS: [&str; 16] = [
     "form", "stamp", "border", "refund", "receipt", "route", "plough", "salt", "junction", "front", "hill",
     "desk", "queue", "shift", "note", "clear",
 ];
@@ -85,7 +85,7 @@
     let digest = prompt.bytes().fold(position.wrapping_mul(0x9e37_79b9), |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
     });
-    WORDS[(digest >> 16) as usize % WORDS.len()]
+    ANSWER_WORDS[(digest >> 16) as usize % ANSWER_WORDS.len()]
 }
 
 impl EngineStandin {
@@ -115,14 +115,14 @@
         let path = request.uri().path().to_owned();
         match (request.method().clone(), path.as_str()) {
             (Method::POST, "/v1/completions" | "/v1/chat/completions") => self.complete(&path, request).await,
-            (Method::GET, "/load") => self.load(),
+            (Method::GET, "/load") => self.load_response(),
             (Method::GET, "/group") => self.group.state_response(),
-            (Method::POST, "/group") => self.group.order(request).await,
+            (Method::POST, "/group") => self.group.apply_order(request).await,
             (Method::GET, "/experts") => self.group.window_response(),
-            (Method::POST, "/experts/load") => self.group.load(request).await,
+            (Method::POST, "/experts/load") => self.group.load_experts(request).await,
             (Method::POST, "/standin/experts") => self.group.set_window(request).await,
             (Method::GET, "/standin/group") => self.group.record_response(),
-            (Method::POST, "/orders") => self.order(request).await,
+            (Method::POST, "/orders") => self.apply_order(request).await,
             (Method::GET, "/orders") => {
                 json_response(StatusCode::OK, &json!({ "fence": self.state().fence }))
             }
@@ -138,12 +138,12 @@
         }
     }
 
-    fn load(&self) -> HttpResponse {
+    fn load_response(&self) -> HttpResponse {
         let step_micros = self.state().faults.step_ms * 1000;
         json_response(StatusCode::OK, &json!({ "step_micros": step_micros, "prefill_rate": 0 }))
     }
 
-    async fn order(&self, request: Request<Incoming>) -> HttpResponse {
+    async fn apply_order(&self, request: Request<Incoming>) -> HttpResponse {
         let order: EngineOrder = match read_json(request).await {
             Ok(order) => order,
             Err(response) => return response,
@@ -180,7 +180,7 @@
         let messages: String = completion.messages.iter().map(Value::to_string).collect();
         let prompt = completion.prompt.clone() + &messages;
         if completion.stream {
-            return stream(prompt, completion.max_tokens, last_event.unwrap_or(0), &faults);
+            return stream_response(prompt, completion.max_tokens, last_event.unwrap_or(0), &faults);
         }
         tokio::time::sleep(Duration::from_millis(faults.step_ms * completion.max_tokens)).await;
         let words: Vec<_> =
@@ -189,7 +189,7 @@
     }
 }
 
-fn event(prompt: &str, id: u64, tokens: u64) -> Bytes {
+fn event_bytes(prompt: &str, id: u64, tokens: u64) -> Bytes {
     if id > tokens {
         return Bytes::from(format!("id: {id}\ndata: [DONE]\n\n"));
     }
@@ -210,7 +210,7 @@
     ids
 }
 
-fn stream(prompt: String, tokens: u64, last_event: u64, faults: &EngineFaults) -> HttpResponse {
+fn stream_response(prompt: String, tokens: u64, last_event: u64, faults: &EngineFaults) -> HttpResponse {
     let ids = event_order(last_event + 1, tokens + 1, faults);
     let step_ms = faults.step_ms;
     let break_at = if faults.breaks > 0 { faults.break_after } else { u64::MAX };
@@ -226,7 +226,7 @@
             if step_ms > 0 {
                 tokio::time::sleep(Duration::from_millis(step_ms)).await;
             }
-            Some((Ok(Frame::data(event(&prompt, id, tokens))), sent + 1))
+            Some((Ok(Frame::data(event_bytes(&prompt, id, tokens))), sent + 1))
         }
     });
     let mut response = Response::new(BodyExt::boxed_unsync(StreamBody::new(events)));
--- a/crates/porthoist-standin/src/group.rs
+++ b/crates/porthoist-standin/src/group.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// Maximum number of recorded steps.
-const MAX_STEPS: usize = 1_000_000;
+const MAX_RECORDED_STEPS: usize = 1_000_000;
 
 #[derive(Debug, Default)]
 struct GroupState {
@@ -30,10 +30,10 @@
 }
 
 impl GroupState {
-    fn step(&mut self) {
+    fn start_step(&mut self) {
         let mut machine = RankMachine::restored(self.saved);
         match machine.start_step() {
-            Some((_step, map)) if self.used.len() < MAX_STEPS => {
+            Some((_step, map)) if self.used.len() < MAX_RECORDED_STEPS => {
                 self.used.push(map);
                 self.saved = machine.saved();
             }
@@ -42,7 +42,7 @@
         }
     }
 
-    fn order(&mut self, order: RankOrder) -> bool {
+    fn apply_order(&mut self, order: RankOrder) -> bool {
         let armed_too_late = order.hold.armed.is_some_and(|armed| armed.step <= self.saved.started);
         let newly_armed = order.hold.armed != self.saved.armed;
         if LeaderBallot(order.fence) < self.saved.promised || (newly_armed && armed_too_late) {
@@ -61,10 +61,10 @@
     }
 
     /// Runs steps forever, one per interval.
-    pub async fn run(self, step: Duration) {
+    pub async fn run(self, interval: Duration) {
         loop {
-            tokio::time::sleep(step).await;
-            self.state().step();
+            tokio::time::sleep(interval).await;
+            self.state().start_step();
         }
     }
 
@@ -85,7 +85,7 @@
     }
 
     /// Loads experts, which takes no time.
-    pub async fn load(&self, request: Request<Incoming>) -> HttpResponse {
+    pub async fn load_experts(&self, request: Request<Incoming>) -> HttpResponse {
         match read_json(request).await {
             Ok(load) => {
                 self.state().loads.push(load);
@@ -101,13 +101,13 @@
     }
 
     /// Applies an order, or refuses it with status 409 if it is outdated or arms a step too late.
-    pub async fn order(&self, request: Request<Incoming>) -> HttpResponse {
+    pub async fn apply_order(&self, request: Request<Incoming>) -> HttpResponse {
         let order: RankOrder = match read_json(request).await {
             Ok(order) => order,
             Err(response) => return response,
         };
         let mut state = self.state();
-        let status = if state.order(order) { StatusCode::OK } else { StatusCode::CONFLICT };
+        let status = if state.apply_order(order) { StatusCode::OK } else { StatusCode::CONFLICT };
         json_response(status, &state.saved)
     }
 
--- a/crates/porthoist-standin/src/journal.rs
+++ b/crates/porthoist-standin/src/journal.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Maximum number of recorded runs.
-pub const MAX_RUNS: usize = 1_000_000;
+pub const MAX_RECORDED_RUNS: usize = 1_000_000;
 
 /// An executed request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -23,7 +23,7 @@
 impl RunJournal {
     /// Records a run, unless the journal is full.
     pub fn record(&mut self, path: &str, body: &[u8]) {
-        if self.runs.len() < MAX_RUNS {
+        if self.runs.len() < MAX_RECORDED_RUNS {
             let body = String::from_utf8_lossy(body).into_owned();
             self.runs.push(JournalRun { path: path.to_owned(), body });
         }
--- a/crates/porthoist-standin/src/lib.rs
+++ b/crates/porthoist-standin/src/lib.rs
@@ -17,9 +17,10 @@
 
 /// Reads a JSON body. On failure, returns a response with status 400 and the reason.
 pub(crate) async fn read_json<T: DeserializeOwned>(request: Request<Incoming>) -> Result<T, HttpResponse> {
-    let bad = |text: String| text_response(StatusCode::BAD_REQUEST, text);
-    let bytes = request.into_body().collect().await.map_err(|error| bad(error.to_string()))?.to_bytes();
-    serde_json::from_slice(&bytes).map_err(|error| bad(error.to_string()))
+    let bad_request = |text: String| text_response(StatusCode::BAD_REQUEST, text);
+    let bytes =
+        request.into_body().collect().await.map_err(|error| bad_request(error.to_string()))?.to_bytes();
+    serde_json::from_slice(&bytes).map_err(|error| bad_request(error.to_string()))
 }
 
 /// Returns status 200 with an empty object.
@@ -35,7 +36,7 @@
 }
 
 /// Returns a query parameter.
-pub(crate) fn query_value(request: &Request<Incoming>, name: &str) -> Option<String> {
+pub(crate) fn query_parameter(request: &Request<Incoming>, name: &str) -> Option<String> {
     let query = request.uri().query()?;
     url::form_urlencoded::parse(query.as_bytes())
         .find(|(key, _)| key == name)
--- a/crates/porthoist-standin/src/platform.rs
+++ b/crates/porthoist-standin/src/platform.rs
@@ -1,6 +1,6 @@
 //! Stand-in of the platform: table, object store and host list.
 
-use crate::{broken_response, empty_response, query_value, read_json};
+use crate::{broken_response, empty_response, query_parameter, read_json};
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -117,12 +117,12 @@
 }
 
 impl PlatformStandin {
-    /// Creates a platform whose table contains `rows` as pairs of key and value.
-    pub fn with_items(rows: Vec<(String, Value)>) -> Self {
+    /// Creates a platform whose table contains `items`, pairs of key and value.
+    pub fn with_items(items: Vec<(String, Value)>) -> Self {
         let standin = Self::default();
         let write =
             |(key, value)| TableWrite { key, if_version: None, unconditional: true, value: Some(value) };
-        let writes = rows.into_iter().map(write).collect();
+        let writes = items.into_iter().map(write).collect();
         standin.state().transact(&TransactRequest { atomic: true, writes });
         standin
     }
@@ -151,7 +151,7 @@
     pub async fn handle(self, request: Request<Incoming>) -> HttpResponse {
         let path = request.uri().path().to_owned();
         if path.starts_with("/standin/") {
-            return self.control(&path, request).await;
+            return self.control_response(&path, request).await;
         }
         let faults = {
             let mut state = self.state();
@@ -165,21 +165,24 @@
         match (request.method().clone(), path.as_str()) {
             (Method::POST, "/v1/table/transact") => self.transact(request).await,
             (Method::GET, "/v1/table/item") => {
-                let key = query_value(&request, "key").unwrap_or_default();
+                let key = query_parameter(&request, "key").unwrap_or_default();
                 json_response(StatusCode::OK, &self.state().item(&key))
             }
-            (Method::GET, "/v1/table/changes") => self.changes(&request),
+            (Method::GET, "/v1/table/changes") => self.changes_response(&request),
             (Method::GET, "/v1/hosts") => {
-                let known = query_value(&request, "known").and_then(|text| text.parse().ok()).unwrap_or(0);
+                let known =
+                    query_parameter(&request, "known").and_then(|text| text.parse().ok()).unwrap_or(0);
                 json_response(StatusCode::OK, &self.state().host_feed(known))
             }
             (Method::POST, "/v1/hosts") => self.register(request).await,
-            (method, path) if path.starts_with("/v1/objects/") => self.object(method, path, request).await,
+            (method, path) if path.starts_with("/v1/objects/") => {
+                self.object_response(method, path, request).await
+            }
             _ => text_response(StatusCode::NOT_FOUND, "no such call"),
         }
     }
 
-    async fn control(&self, path: &str, request: Request<Incoming>) -> HttpResponse {
+    async fn control_response(&self, path: &str, request: Request<Incoming>) -> HttpResponse {
         if path != "/standin/faults" {
             return text_response(StatusCode::NOT_FOUND, "no such switch");
         }
@@ -206,9 +209,9 @@
         json_response(StatusCode::OK, &answer)
     }
 
-    fn changes(&self, request: &Request<Incoming>) -> HttpResponse {
-        let prefix = query_value(request, "prefix").unwrap_or_default();
-        let since = query_value(request, "since").and_then(|text| text.parse().ok()).unwrap_or(0);
+    fn changes_response(&self, request: &Request<Incoming>) -> HttpResponse {
+        let prefix = query_parameter(request, "prefix").unwrap_or_default();
+        let since = query_parameter(request, "since").and_then(|text| text.parse().ok()).unwrap_or(0);
         json_response(StatusCode::OK, &self.state().changes(&prefix, since))
     }
 
@@ -226,7 +229,7 @@
         empty_response()
     }
 
-    async fn object(&self, method: Method, path: &str, request: Request<Incoming>) -> HttpResponse {
+    async fn object_response(&self, method: Method, path: &str, request: Request<Incoming>) -> HttpResponse {
         let name = path.trim_start_matches("/v1/objects/").to_owned();
         if method == Method::PUT {
             let Ok(body) = request.into_body().collect().await else {
